--- a/benchmarks/agreement_simulated.py
+++ b/benchmarks/agreement_simulated.py
@@ -15,7 +15,7 @@
 from crankfold.consensus.raft_state import Ready
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.consensus_cluster import (
+from crankfold.simulation.consensus.cluster import (
     ClusterCase,
     ClusterFault,
     ClusterFaultKind,
@@ -23,8 +23,8 @@
     SimulatedCluster,
     settings_document,
 )
-from crankfold.simulation.maintenance_cases import MaintenanceCase
-from crankfold.simulation.maintenance_fleet import MaintenanceFleet
+from crankfold.simulation.maintenance.cases import MaintenanceCase
+from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 
 VOTER_COUNTS = (3, 5, 7)
 SEEDS = 100
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -14,9 +14,9 @@
 
 import click
 
-from crankfold.simulation.consensus_cluster import SimulatedCluster, random_scenario
-from crankfold.simulation.maintenance_cases import draw_case
-from crankfold.simulation.maintenance_fleet import MaintenanceFleet
+from crankfold.simulation.consensus.cluster import SimulatedCluster, random_scenario
+from crankfold.simulation.maintenance.cases import draw_case
+from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 
 HERE = Path(__file__).parent
 AGREEMENT = "agreement"
--- a/crankfold/cli/simulation.py
+++ b/crankfold/cli/simulation.py
@@ -7,9 +7,9 @@
 
 import click
 
-from crankfold.simulation import comparison, experiment
-from crankfold.simulation.comparison import PRODUCT, DayResult
-from crankfold.simulation.scenario import Scenario
+from crankfold.simulation.traffic import comparison, experiment
+from crankfold.simulation.traffic.comparison import PRODUCT, DayResult
+from crankfold.simulation.traffic.scenario import Scenario
 from crankfold.time_units import TICKS_PER_SECOND
 
 SLOTS = 4  # of a backend
--- a/crankfold/service/admin_service.py
+++ b/crankfold/service/admin_service.py
@@ -6,10 +6,10 @@
 from crankfold.network.listener import Listener
 from crankfold.protocol.admin_api import ReplicatedConfigAdmin
 from crankfold.routing.interface import Endpoint
-from crankfold.service.backend_registry import UnknownBackendError
-from crankfold.service.collaborators import OtherProcesses
+from crankfold.service.backends.registry import UnknownBackendError
 from crankfold.service.lifecycle import Lifecycle
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.requests.collaborators import OtherProcesses
+from crankfold.service.requests.handler import RequestHandler
 
 logger = logging.getLogger(__name__)
 
--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -23,8 +23,7 @@
 from crankfold.protocol.discovery import decode_endpoints
 from crankfold.routing.interface import Endpoint, RoutingConfig
 from crankfold.service.admin_service import AdminService
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.collaborators import NoCluster, NoOtherProcess
+from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.config_file import (
     connection_timeouts,
     divide_socket_limit,
@@ -33,13 +32,14 @@
 )
 from crankfold.service.lifecycle import Lifecycle
 from crankfold.service.reload import ConfigApplier, ConfigReloader
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.requests.collaborators import NoCluster, NoOtherProcess
+from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.shutdown import ShutdownSequence
 from crankfold.service.socket_budget import SocketBudget
 
 if TYPE_CHECKING:
-    from crankfold.service.handover import Handover
-    from crankfold.service.replicated_config import ReplicatedConfig
+    from crankfold.service.cluster.replicated_config import ReplicatedConfig
+    from crankfold.service.handover.handover import Handover
 
 logger = logging.getLogger(__name__)
 
@@ -133,7 +133,7 @@
         """Processes replace one another only where operators can ask the new one whether it is ready."""
         if not self.admin_address or not directory:
             return None
-        from crankfold.service.handover import Handover  # no other process is met without it
+        from crankfold.service.handover.handover import Handover  # no other process is met without it
 
         return Handover(
             directory,
@@ -146,7 +146,7 @@
     def _build_replicated_config(self, document: dict[str, Any]) -> "ReplicatedConfig | None":
         if not document.get("peers"):
             return None
-        from crankfold.service import replicated_config  # nothing of it is imported without peers
+        from crankfold.service.cluster import replicated_config  # nothing of it is imported without peers
 
         try:
             return replicated_config.ReplicatedConfig(
--- a/crankfold/service/health_probes.py
+++ b/crankfold/service/backends/health_probes.py
@@ -8,8 +8,8 @@
 from crankfold.protocol.backend_connection import BackendConnection
 from crankfold.protocol.load_reports import report_from_header
 from crankfold.routing.interface import RoutingConfig
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.load_report_store import LoadReportStore
+from crankfold.service.backends.load_report_store import LoadReportStore
+from crankfold.service.backends.registry import BackendRegistry
 
 ProbeObserver = Callable[[int, bool, Sequence[float]], None]
 """Takes the index of the backend, whether it is healthy, and its load report if there is one."""
--- a/crankfold/service/backend_registry.py
+++ b/crankfold/service/backends/registry.py
@@ -19,8 +19,8 @@
 from crankfold.network.timers import Timers
 from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
 from crankfold.routing.interface import Endpoint, EndpointState
-from crankfold.service.backend_starts import BackendStarts
-from crankfold.service.manual_drains import ManualDrains
+from crankfold.service.backends.manual_drains import ManualDrains
+from crankfold.service.backends.starts import BackendStarts
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 CONTROL_EXCHANGE_TIMEOUT = 10_000  # ticks, for exchanges that carry no request
--- /dev/null
+++ b/crankfold/service/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""What the members of a cluster agree on, applied to this dispatcher."""
--- a/crankfold/service/cluster_admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -20,7 +20,7 @@
 from crankfold.consensus.voter import Voter
 
 if TYPE_CHECKING:
-    from crankfold.service.maintenance_admin import MaintenanceAdmin
+    from crankfold.service.maintenance.admin import MaintenanceAdmin
 
 PUBLISH_TIMEOUT = 10.0  # seconds
 READ_TIMEOUT = 2.0  # seconds; how long a read waits for the version that the caller knows of
--- a/crankfold/service/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -15,7 +15,7 @@
 from crankfold.consensus.conservative_merge import DRAINED_BACKENDS, EXCLUDED_BACKENDS, QUOTAS, SETTINGS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.voter import Voter
-from crankfold.service.collaborators import RecordedEvent
+from crankfold.service.requests.collaborators import RecordedEvent
 
 logger = logging.getLogger(__name__)
 
--- a/crankfold/service/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -28,17 +28,17 @@
 from crankfold.network.metrics import Metrics
 from crankfold.routing.interface import Outcome, RoutingConfig
 from crankfold.service.admin_service import AdminService
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.cluster_admin import ClusterAdmin
-from crankfold.service.collaborators import RecordedEvent
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.cluster.admin import ClusterAdmin
+from crankfold.service.cluster.document_validation import replicated_settings, validation_error
+from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.config_file import parse_settings
-from crankfold.service.document_validation import replicated_settings, validation_error
-from crankfold.service.event_log import EventLog
-from crankfold.service.quotas import Quotas
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.requests.collaborators import RecordedEvent
+from crankfold.service.requests.handler import RequestHandler
+from crankfold.service.requests.quotas import Quotas
 
 if TYPE_CHECKING:
-    from crankfold.service.maintenance_agent import MaintenanceAgent
+    from crankfold.service.maintenance.agent import MaintenanceAgent
 
 logger = logging.getLogger(__name__)
 
@@ -105,9 +105,9 @@
 
     def _maintenance_agent(self) -> "MaintenanceAgent":
         if self.maintenance is None:
-            from crankfold.service import maintenance_agent  # nothing of it before there is a job
+            from crankfold.service.maintenance import agent  # nothing of it before there is a job
 
-            self.maintenance = maintenance_agent.MaintenanceAgent(
+            self.maintenance = agent.MaintenanceAgent(
                 self.request_handler,
                 self.admin_service,
                 self.cluster_node,
--- /dev/null
+++ b/crankfold/service/handover/__init__.py
@@ -0,0 +1,1 @@
+"""Replacement of one process by another under load."""
--- a/crankfold/service/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -20,11 +20,11 @@
     Welcome,
 )
 from crankfold.routing.interface import Endpoint
-from crankfold.service import handover_state
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.collaborators import CallbackAnswer
-from crankfold.service.handover_state_machine import HandoverRole, HandoverStateMachine
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.handover import transferred_state
+from crankfold.service.handover.state_machine import HandoverRole, HandoverStateMachine
+from crankfold.service.requests.collaborators import CallbackAnswer
+from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.socket_budget import SocketBudget
 
 logger = logging.getLogger(__name__)
@@ -92,7 +92,9 @@
                 listening_socket.close()
         record = self.channel.load_record()
         if record and record.dispatcher_name == self.dispatcher_name:
-            handover_state.adopt_manual_drains(self.request_handler, record.manual_drains, times_known=False)
+            transferred_state.adopt_manual_drains(
+                self.request_handler, record.manual_drains, times_known=False
+            )
         return None
 
     def _can_succeed(self, welcome: HandoverMessage, listening_socket: socket.socket) -> bool:
@@ -105,11 +107,11 @@
 
     def _adopt_state(self, state: ProcessState) -> dict[str, Any] | None:
         self.backend_registry.known_ids.update(state.known_ids)
-        handover_state.adopt_manual_drains(self.request_handler, state.manual_drains)
-        self.inherited_reports = handover_state.inherited_reports(
+        transferred_state.adopt_manual_drains(self.request_handler, state.manual_drains)
+        self.inherited_reports = transferred_state.inherited_reports(
             state, self.request_handler.config.report_fields
         )
-        return handover_state.inherited_endpoints(state, self.request_handler.routing.weights_follow_load)
+        return transferred_state.inherited_endpoints(state, self.request_handler.routing.weights_follow_load)
 
     def replay_reports(self) -> None:
         """Has routing take the last load reports to the predecessor for answers to probes."""
@@ -158,7 +160,7 @@
         await answered
 
     def _save_manual_drains(self) -> None:
-        state = handover_state.manual_drain_state(self.request_handler)
+        state = transferred_state.manual_drain_state(self.request_handler)
         try:
             self.channel.save_record(ManualDrainRecord(self.dispatcher_name, state))
         except OSError as error:
@@ -229,11 +231,11 @@
 
     def describe_state(self) -> ProcessState:
         """What a successor has to know."""
-        return handover_state.describe_state(self.request_handler, self.dispatcher_name)
+        return transferred_state.describe_state(self.request_handler, self.dispatcher_name)
 
     def describe_usage(self) -> ProcessUsage:
         """What this process holds."""
-        return handover_state.describe_usage(self.request_handler, len(self.listener.connections))
+        return transferred_state.describe_usage(self.request_handler, len(self.listener.connections))
 
     def stop_accepting(self) -> None:
         """Leaves new connections and the slow start of backends to a successor."""
--- a/crankfold/service/handover_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -17,9 +17,9 @@
     ProcessUsage,
 )
 from crankfold.routing.interface import EndpointState
-from crankfold.service.backend_starts import MAX_CLOCK_ERROR
-from crankfold.service.manual_drains import AssumedStart
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.backends.manual_drains import AssumedStart
+from crankfold.service.backends.starts import MAX_CLOCK_ERROR
+from crankfold.service.requests.handler import RequestHandler
 
 MAX_REPORT_AGE = 50_000  # tenths of a millisecond; older load reports say nothing of the present
 
--- /dev/null
+++ b/crankfold/service/maintenance/__init__.py
@@ -0,0 +1,1 @@
+"""This dispatcher's part in the maintenance of machines."""
--- a/crankfold/service/maintenance_admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -23,10 +23,10 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
-from crankfold.service.machine_inventory import TICKS_PER_SECOND
+from crankfold.service.maintenance.machine_inventory import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
-    from crankfold.service.maintenance_agent import MaintenanceAgent
+    from crankfold.service.maintenance.agent import MaintenanceAgent
 
 PROPOSE_TIMEOUT = 10.0  # seconds
 RESTORE_LOCALLY = "here"  # the step that concerns this dispatcher alone
--- a/crankfold/service/maintenance_agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -21,17 +21,17 @@
 from crankfold.network.metrics import Metrics
 from crankfold.routing.interface import DeduplicationScope, Idempotency, Outcome
 from crankfold.service.admin_service import AdminService
-from crankfold.service.machine_inventory import (
+from crankfold.service.maintenance.admin import MaintenanceAdmin
+from crankfold.service.maintenance.commands import CommandExecutor
+from crankfold.service.maintenance.machine_inventory import (
     DISPATCHER_PREFIX,
     TICKS_PER_SECOND,
     MachineInventory,
     dispatcher_id,
     dispatcher_machines,
 )
-from crankfold.service.maintenance_admin import MaintenanceAdmin
-from crankfold.service.maintenance_commands import CommandExecutor
-from crankfold.service.maintenance_observations import MaintenanceObservations
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.maintenance.observations import MaintenanceObservations
+from crankfold.service.requests.handler import RequestHandler
 
 logger = logging.getLogger(__name__)
 
--- a/crankfold/service/maintenance_commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -13,8 +13,8 @@
 from crankfold.maintenance.specification import JobSpecification
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, outcome_document
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.machine_inventory import DISPATCHER_PREFIX
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.maintenance.machine_inventory import DISPATCHER_PREFIX
 
 logger = logging.getLogger(__name__)
 
--- a/crankfold/service/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -7,7 +7,7 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.routing.interface import EndpointState
-from crankfold.service.backend_registry import BackendRecord, BackendRegistry
+from crankfold.service.backends.registry import BackendRecord, BackendRegistry
 
 TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
 MISSING_MACHINE_PERIOD = (
--- a/crankfold/service/maintenance_observations.py
+++ b/crankfold/service/maintenance/observations.py
@@ -7,14 +7,14 @@
 
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.routing.interface import Outcome
-from crankfold.service.request_handler import (
+from crankfold.service.requests.handler import (
     ADMITTED_COUNTER,
     NO_VALID_CONFIG,
     OVERLOADED,
     QUOTA_USED_UP,
     RequestHandler,
 )
-from crankfold.service.request_table import Disposition
+from crankfold.service.requests.table import Disposition
 
 LOAD_WINDOW = 5.0  # seconds over which accepted and shed requests are counted
 MAX_UNCONFIRMED = 1000  # request ids kept for each machine
--- a/crankfold/service/reload.py
+++ b/crankfold/service/reload.py
@@ -17,7 +17,7 @@
     parse_changed_document,
     settings_needing_restart,
 )
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.socket_budget import SocketBudget
 
 logger = logging.getLogger(__name__)
--- /dev/null
+++ b/crankfold/service/requests/__init__.py
@@ -0,0 +1,1 @@
+"""Requests in hand: admission, attempts, callbacks, answers."""
--- a/crankfold/service/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -18,10 +18,10 @@
 from crankfold.protocol.load_reports import report_from_header
 from crankfold.routing.interface import NEVER_EXECUTED, AttemptEnd, EndpointState, Idempotency, Outcome
 from crankfold.routing.router import Router
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.collaborators import ClusterServices, RecordedEvent
-from crankfold.service.load_report_store import LoadReportStore
-from crankfold.service.request_table import Attempt, Disposition, Request, RequestTable
+from crankfold.service.backends.load_report_store import LoadReportStore
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.requests.collaborators import ClusterServices, RecordedEvent
+from crankfold.service.requests.table import Attempt, Disposition, Request, RequestTable
 
 _OUTCOMES_WITHOUT_RESPONSE = {
     ExchangeResult.NOT_SENT: Outcome.NOT_SENT,
--- a/crankfold/service/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -6,10 +6,10 @@
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.client_connection import ClientChannel
 from crankfold.routing.interface import Outcome
-from crankfold.service.attempts import Attempts, RequestOwner
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.collaborators import ClusterServices, OtherProcesses
-from crankfold.service.request_table import ActiveAttempt, Disposition, RequestTable
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.requests.attempts import Attempts, RequestOwner
+from crankfold.service.requests.collaborators import ClusterServices, OtherProcesses
+from crankfold.service.requests.table import ActiveAttempt, Disposition, RequestTable
 
 
 class CallbackHandler:
--- a/crankfold/service/request_handler.py
+++ b/crankfold/service/requests/handler.py
@@ -14,15 +14,15 @@
 from crankfold.protocol.headers import Header
 from crankfold.routing.interface import Endpoint, RequestArrival, RoutingConfig
 from crankfold.routing.router import Router
-from crankfold.service.attempts import Attempts
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.callback_handler import CallbackHandler
-from crankfold.service.collaborators import ClusterServices, OtherProcesses, RecordedEvent
-from crankfold.service.health_probes import HealthProbes
+from crankfold.service.backends.health_probes import HealthProbes
+from crankfold.service.backends.load_report_store import LoadReportStore
+from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.lifecycle import Lifecycle
-from crankfold.service.load_report_store import LoadReportStore
-from crankfold.service.request_classes import RequestClassTable
-from crankfold.service.request_table import Disposition, Request, RequestTable
+from crankfold.service.requests.attempts import Attempts
+from crankfold.service.requests.callback_handler import CallbackHandler
+from crankfold.service.requests.classes import RequestClassTable
+from crankfold.service.requests.collaborators import ClusterServices, OtherProcesses, RecordedEvent
+from crankfold.service.requests.table import Disposition, Request, RequestTable
 from crankfold.time_units import TICKS_PER_SECOND
 
 # Ticks that a request was under way before it was read: its deadline is that much nearer.
--- a/crankfold/service/request_table.py
+++ b/crankfold/service/requests/table.py
@@ -9,8 +9,8 @@
 from crankfold.protocol.client_connection import ClientChannel
 from crankfold.protocol.client_request import HttpRequest
 from crankfold.routing.interface import RequestClass
-from crankfold.service.collaborators import ClusterServices
-from crankfold.service.request_classes import RequestClassTable
+from crankfold.service.requests.classes import RequestClassTable
+from crankfold.service.requests.collaborators import ClusterServices
 
 
 class Disposition(Enum):
--- a/crankfold/service/shutdown.py
+++ b/crankfold/service/shutdown.py
@@ -9,11 +9,11 @@
 from crankfold.network.listener import Listener
 from crankfold.network.signals import ignore_signals_at_end
 from crankfold.service.lifecycle import Lifecycle
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.requests.handler import RequestHandler
 
 if TYPE_CHECKING:
-    from crankfold.service.handover import Handover
-    from crankfold.service.replicated_config import ReplicatedConfig
+    from crankfold.service.cluster.replicated_config import ReplicatedConfig
+    from crankfold.service.handover.handover import Handover
 
 logger = logging.getLogger(__name__)
 
--- /dev/null
+++ b/crankfold/simulation/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Simulated clusters: members that agree while messages, processes and disks fail."""
--- a/crankfold/simulation/consensus_cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -14,7 +14,7 @@
 from crankfold.consensus.raft_state import PersistentState
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.cluster_case import (
+from crankfold.simulation.consensus.case import (
     REQUEST_DEADLINE,
     TOTAL_QUOTA,
     ClusterCase,
@@ -23,8 +23,8 @@
     random_scenario,
     settings_document,
 )
-from crankfold.simulation.cluster_invariants import ClusterInvariants
-from crankfold.simulation.cluster_process import QUOTA_KEY, IdleHost, SimulatedProcess
+from crankfold.simulation.consensus.invariants import ClusterInvariants
+from crankfold.simulation.consensus.process import QUOTA_KEY, IdleHost, SimulatedProcess
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
 
 __all__ = [
--- a/crankfold/simulation/cluster_invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -12,7 +12,7 @@
 from crankfold.consensus.messages import ProposalResponse
 from crankfold.consensus.raft_state import Role
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.cluster_process import SimulatedProcess
+from crankfold.simulation.consensus.process import SimulatedProcess
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
 
 MAX_VIOLATIONS = 20  # that are kept
--- a/crankfold/simulation/cluster_process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -10,7 +10,7 @@
 from crankfold.consensus.messages import MaintenanceReport, Message, ProposalResponse
 from crankfold.consensus.raft_state import PersistentState, Ready, Role
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.cluster_case import ClusterCase
+from crankfold.simulation.consensus.case import ClusterCase
 from crankfold.simulation.event_queue import EventQueue
 
 POLL_INTERVAL = 20  # ticks between two looks at the time
--- /dev/null
+++ b/crankfold/simulation/maintenance/__init__.py
@@ -0,0 +1,1 @@
+"""Simulated maintenance of machines, on top of a simulated cluster."""
--- a/crankfold/simulation/maintenance_cases.py
+++ b/crankfold/simulation/maintenance/cases.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from crankfold.simulation.consensus_cluster import ClusterCase, random_scenario
+from crankfold.simulation.consensus.cluster import ClusterCase, random_scenario
 from crankfold.simulation.event_queue import TICKS_PER_SECOND
 
 DRAWN_MACHINE_COUNT = 9
--- a/crankfold/simulation/maintenance_dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -12,8 +12,8 @@
 from crankfold.maintenance.specification import JobSpecification, parse_jobs
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
-from crankfold.simulation.consensus_cluster import SimulatedCluster, SimulatedProcess
-from crankfold.simulation.maintenance_machines import INSTANCE_TYPE, AnswerCount, SimulatedMachine, WorkRun
+from crankfold.simulation.consensus.cluster import SimulatedCluster, SimulatedProcess
+from crankfold.simulation.maintenance.machines import INSTANCE_TYPE, AnswerCount, SimulatedMachine, WorkRun
 
 MAX_LIST_LAG_TICKS = 12_000  # endpoint lists tell of losses so late at the most
 TICKS_PER_MILLISECOND = 10
--- a/crankfold/simulation/maintenance_fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -11,17 +11,17 @@
 from crankfold.maintenance.specification import WorkMethod, parse_jobs
 from crankfold.maintenance.state import TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase
-from crankfold.simulation.consensus_cluster import REQUEST_DEADLINE, SimulatedCluster, SimulatedProcess
-from crankfold.simulation.maintenance_cases import MaintenanceCase
-from crankfold.simulation.maintenance_checker import WARM_UP_TICKS, MaintenanceChecker
-from crankfold.simulation.maintenance_dispatcher import SimulatedDispatcher, Surroundings, WaitingAttempt
-from crankfold.simulation.maintenance_machines import (
+from crankfold.simulation.consensus.cluster import REQUEST_DEADLINE, SimulatedCluster, SimulatedProcess
+from crankfold.simulation.maintenance.cases import MaintenanceCase
+from crankfold.simulation.maintenance.checker import WARM_UP_TICKS, MaintenanceChecker
+from crankfold.simulation.maintenance.dispatcher import SimulatedDispatcher, Surroundings, WaitingAttempt
+from crankfold.simulation.maintenance.machines import (
     INSTANCE_TYPE,
     RunningRequest,
     SimulatedMachine,
     WorkRun,
 )
-from crankfold.simulation.maintenance_work import Commands, Operators
+from crankfold.simulation.maintenance.work import Commands, Operators
 
 REQUEST_ROUND_TICKS: Final = 400  # between requests of a dispatcher
 LONG_REQUEST_SHARE: Final = 0.06  # of requests that may outlast their deadline
--- a/crankfold/simulation/maintenance_work.py
+++ b/crankfold/simulation/maintenance/work.py
@@ -7,9 +7,9 @@
 from crankfold.maintenance.specification import WorkMethod
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.simulation.event_queue import EventQueue
-from crankfold.simulation.maintenance_checker import MaintenanceChecker
-from crankfold.simulation.maintenance_dispatcher import SimulatedDispatcher
-from crankfold.simulation.maintenance_machines import WorkRun
+from crankfold.simulation.maintenance.checker import MaintenanceChecker
+from crankfold.simulation.maintenance.dispatcher import SimulatedDispatcher
+from crankfold.simulation.maintenance.machines import WorkRun
 
 FIRST_SUBMIT_TICKS: Final = 15_000
 SUBMIT_RETRY_TICKS: Final = 8000
--- /dev/null
+++ b/crankfold/simulation/traffic/__init__.py
@@ -0,0 +1,1 @@
+"""Simulated requests: dispatchers, backends, clients, discovery and faults."""
--- a/crankfold/simulation/backend.py
+++ b/crankfold/simulation/traffic/backend.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from crankfold.routing.interface import EndpointState, Outcome
-from crankfold.simulation.scenario import FleetContext
+from crankfold.simulation.traffic.scenario import FleetContext
 
 ERROR_DELAY = 200  # ticks until a failing backend says so
 
--- a/crankfold/simulation/baselines.py
+++ b/crankfold/simulation/traffic/baselines.py
@@ -15,7 +15,7 @@
     RoutingActions,
     RoutingConfig,
 )
-from crankfold.simulation.dispatcher import SimulatedDispatcher
+from crankfold.simulation.traffic.dispatcher import SimulatedDispatcher
 
 NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 MAX_FIRST_POSITION = 1 << 16
--- a/crankfold/simulation/comparison.py
+++ b/crankfold/simulation/traffic/comparison.py
@@ -8,9 +8,9 @@
 
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass, RoutingConfig
 from crankfold.routing.router import Router
-from crankfold.simulation.baselines import BASELINES
-from crankfold.simulation.fleet import SimulatedFleet
-from crankfold.simulation.scenario import PolicyFactory, Scenario
+from crankfold.simulation.traffic.baselines import BASELINES
+from crankfold.simulation.traffic.fleet import SimulatedFleet
+from crankfold.simulation.traffic.scenario import PolicyFactory, Scenario
 
 PRODUCT = "crankfold"
 POLICIES: dict[str, PolicyFactory] = {PRODUCT: Router, **BASELINES}
--- a/crankfold/simulation/dispatcher.py
+++ b/crankfold/simulation/traffic/dispatcher.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from crankfold.routing.interface import AttemptEnd, Endpoint, Outcome, RequestArrival
-from crankfold.simulation.backend import SimulatedAttempt, SimulatedBackend
-from crankfold.simulation.invariants import Answer, RequestRecord
-from crankfold.simulation.scenario import (
+from crankfold.simulation.traffic.backend import SimulatedAttempt, SimulatedBackend
+from crankfold.simulation.traffic.invariants import Answer, RequestRecord
+from crankfold.simulation.traffic.scenario import (
     ClientRequest,
     FleetContext,
     PolicyFactory,
--- a/crankfold/simulation/experiment.py
+++ b/crankfold/simulation/traffic/experiment.py
@@ -13,7 +13,8 @@
 
 from crankfold import __version__
 from crankfold.errors import CrankfoldError
-from crankfold.simulation.comparison import (
+from crankfold.simulation.event_queue import TICKS_PER_SECOND
+from crankfold.simulation.traffic.comparison import (
     DEFAULT_CONFIG,
     POLICIES,
     PRODUCT,
@@ -22,9 +23,8 @@
     simulate_day,
     verdict,
 )
-from crankfold.simulation.event_queue import TICKS_PER_SECOND
-from crankfold.simulation.faults import Fault, FaultKind
-from crankfold.simulation.scenario import ZONE_COUNT, Scenario
+from crankfold.simulation.traffic.faults import Fault, FaultKind
+from crankfold.simulation.traffic.scenario import ZONE_COUNT, Scenario
 
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
 Count = Annotated[int, Meta(ge=1, le=2000)]
--- a/crankfold/simulation/fleet.py
+++ b/crankfold/simulation/traffic/fleet.py
@@ -4,12 +4,12 @@
 from random import Random
 
 from crankfold.routing.interface import EndpointState, RoutingConfig
-from crankfold.simulation.backend import SimulatedBackend
-from crankfold.simulation.dispatcher import ONLY_CLASS, SimulatedDispatcher
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
-from crankfold.simulation.fault_script import FaultScript, FleetConditions
-from crankfold.simulation.invariants import PROPAGATION_LIMIT, InvariantChecker
-from crankfold.simulation.scenario import (
+from crankfold.simulation.traffic.backend import SimulatedBackend
+from crankfold.simulation.traffic.dispatcher import ONLY_CLASS, SimulatedDispatcher
+from crankfold.simulation.traffic.fault_script import FaultScript, FleetConditions
+from crankfold.simulation.traffic.invariants import PROPAGATION_LIMIT, InvariantChecker
+from crankfold.simulation.traffic.scenario import (
     START,
     ClientRequest,
     FleetContext,
--- a/crankfold/simulation/scenario.py
+++ b/crankfold/simulation/traffic/scenario.py
@@ -5,8 +5,8 @@
 
 from crankfold.routing.interface import RoutingActions, RoutingConfig, RoutingEvents
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
-from crankfold.simulation.faults import Fault
-from crankfold.simulation.invariants import InvariantChecker
+from crankfold.simulation.traffic.faults import Fault
+from crankfold.simulation.traffic.invariants import InvariantChecker
 
 START = TICKS_PER_SECOND  # the time when the day begins: 0 stands for long ago
 ZONE_COUNT = 3
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -18,7 +18,7 @@
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import Rejection
 from crankfold.network.metrics import Metrics
-from crankfold.simulation.consensus_cluster import IdleHost, settings_document
+from crankfold.simulation.consensus.cluster import IdleHost, settings_document
 from tests.loopback import Loopback
 
 VOTERS = ("n0", "n1", "n2")
--- a/tests/consensus/planted_faults.py
+++ b/tests/consensus/planted_faults.py
@@ -12,7 +12,7 @@
 from crankfold.consensus.raft_log import RaftLog
 from crankfold.consensus.voter import Voter
 from crankfold.consensus.voter_registry import FolderRegistry
-from crankfold.simulation.consensus_cluster import (
+from crankfold.simulation.consensus.cluster import (
     ClusterCase,
     ClusterFault,
     ClusterFaultKind,
--- a/tests/consensus/test_cluster_safety.py
+++ b/tests/consensus/test_cluster_safety.py
@@ -7,7 +7,7 @@
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import FollowerHeartbeat, Message
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.consensus_cluster import (
+from crankfold.simulation.consensus.cluster import (
     ClusterCase,
     ClusterFault,
     ClusterFaultKind,
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -16,7 +16,7 @@
 from crankfold.consensus.raft_state import PersistentState
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.consensus_cluster import IdleHost, settings_document
+from crankfold.simulation.consensus.cluster import IdleHost, settings_document
 from tests.scene import Kept
 
 
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -5,8 +5,8 @@
 from crankfold.consensus.messages import RequestVote
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.raft_state import PersistentState
-from crankfold.simulation import model_checker
-from crankfold.simulation.model_checker import MoveKind
+from crankfold.simulation.consensus import model_checker
+from crankfold.simulation.consensus.model_checker import MoveKind
 
 VOTERS = ("v0", "v1", "v2")
 
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -3,7 +3,7 @@
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import LogEntry
 from crankfold.consensus.versioned_documents import VersionedDocuments
-from crankfold.simulation.consensus_cluster import settings_document
+from crankfold.simulation.consensus.cluster import settings_document
 from tests.scene import Kept
 
 
--- a/tests/planted_maintenance.py
+++ b/tests/planted_maintenance.py
@@ -17,9 +17,9 @@
 from crankfold.maintenance.specification import WorkMethod
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import ALLOWED_FROM, MaintenancePhase, Transition
-from crankfold.simulation.consensus_cluster import ClusterCase, ClusterFault, ClusterFaultKind
-from crankfold.simulation.maintenance_cases import MachineLoss, MaintenanceCase, draw_case
-from crankfold.simulation.maintenance_fleet import MaintenanceFleet
+from crankfold.simulation.consensus.cluster import ClusterCase, ClusterFault, ClusterFaultKind
+from crankfold.simulation.maintenance.cases import MachineLoss, MaintenanceCase, draw_case
+from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 
 
 class FreeTooEarly(Voter):
--- a/tests/service/test_manual_drains.py
+++ b/tests/service/backends/test_manual_drains.py
@@ -1,7 +1,7 @@
 """Manual drains, laid over the endpoint list."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
-from crankfold.service.manual_drains import ManualDrains
+from crankfold.service.backends.manual_drains import ManualDrains
 from tests.scene import Kept
 
 
--- a/tests/service/test_backend_registry.py
+++ b/tests/service/backends/test_registry.py
@@ -6,7 +6,7 @@
 from crankfold.config.parser import read_service_config
 from crankfold.protocol.discovery import DiscoveryEntry
 from crankfold.routing.interface import Endpoint, EndpointState
-from crankfold.service.backend_registry import BackendRegistry, UnknownBackendError
+from crankfold.service.backends.registry import BackendRegistry, UnknownBackendError
 
 
 class BackendRegistryTest(unittest.TestCase):
--- a/tests/service/test_maintenance_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -6,7 +6,7 @@
 from crankfold.consensus.versioned_documents import Document
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.network.metrics import Metrics
-from crankfold.service.maintenance_agent import MaintenanceAgent
+from crankfold.service.maintenance.agent import MaintenanceAgent
 from tests.scene import Kept
 
 
--- a/tests/service/test_request_classes.py
+++ b/tests/service/requests/test_classes.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from crankfold.routing.interface import Idempotency
-from crankfold.service.request_classes import RequestClassTable
+from crankfold.service.requests.classes import RequestClassTable
 from tests.scene import GRADE, Kept
 
 
--- a/tests/service/test_quotas.py
+++ b/tests/service/requests/test_quotas.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from crankfold.service.quotas import Quotas
+from crankfold.service.requests.quotas import Quotas
 
 
 class QuotasTest(unittest.TestCase):
--- a/tests/simulation/test_maintenance_fleet.py
+++ b/tests/simulation/maintenance/test_fleet.py
@@ -2,9 +2,9 @@
 
 import re
 
-from crankfold.simulation.consensus_cluster import ClusterCase, ClusterFault, ClusterFaultKind
-from crankfold.simulation.maintenance_cases import MaintenanceCase, draw_case
-from crankfold.simulation.maintenance_fleet import MaintenanceFleet
+from crankfold.simulation.consensus.cluster import ClusterCase, ClusterFault, ClusterFaultKind
+from crankfold.simulation.maintenance.cases import MaintenanceCase, draw_case
+from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 from tests.planted_maintenance import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
 from tests.scene import Kept
 
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -9,10 +9,10 @@
 from crankfold.protocol.client_connection import ClientConnection
 from crankfold.routing import router
 from crankfold.routing.interface import EndpointState, Outcome
-from crankfold.service import attempts
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.backend_starts import BackendStarts
-from crankfold.service.request_handler import RequestHandler
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.backends.starts import BackendStarts
+from crankfold.service.requests import attempts
+from crankfold.service.requests.handler import RequestHandler
 
 EVERY = 10  # requests, of which one is hit
 EXTRA_TIMEOUT = 10_000  # ticks
--- a/tests/terms/test_handed_over_times.py
+++ b/tests/terms/test_handed_over_times.py
@@ -4,9 +4,9 @@
 from unittest.mock import Mock, patch
 
 from crankfold.network.timers import Clock
-from crankfold.service.backend_registry import BackendRegistry
-from crankfold.service.handover_state import adopt_manual_drains, manual_drain_state
-from crankfold.service.manual_drains import AssumedStart
+from crankfold.service.backends.manual_drains import AssumedStart
+from crankfold.service.backends.registry import BackendRegistry
+from crankfold.service.handover.transferred_state import adopt_manual_drains, manual_drain_state
 
 HOUR_NS = 3600 * 10**9
 
--- a/tests/terms/test_storage_faults.py
+++ b/tests/terms/test_storage_faults.py
@@ -16,8 +16,8 @@
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import PersistentState, Ready
-from crankfold.service.collaborators import RecordedEvent
-from crankfold.service.event_log import EventLog
+from crankfold.service.cluster.event_log import EventLog
+from crankfold.service.requests.collaborators import RecordedEvent
 from tests.cluster.test_node import VOTERS, ClusterScene
 
 STORAGE_CALLS = ("open", "write", "fsync", "fdatasync", "replace", "ftruncate", "close")
@@ -179,7 +179,7 @@
             return write(file, data[: len(data) - 5])
 
         log.record_event(RecordedEvent.ATTEMPT_SENT, "u1", "a", member)
-        with patch("os.write", full_after), self.assertLogs("crankfold.service.event_log", "WARNING"):
+        with patch("os.write", full_after), self.assertLogs("crankfold.service.cluster.event_log", "WARNING"):
             log.record_event(RecordedEvent.ATTEMPT_SENT, "u2", "a", member)
         log.record_event(RecordedEvent.ATTEMPT_SENT, "u3", "a", member)
         first, torn, last = path.read_text().splitlines()
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -5,7 +5,7 @@
 from crankfold.config.schema import SchemaError, validate
 from crankfold.protocol.handover_messages import STATIC_WEIGHTS, ProcessState, Welcome, decode_message
 from crankfold.routing.interface import Endpoint, EndpointState
-from crankfold.service import handover_state
+from crankfold.service.handover import transferred_state
 from tests.scene import MS, Kept, Scene
 
 FIELDS = ["queue", "x0"]
@@ -38,11 +38,11 @@
             ("no targets", welcome(known={}), False),
             ("other fields", welcome(fields=["qps", "queue"]), True),
         ):
-            known = handover_state.inherited_endpoints(told, live)
+            known = transferred_state.inherited_endpoints(told, live)
             hints = [entry["capacity_hint"] for entry in known["targets"]] if known else known
             self.say(
                 f"{name}: weights {hints}, "
-                f"reports of {sorted(handover_state.inherited_reports(told, FIELDS))}"
+                f"reports of {sorted(transferred_state.inherited_reports(told, FIELDS))}"
             )
         self.close("carry")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 from crankfold.protocol.backend_connection import BackendConnection
 from crankfold.routing.interface import POLL_TIMER, SECOND, Idempotency
 from crankfold.service.application import Application
-from crankfold.service.request_classes import RequestClassTable
+from crankfold.service.requests.classes import RequestClassTable
 from tests.loopback import NEVER_RAN, OK, UNIT, DispatcherTestCase, Handler, Loopback, accepting
 from tests.scene import GRADE, ORDERS, Scene, read_request
 
@@ -356,7 +356,7 @@
         with (
             patch.object(pool, "_connect", late),
             patch.object(routing.selection, "_healthy", lambda *_: routing.state.table.backends[:1]),
-            patch("crankfold.service.request_table.Attempt.was_sent", lambda _trip: False),
+            patch("crankfold.service.requests.table.Attempt.was_sent", lambda _trip: False),
         ):
             answer = await self.send_request("u1")
         self.assertEqual((answer[0].split()[1], opened, len(self.lines)), ("504", 2, 1))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -120,7 +120,7 @@
         rows = [line.split("|")[2] for line in table.splitlines() if line.startswith("| ")][2:]
         self.assertGreater(len(rows), 15)
         for owner in rows:
-            files = re.findall(r"`(\w+/\w+\.py)`", owner)
+            files = re.findall(r"`((?:\w+/)+\w+\.py)`", owner)
             code = "".join((ROOT / "crankfold" / file).read_text() for file in files)
             names = re.findall(r"`([A-Z]\w+)`", owner)
             self.assertTrue(names and files, owner)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,10 +11,10 @@
     RoutingConfig,
 )
 from crankfold.routing.router import Router
-from crankfold.simulation.faults import Fault, FaultKind
-from crankfold.simulation.fleet import SimulatedFleet
-from crankfold.simulation.invariants import Answer
-from crankfold.simulation.scenario import PolicyFactory, Scenario
+from crankfold.simulation.traffic.faults import Fault, FaultKind
+from crankfold.simulation.traffic.fleet import SimulatedFleet
+from crankfold.simulation.traffic.invariants import Answer
+from crankfold.simulation.traffic.scenario import PolicyFactory, Scenario
 from tests.scene import GRADE, MS, ORDERS, Kept
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -10,11 +10,11 @@
 
 from crankfold.cli.main import main
 from crankfold.routing.router import Router
-from crankfold.simulation.comparison import DEFAULT_CONFIG
-from crankfold.simulation.faults import Fault, FaultKind, affected_indices
-from crankfold.simulation.fleet import SimulatedFleet
-from crankfold.simulation.invariants import Answer
-from crankfold.simulation.scenario import Scenario
+from crankfold.simulation.traffic.comparison import DEFAULT_CONFIG
+from crankfold.simulation.traffic.faults import Fault, FaultKind, affected_indices
+from crankfold.simulation.traffic.fleet import SimulatedFleet
+from crankfold.simulation.traffic.invariants import Answer
+from crankfold.simulation.traffic.scenario import Scenario
 from tests.scene import Kept
 
 DAY = Scenario(
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -10,16 +10,16 @@
 
 from crankfold.cli.main import main
 from crankfold.routing.interface import DeduplicationScope, EndpointState, Idempotency
-from crankfold.simulation import comparison
-from crankfold.simulation.fleet import SimulatedFleet
-from crankfold.simulation.scenario import Scenario
+from crankfold.simulation.traffic import comparison
+from crankfold.simulation.traffic.fleet import SimulatedFleet
+from crankfold.simulation.traffic.scenario import Scenario
 from tests.scene import Kept
 
 SMALL = Scenario(dispatcher_count=4, backend_count=8, arrival_rate=40.0, seconds=3)
 ONE_DAY = """
 import sys
-from crankfold.simulation import comparison
-from crankfold.simulation.scenario import Scenario
+from crankfold.simulation.traffic import comparison
+from crankfold.simulation.traffic.scenario import Scenario
 day = Scenario(dispatcher_count=4, backend_count=8, arrival_rate=40.0, seconds=2)
 rows = [comparison.simulate_day(name, day, comparison.DEFAULT_CONFIG, 3) for name in comparison.POLICIES]
 comparison.write_table(rows, sys.stdout)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -34,7 +34,7 @@
     encode_message,
 )
 from crankfold.service.application import Application
-from crankfold.service.handover_state_machine import HandoverStateMachine
+from crankfold.service.handover.state_machine import HandoverStateMachine
 from tests.loopback import OK, UNIT, DispatcherTestCase, Loopback
 from tests.scene import Kept, read_request
 
