--- /dev/null
+++ b/tests/routing/test_rules_ejection.py
@@ -0,0 +1,30 @@
+"""How long a backend is left out."""
+
+from itertools import pairwise
+
+from crankfold.routing.interface import Outcome
+from tests.routing.rule_scene import RuleScene, ready
+
+LONGEST = 8_000  # ms
+JITTER = 0.25  # of the ejection
+STEP = 100  # ms
+
+
+class EjectionRules(RuleScene):
+    def test_backend_that_keeps_failing_gets_a_trial_after_the_longest_ejection_and_its_jitter(self) -> None:
+        self.open_with(*[ready(backend) for backend in range(3)])
+        trials: list[int] = []
+        for step in range(80_000 // STEP):
+            requests = range(3 * step, 3 * step + 3)
+            for request in requests:  # one for each backend that is not left out
+                self.send(request)
+            for request in requests:
+                if self.backends_of(request) == [0]:
+                    trials.append(step * STEP)
+                    self.finish(request, Outcome.UNREACHABLE, last=False)
+                self.finish(request)
+            self.sent.clear()
+            self.elapse(STEP)
+        pauses = [later - earlier for earlier, later in pairwise(trials)]
+        self.assertGreaterEqual(max(pauses), LONGEST)
+        self.assertLessEqual(max(pauses), LONGEST * (1 + JITTER) + STEP)
--- /dev/null
+++ b/tests/routing/test_rules_selection.py
@@ -0,0 +1,63 @@
+"""Which backends have room, which are left out for a long queue, and when a warming one goes first."""
+
+from crankfold.routing.interface import Endpoint, EndpointState
+from tests.routing.rule_scene import RuleScene, ready
+
+
+class RoomRules(RuleScene):
+    def test_backend_has_room_for_a_quarter_slot_more_than_its_capacity_at_most(self) -> None:
+        for slots, backend in ((4.25, 0), (4.5, 1)):
+            self.open_with(ready(0, zone=0), ready(1, zone=1, type_=1))
+            self.report(1, 9.0)
+            self.assertEqual(self.send(0, slots=slots), backend, f"{slots} slots")
+
+
+class ListedQueueRules(RuleScene):
+    def open_one_busy(self) -> None:
+        """Two backends of one size, of which the list shows three requests for each core at backend 0."""
+        self.open_with(
+            ready(0, weight=4.0), ready(1, weight=4.0), free=0, weights_follow_load=True, instance_count=2
+        )
+        self.list([ready(0, weight=1.0), ready(1, weight=4.0)])
+
+    def backends_in_turn(self, key: int) -> set[int]:
+        """The backends of eight requests, one after the other; with keys from `key` on, 0 for none."""
+        chosen = set()
+        for request in range(8):
+            chosen.add(self.send(request, key=key and key + request))
+            self.finish(request)
+        return chosen
+
+    def test_backend_with_a_long_listed_queue_gets_requests_where_the_whole_fleet_is_used(self) -> None:
+        self.open_one_busy()
+        self.assertEqual(self.backends_in_turn(key=0), {0, 1})
+
+    def test_backend_with_a_long_listed_queue_gets_no_request_with_a_key(self) -> None:
+        self.open_one_busy()
+        self.assertEqual(self.backends_in_turn(key=1), {1})
+
+
+class WarmingFirstRules(RuleScene):
+    def open_warming(self, *, runs_known: bool) -> None:
+        """Two warm backends, and one in slow start whose budget is saved up."""
+        self.open_with(ready(0), ready(1), instance_count=1, hedging_allowed=False)
+        if runs_known:
+            self.start(100, self.send(100))
+            self.elapse(100)
+            self.finish(100)
+        self.change(Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now))
+        self.send(101, work=50)  # the first one only sets when the budget begins
+        self.finish(101)
+        self.elapse(1000)
+
+    def test_hinted_request_that_ends_in_time_goes_to_the_backend_in_slow_start_first(self) -> None:
+        self.open_warming(runs_known=True)
+        self.assertEqual(self.send(0, work=50), 2)
+
+    def test_request_without_a_hint_does_not_go_to_the_backend_in_slow_start_first(self) -> None:
+        self.open_warming(runs_known=True)
+        self.assertNotEqual(self.send(0, work=0), 2)
+
+    def test_backend_in_slow_start_does_not_go_first_while_running_times_are_unknown(self) -> None:
+        self.open_warming(runs_known=False)
+        self.assertNotEqual(self.send(0, work=50), 2)
