--- a/tests/routing/test_rules_admission.py
+++ b/tests/routing/test_rules_admission.py
@@ -25,6 +25,31 @@
         self.assertEqual((self.sent, self.shed_requests), ([(0, 0)], []))
 
 
+class FirstTryRules(RuleScene):
+    def test_unmarked_request_with_half_of_the_usual_time_left_is_taken_for_a_first_try(self) -> None:
+        # Usual are 5000 ms. With more left it counts as a retry, whose objective began with its first try.
+        for time_left, sent in ((2400, [(0, 0)]), (2600, [])):
+            self.open_with(ready(0))
+            self.take(0, cutoff=time_left, work=100)
+            self.assertEqual(self.sent, sent, f"{time_left} ms left")
+
+    def test_retry_without_a_hint_is_shed_once_its_first_try_is_older_than_half_a_second(self) -> None:
+        for age, sent in ((400, [(0, 0)]), (600, [])):
+            self.open_with(
+                ready(0), request_classes=[request_class(latency_objective=100 * MS, objective_per_work=0.0)]
+            )
+            self.take(0, cutoff=5000 - age, work=0, again=True)
+            self.assertEqual(self.sent, sent, f"first try {age} ms ago")
+
+    def test_retry_without_a_hint_is_not_shed_for_its_age_within_the_latency_objective(self) -> None:
+        for age, sent in ((900, [(0, 0)]), (1100, [])):
+            self.open_with(
+                ready(0), request_classes=[request_class(latency_objective=1000 * MS, objective_per_work=0.0)]
+            )
+            self.take(0, cutoff=5000 - age, work=0, again=True)
+            self.assertEqual(self.sent, sent, f"first try {age} ms ago")
+
+
 class QueueRules(RuleScene):
     def open_stuck(self, stuck: int) -> None:
         """Queues so many requests bound to a zone without backends, then one that may go anywhere."""
--- a/tests/routing/test_rules_ejection.py
+++ b/tests/routing/test_rules_ejection.py
@@ -11,7 +11,7 @@
 
 
 class EjectionRules(RuleScene):
-    def test_backend_that_keeps_failing_gets_a_trial_after_the_longest_ejection_and_its_jitter(self) -> None:
+    def test_ejection_of_a_backend_that_keeps_failing_doubles_up_to_the_longest(self) -> None:
         self.open_with(*[ready(backend) for backend in range(3)])
         trials: list[int] = []
         for step in range(80_000 // STEP):
@@ -26,5 +26,7 @@
             self.sent.clear()
             self.elapse(STEP)
         pauses = [later - earlier for earlier, later in pairwise(trials)]
-        self.assertGreaterEqual(max(pauses), LONGEST)
+        for pause, ejection in zip(pauses, (1000, 2000, 4000, 8000), strict=False):
+            self.assertGreaterEqual(pause, ejection)
+            self.assertLessEqual(pause, ejection * (1 + JITTER) + STEP)
         self.assertLessEqual(max(pauses), LONGEST * (1 + JITTER) + STEP)
--- a/tests/routing/test_rules_hedging.py
+++ b/tests/routing/test_rules_hedging.py
@@ -1,6 +1,6 @@
 """When a request in flight is sent a second time, how often, and which backends are taken to hang."""
 
-from crankfold.routing.interface import Outcome
+from crankfold.routing.interface import Endpoint, EndpointState, Outcome
 from tests.routing.rule_scene import RuleScene, ready, request_class
 
 WORK = 400  # ms
@@ -60,6 +60,30 @@
         self.assertEqual(len(self.backends_of(0)), 2)
 
 
+class HedgeTimeRules(RuleScene):
+    def test_hedge_is_sent_only_while_half_of_the_work_can_be_done_in_time(self) -> None:
+        # On time within 4300 ms, half of the work takes 1000 ms.
+        for place_at, attempts in ((2900, 2), (3500, 1)):
+            self.open_with(ready(0))
+            self.send(0, work=2000)
+            self.elapse(place_at)
+            self.change(ready(1))
+            self.report(1, 4.0)
+            self.elapse(1000)
+            self.assertEqual(len(self.backends_of(0)), attempts, f"a place {place_at} ms after the send")
+
+    def test_in_a_small_subset_a_hedge_waits_for_a_third_of_the_spare_time(self) -> None:
+        fleet = [
+            Endpoint(backend, EndpointState.READY, 1.0, 0, 0, 0, 0, backend / 40) for backend in range(40)
+        ]
+        self.open_with(*fleet, instance_count=60)
+        self.send(0, work=5700, cutoff=15_000)  # on time within 11700 ms: 6000 ms to spare
+        self.elapse(1900)
+        self.assertEqual(len(self.backends_of(0)), 1)
+        self.elapse(200)
+        self.assertEqual(len(self.backends_of(0)), 2)
+
+
 class SilentBackendRules(RuleScene):
     def open_silent(self) -> int:
         """Sends a request after the last sign of life of the three backends; gives its backend."""
--- a/tests/routing/test_rules_retries.py
+++ b/tests/routing/test_rules_retries.py
@@ -4,6 +4,7 @@
 
 from crankfold.routing.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 from tests.routing.rule_scene import RuleScene, ready
+from tests.scene import ORDERS
 
 
 class DeduplicationScopeRules(RuleScene):
@@ -65,3 +66,20 @@
             self.elapse(sent_ago)
             self.finish(0, Outcome.ERROR, last=False)
             self.assertEqual(len(self.backends_of(0)), attempts, f"{sent_ago} ms after the send")
+
+
+class MaxAttemptsRules(RuleScene):
+    def attempts_after_change(self, before: int, after: int) -> int:
+        """Attempts of a request that always fails, if the settings change after the first is sent."""
+        self.open_with(*[ready(backend) for backend in range(9)], max_attempts=before)
+        self.send(0)
+        self.told.config_changed(self.now, replace(ORDERS, max_attempts=after))
+        while 0 not in self.shed_requests:
+            self.finish(0, Outcome.ERROR, last=False)
+        return len(self.sent)
+
+    def test_lower_number_of_attempts_holds_for_requests_in_hand(self) -> None:
+        self.assertEqual(self.attempts_after_change(4, 2), 2)
+
+    def test_request_in_hand_keeps_its_number_of_attempts_when_more_are_allowed(self) -> None:
+        self.assertEqual(self.attempts_after_change(2, 4), 2)
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -1,7 +1,8 @@
 """Which backends have room, which are left out for a long queue, and when a warming one goes first."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
-from tests.routing.rule_scene import RuleScene, ready
+from tests.routing.rule_scene import RuleScene, ready, request_class
+from tests.scene import MS
 
 
 class RoomRules(RuleScene):
@@ -61,3 +62,18 @@
     def test_backend_in_slow_start_does_not_go_first_while_running_times_are_unknown(self) -> None:
         self.open_warming(runs_known=False)
         self.assertNotEqual(self.send(0, work=50), 2)
+
+
+class SlowStartBurdenRules(RuleScene):
+    def test_request_without_a_hint_counts_twice_its_typical_work_in_slow_start(self) -> None:
+        # A second of the budget just after the start is 300 ms of work; a class's is a tenth of its deadline.
+        for typical, sent in ((100, [(0, 0)]), (200, [])):
+            self.open_with(
+                Endpoint(0, EndpointState.READY, 1.0, 0, 0, 100_000),
+                free=0,
+                instance_count=1,
+                request_classes=[request_class(deadline=10 * typical * MS, latency_objective=2000 * MS)],
+            )
+            self.take(0, work=0)
+            self.elapse(700)
+            self.assertEqual(self.sent, sent, f"typically {typical} ms")
