--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -2,9 +2,13 @@
 
 from operator import itemgetter
 
+from crankfold.routing.concurrency_limit import ConcurrencyLimit
 from crankfold.routing.interface import REFRESH_TIMER, SECOND, DeduplicationScope, Idempotency, RequestArrival
 from crankfold.routing.records import PendingRequest
+from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
+from crankfold.routing.slow_start import SlowStart
+from crankfold.routing.state import RoutingState
 
 REFRESH_INTERVAL = SECOND // 4  # ticks between two refreshes
 MAX_RETRY_AFTER = SECOND  # ticks
@@ -14,11 +18,19 @@
 class Admission:
     """Owns the queue; what is owed is one final answer to each request, by its deadline."""
 
-    def __init__(self, selection: Selection) -> None:
-        self.state = selection.state
+    def __init__(
+        self,
+        state: RoutingState,
+        slow_start: SlowStart,
+        limit: ConcurrencyLimit,
+        retries: RetryPolicy,
+        selection: Selection,
+    ) -> None:
+        self.state = state
+        self.slow_start = slow_start
+        self.limit = limit
+        self.retries = retries
         self.selection = selection
-        self.limit = selection.limit
-        self.retries = selection.retries
         self.queue: dict[int, PendingRequest] = {}
         self.refresh_timer_set = False
 
@@ -105,7 +117,7 @@
 
     def drain_queue(self, now: int) -> None:
         """Sends on what the queue holds and backends have room for, the highest queue priority first."""
-        if not self.queue or (self.limit.reached() and now >= self.selection.slow_start.all_warm_from):
+        if not self.queue or (self.limit.reached() and now >= self.slow_start.all_warm_from):
             return  # nothing can be sent, so the queue need not be put in order
         misses = 0
         offered = sum(known.offered_value for known in self.state.classes)
--- /dev/null
+++ b/crankfold/routing/affinity.py
@@ -0,0 +1,46 @@
+"""Affinity: the backends that keep the data of a request's key, by rendezvous hashing."""
+
+from crankfold.routing.backend_table import Backends
+from crankfold.routing.hashing import hash_weight
+from crankfold.routing.records import PendingRequest
+from crankfold.routing.state import RoutingState
+
+PREFERRED_BACKENDS = 2  # for each key
+WAIT_SHARE = 0.4  # of the latency objective that a wait for a preferred backend may take
+
+
+class KeyAffinity:
+    """Knows which backends a key prefers; every instance derives the same order."""
+
+    def __init__(self, state: RoutingState) -> None:
+        self._state = state
+        self._order_of_key: dict[int, Backends] = {}
+
+    def endpoints_changed(self) -> None:
+        """Forgets the orders, which follow the ready backends and their weights."""
+        self._order_of_key.clear()
+
+    def preferred(self, request: PendingRequest, candidates: Backends) -> Backends:
+        """Returns the key's first backends in rendezvous order, most preferred first.
+
+        Backends where the wait would take more than `WAIT_SHARE` of the latency objective are passed over, so
+        the result may be empty.
+
+        Args:
+            request: A request with a key.
+            candidates: Backends that may take it.
+        """
+        objective = request.request_class.settings.latency_objective
+        max_filling = 1.0 + WAIT_SHARE * objective / self._state.averages.mean_run  # of the backend's slots
+        with_short_wait = {b for b in candidates if not b.capacity or b.load <= max_filling * b.capacity}
+        order = self._rendezvous_order(request.key)
+        return [b for b in order if b in with_short_wait][:PREFERRED_BACKENDS]
+
+    def _rendezvous_order(self, key: int) -> Backends:
+        """All ready backends; each is first for a share of all keys in proportion to its weight."""
+        order = self._order_of_key.get(key)
+        if order is None:
+            ready = self._state.table.ready
+            order = sorted(ready, key=lambda each: hash_weight(key, each.hash_position) / each.weight)
+            self._order_of_key[key] = order
+        return order
--- /dev/null
+++ b/crankfold/routing/attempt_sender.py
@@ -0,0 +1,52 @@
+"""Sending an attempt, and what it is charged to: backend, slow-start budget, concurrency limit, hedges."""
+
+from crankfold.routing.backend_table import Backend
+from crankfold.routing.concurrency_limit import ConcurrencyLimit
+from crankfold.routing.records import Attempt, PendingRequest
+from crankfold.routing.retries import RetryPolicy
+from crankfold.routing.slow_start import SlowStart
+from crankfold.routing.state import RoutingState
+
+UNHINTED_WORK_FACTOR = 2  # on the typical running time, as work without a hint may be far more
+
+
+def charged_work(request: PendingRequest) -> float:
+    """Returns the slot-ticks of work that an attempt of the request is charged as."""
+    return request.slots * (request.work or UNHINTED_WORK_FACTOR * request.request_class.typical_run)
+
+
+class AttemptSender:
+    """Sends attempts and charges them."""
+
+    def __init__(
+        self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit, retries: RetryPolicy
+    ) -> None:
+        self._state = state
+        self._slow_start = slow_start
+        self._limit = limit
+        self._retries = retries
+
+    def send(self, now: int, request: PendingRequest, backend: Backend) -> None:
+        """Sends the request to the backend.
+
+        Args:
+            now: Ticks.
+            request: Gets one attempt more.
+            backend: Where the attempt goes; while it warms up, its slow-start budget is charged in place of
+                the concurrency limit.
+        """
+        work = charged_work(request)
+        in_slow_start = backend.warm_from > now
+        attempt = Attempt(backend, now, slow_start=in_slow_start)
+        request.attempts.append(attempt)
+        backend.add_slots(now, request.slots)
+        if self._state.start_notifications:
+            backend.unstarted += 1
+        elif backend.load <= backend.capacity:
+            attempt.started_at = now  # a backend with a free slot starts at once
+        if in_slow_start:
+            self._slow_start.charge(now, backend, work)
+        else:
+            self._limit.in_flight += 1
+        self._state.actions.send_attempt(request.request_id, backend.index)
+        self._retries.record_send(now, request, work)
--- /dev/null
+++ b/crankfold/routing/candidates.py
@@ -0,0 +1,184 @@
+"""Candidates: the steps that narrow the ready backends down to those that are scored for a request.
+
+The steps apply in this order. Each has its own answer to the case that it would leave no backend.
+
+| step | keeps | where that leaves none |
+| --- | --- | --- |
+| `initial_pool` | the subset, or the scope that an earlier attempt binds the request to | - |
+| `not_overloaded` | backends that have not lately refused work | no candidate |
+| `within_slow_start_budget` | warm backends, and warming ones with budget saved up | no candidate |
+| `OutlierEjection.trusted` | backends that are not ejected | see there |
+| `not_overutilized` | backends whose listed load is low, where lists show it | does without the step |
+| `not_attempted` | backends that no earlier attempt went to | all again, unless an attempt is in flight |
+| (all ready backends) | where a subset leaves none, the fleet, by the steps above | no candidate |
+| `finishing_in_time` | warm backends, and warming ones fast enough | does without the step |
+| `with_capacity` | backends with free slots | `with_bounded_wait`, but not for a hedge |
+| `warming_first` | warming backends, for hinted work | does without the step |
+| `same_zone` | backends of the own zone | does without the step |
+| `KeyAffinity.preferred` | for a key, the backends that keep its data | the result of `same_zone` |
+"""
+
+from crankfold.routing.affinity import KeyAffinity
+from crankfold.routing.backend_table import Backends
+from crankfold.routing.load_reports import LoadReports
+from crankfold.routing.outlier_ejection import OutlierEjection
+from crankfold.routing.records import AttemptScope, PendingRequest
+from crankfold.routing.slow_start import SlowStart
+from crankfold.routing.subsetting import Subset
+
+SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that has room
+MAX_LOAD_RATIO = 1.3  # load over slots; a request behind more than this is late and is queued here instead
+MAX_UTILIZATION = 2.0  # requests for each core by the list from which a backend is left out
+
+
+def prefer(kept: Backends, *, otherwise: Backends) -> Backends:
+    """Returns the backends that a step keeps, or `otherwise` where it keeps none."""
+    return kept or otherwise
+
+
+def not_overloaded(now: int, pool: Backends) -> Backends:
+    """Returns the backends that have not lately refused work or been unreachable."""
+    return [b for b in pool if b.overloaded_until <= now]
+
+
+def not_overutilized(pool: Backends) -> Backends:
+    """Returns the backends that have fewer than `MAX_UTILIZATION` requests for each core by the list."""
+    return prefer([b for b in pool if b.utilization < MAX_UTILIZATION], otherwise=pool)
+
+
+def not_attempted(request: PendingRequest, pool: Backends) -> Backends:
+    """Returns the backends without an earlier attempt of the request.
+
+    Where every backend has had one, a retry may go to any of them. A hedge may not, as it would wait for the
+    backend that it hedges against.
+    """
+    if not request.attempts:
+        return pool
+    attempted = [attempt.backend for attempt in request.attempts]
+    return prefer([b for b in pool if b not in attempted], otherwise=[] if request.in_flight else pool)
+
+
+def with_capacity(request: PendingRequest, pool: Backends) -> Backends:
+    """Returns the backends with free slots for the request and no attempt that still waits for its start."""
+    slots = request.slots
+    return [b for b in pool if b.load + slots <= b.capacity + SPARE_SLOTS and not b.unstarted]
+
+
+def with_bounded_wait(request: PendingRequest, pool: Backends) -> Backends:
+    """Returns the backends with load up to `MAX_LOAD_RATIO` times their slots, or with unknown slots.
+
+    Behind more work the request would be late; in the queue here it stays free to go elsewhere.
+    """
+    slots = request.slots
+    return [b for b in pool if not b.capacity or b.load + slots <= MAX_LOAD_RATIO * b.capacity + slots]
+
+
+def warming_first(now: int, pool: Backends) -> Backends:
+    """Returns the backends that warm up, as a slow-start budget lapses unless it is used."""
+    return prefer([b for b in pool if b.warm_from > now], otherwise=pool)
+
+
+def same_zone(zone: int, pool: Backends) -> Backends:
+    """Returns the backends of the zone."""
+    return prefer([b for b in pool if b.zone == zone], otherwise=pool)
+
+
+class Candidates:
+    """Applies the steps that this module's docstring lists."""
+
+    def __init__(
+        self, subset: Subset, reports: LoadReports, ejection: OutlierEjection, affinity: KeyAffinity
+    ) -> None:
+        self._state = subset.state
+        self._subset = subset
+        self._slow_start: SlowStart = subset.slow_start
+        self._reports = reports
+        self._ejection = ejection
+        self._affinity = affinity
+
+    def eligible(
+        self, now: int, request: PendingRequest, scope: AttemptScope, work: float, *, warming_only: bool
+    ) -> Backends:
+        """Returns the backends to be scored for the request; none where it has to be queued.
+
+        Args:
+            now: Ticks.
+            request: The request to be sent.
+            scope: Where earlier attempts allow a further one.
+            work: Slot-ticks that an attempt is charged as.
+            warming_only: Whether the concurrency limit leaves only backends in slow start.
+        """
+        pool = self._available_in_scope(now, request, scope, work)
+        may_rate_warming = bool(request.work and self._state.averages.run_per_work)
+        if may_rate_warming:
+            pool = self.finishing_in_time(now, request, pool)
+        free = with_capacity(request, pool)
+        if warming_only:
+            free = self.warming_in_time(now, request, free)
+            pool = free
+        if free:
+            nearest = same_zone(self._state.zone, warming_first(now, free) if may_rate_warming else free)
+        elif request.in_flight:
+            return []  # a hedge that waits has no use
+        else:
+            pool = with_bounded_wait(request, pool)
+            nearest = pool
+        if request.key and pool:
+            return prefer(self._affinity.preferred(request, pool), otherwise=nearest)
+        return nearest
+
+    def _available_in_scope(
+        self, now: int, request: PendingRequest, scope: AttemptScope, work: float
+    ) -> Backends:
+        """The backends that may take the request, however loaded they are."""
+        usual = self.initial_pool(request)
+        pool = self._in_scope(scope, usual)
+        available = self._available(now, request, pool, work)
+        if not available and pool is usual and self._state.sparse:
+            pool = self._state.table.ready
+            available = self._available(now, request, pool, work)
+        if pool is not usual:
+            self._reports.update_scores(now, pool)  # those outside the subset are not refreshed
+        return available
+
+    def initial_pool(self, request: PendingRequest) -> Backends:
+        """Returns all ready backends for a request with a key, else the subset for its length."""
+        if request.key:
+            return self._state.table.ready
+        is_short = self._state.averages.is_short(request.expected_work)
+        return self._subset.short if is_short else self._subset.long
+
+    def _in_scope(self, scope: AttemptScope, usual: Backends) -> Backends:
+        if scope.zone >= 0:
+            return [b for b in self._state.table.ready if b.zone == scope.zone]
+        if scope.cell >= 0:
+            return [b for b in self._state.table.ready if b.cell == scope.cell]
+        return usual
+
+    def _available(self, now: int, request: PendingRequest, pool: Backends, work: float) -> Backends:
+        pool = not_overloaded(now, pool)
+        pool = self.within_slow_start_budget(now, pool, work)
+        pool = self._ejection.trusted(now, pool)
+        if self._state.weights_follow_load and (self._state.sparse or request.key):
+            pool = not_overutilized(pool)
+        return not_attempted(request, pool)
+
+    def within_slow_start_budget(self, now: int, pool: Backends, work: float) -> Backends:
+        """Returns the backends that are warm, and those whose budget has `work` slot-ticks saved up."""
+        if now >= self._slow_start.all_warm_from:
+            return pool
+        admits = self._slow_start.admits
+        return [b for b in pool if b.warm_from <= now or admits(now, b, work)]
+
+    def finishing_in_time(self, now: int, request: PendingRequest, pool: Backends) -> Backends:
+        """Returns the backends that are warm, and warming ones that meet the request's latency objective."""
+        if now >= self._slow_start.all_warm_from:
+            return pool
+        ends_in_time = self._slow_start.ends_in_time
+        in_time = [b for b in pool if b.warm_from <= now or ends_in_time(now, request, b)]
+        return prefer(in_time, otherwise=pool)
+
+    def warming_in_time(self, now: int, request: PendingRequest, pool: Backends) -> Backends:
+        """Returns the warming backends alone that meet the request's latency objective."""
+        ends_in_time = self._slow_start.ends_in_time
+        return [b for b in pool if b.warm_from > now and ends_in_time(now, request, b)]
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -8,6 +8,9 @@
 from collections.abc import Collection, Sequence
 
 from crankfold.routing.admission import REFRESH_INTERVAL, Admission
+from crankfold.routing.affinity import KeyAffinity
+from crankfold.routing.attempt_sender import AttemptSender
+from crankfold.routing.candidates import Candidates
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
 from crankfold.routing.discovery_polling import DiscoveryPolling
 from crankfold.routing.interface import (
@@ -46,8 +49,11 @@
         self.subset = Subset(state, self.slow_start, self.limit)
         self.ejection = OutlierEjection(state)
         self.retries = RetryPolicy(state, self.ejection)
-        self.selection = Selection(self.subset, self.reports, self.retries)
-        self.admission = Admission(self.selection)
+        self.affinity = KeyAffinity(state)
+        candidates = Candidates(self.subset, self.reports, self.ejection, self.affinity)
+        sender = AttemptSender(state, self.slow_start, self.limit, self.retries)
+        self.selection = Selection(state, self.slow_start, self.retries, candidates, sender)
+        self.admission = Admission(state, self.slow_start, self.limit, self.retries, self.selection)
         self.refreshed_at = -1  # -1 for never
         self.clock_margin = state.clock_margin  # ticks by which timers may be late, both ways
         self.weights_follow_load = state.weights_follow_load
@@ -65,7 +71,7 @@
         """Takes a list of endpoints: all there are, or those that have changed."""
         self.polling.succeeded()
         self.membership.update(now, endpoints, snapshot=snapshot)
-        self.selection.order_of_key.clear()
+        self.affinity.endpoints_changed()
         self.subset.endpoints_changed()
         self._refresh(now)
         self.admission.drain_queue(now)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -355,7 +355,9 @@
         routing = self.application.request_handler.routing
         with (
             patch.object(pool, "_connect", late),
-            patch.object(routing.selection, "_healthy", lambda *_: routing.state.table.backends[:1]),
+            patch.object(
+                routing.selection.candidates, "_available", lambda *_: routing.state.table.backends[:1]
+            ),
             patch("crankfold.service.requests.table.Attempt.was_sent", lambda _trip: False),
         ):
             answer = await self.send_request("u1")
