--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -3,7 +3,10 @@
 from operator import itemgetter
 
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
-from crankfold.routing.interface import REFRESH_TIMER, SECOND, DeduplicationScope, Idempotency, RequestArrival
+from crankfold.routing.final_answer import FinalAnswer, final_answer
+from crankfold.routing.hedging import HedgingPolicy
+from crankfold.routing.interface import REFRESH_TIMER, SECOND, RequestArrival
+from crankfold.routing.outlier_ejection import HangDetection
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
@@ -24,12 +27,16 @@
         slow_start: SlowStart,
         limit: ConcurrencyLimit,
         retries: RetryPolicy,
+        hedging: HedgingPolicy,
+        hangs: HangDetection,
         selection: Selection,
     ) -> None:
         self.state = state
         self.slow_start = slow_start
         self.limit = limit
         self.retries = retries
+        self.hedging = hedging
+        self.hangs = hangs
         self.selection = selection
         self.queue: dict[int, PendingRequest] = {}
         self.refresh_timer_set = False
@@ -52,11 +59,9 @@
 
     def answer(self, request: PendingRequest) -> None:
         """Gives the final answer: shed where a retry is harmless, otherwise failed."""
+        may_have_executed = any(attempt.may_have_executed for attempt in request.attempts)
         settings = request.request_class.settings
-        executed = any(attempt.may_have_executed for attempt in request.attempts)
-        global_key = settings.deduplication_scope == DeduplicationScope.GLOBAL
-        keyed = settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
-        if not executed or (keyed and global_key) or settings.idempotency == Idempotency.IDEMPOTENT:
+        if final_answer(settings, may_have_executed=may_have_executed) is FinalAnswer.SHED:
             retry_after = min(self.state.config.max_retry_after, MAX_RETRY_AFTER)
             self.state.actions.shed(request.request_id, retry_after)
         else:
@@ -103,10 +108,15 @@
             self.answer(request)
         elif queued:
             self.state.set_request_timer(now, request, self.latest_useful_start(request))
-        elif self.retries.hedge_due(now, request) and self.selection.try_send(now, request):
-            self.retries.charge_hedge(request)
         else:
-            self.retries.reschedule(now, request)
+            self.hangs.eject_unresponsive_backends(now, request)
+            self._hedge_if_due(now, request)
+
+    def _hedge_if_due(self, now: int, request: PendingRequest) -> None:
+        if self.hedging.hedge_due(now, request) and self.selection.try_send(now, request):
+            self.hedging.charge(request)
+        else:
+            self.hedging.postpone(now, request)
 
     def drain_queue_on_timer(self, now: int) -> None:
         """Drains the queue, and again after a refresh interval if it held anything."""
--- a/crankfold/routing/attempt_sender.py
+++ b/crankfold/routing/attempt_sender.py
@@ -2,8 +2,8 @@
 
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
+from crankfold.routing.hedging import HedgingPolicy
 from crankfold.routing.records import Attempt, PendingRequest
-from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
 
@@ -19,12 +19,12 @@
     """Sends attempts and charges them."""
 
     def __init__(
-        self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit, retries: RetryPolicy
+        self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit, hedging: HedgingPolicy
     ) -> None:
         self._state = state
         self._slow_start = slow_start
         self._limit = limit
-        self._retries = retries
+        self._hedging = hedging
 
     def send(self, now: int, request: PendingRequest, backend: Backend) -> None:
         """Sends the request to the backend.
@@ -49,4 +49,4 @@
         else:
             self._limit.in_flight += 1
         self._state.actions.send_attempt(request.request_id, backend.index)
-        self._retries.record_send(now, request, work)
+        self._hedging.attempt_sent(now, request, work)
--- /dev/null
+++ b/crankfold/routing/final_answer.py
@@ -0,0 +1,30 @@
+"""The final answer of a request that ends without a response of a backend: shed or failed."""
+
+from enum import Enum
+
+from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass
+
+
+class FinalAnswer(Enum):
+    """What a client is told of a request without a result."""
+
+    SHED = "shed"  # a retry is harmless
+    FAILED = "failed"  # the request may have been executed, and a retry may execute it again
+
+
+def final_answer(settings: RequestClass, *, may_have_executed: bool) -> FinalAnswer:
+    """Returns which answer is due.
+
+    Shed promises that a retry is harmless. That holds if no attempt can have been executed, if executing the
+    request again does no harm, or if all backends know its idempotency key.
+
+    Args:
+        settings: Of the request's class.
+        may_have_executed: Whether an attempt of the request may have been executed.
+    """
+    if not may_have_executed or settings.idempotency == Idempotency.IDEMPOTENT:
+        return FinalAnswer.SHED
+    keyed = settings.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+    if keyed and settings.deduplication_scope == DeduplicationScope.GLOBAL:
+        return FinalAnswer.SHED
+    return FinalAnswer.FAILED
--- /dev/null
+++ b/crankfold/routing/hedging.py
@@ -0,0 +1,82 @@
+"""Hedging: when a request whose attempt hangs is sent to a second backend, within a budget of work."""
+
+from crankfold.routing.outlier_ejection import HangDetection
+from crankfold.routing.records import PendingRequest
+from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
+
+HEDGE_SHARE = 0.3  # of the work sent that may be sent once more
+MAX_HEDGE_BUDGET_RUNS = 5.0  # mean running times that the budget saves up
+MIN_HEDGE_DELAY_TICKS = 400
+MAX_FIRST_HEDGE_DELAY_TICKS = TICKS_PER_SECOND // 2
+FIRST_DELAY_DIVISOR = 2  # of the latency objective: the delay before the first look at an attempt
+DELAY_GROWTH_FACTOR = 2  # from one look at a request to the next
+DELAY_WAIT_RATIO = 4  # least delay, in mean waits for a start
+SPARE_TIME_DIVISOR = 3  # of the time to spare: the delay where this instance sees little of the fleet
+LATEST_START_WORK_SHARE = 0.5  # of the expected work that a hedge in time must have left
+MAX_IN_FLIGHT = 1  # attempts of a request beside which a hedge may be sent
+
+
+class HedgingPolicy:
+    """Decides when an attempt in flight is looked at, and whether a hedge is due."""
+
+    def __init__(self, state: RoutingState, hangs: HangDetection) -> None:
+        self._state = state
+        self._hangs = hangs
+        self._budget = 0.0  # slot-ticks of work
+
+    def attempt_sent(self, now: int, request: PendingRequest, work: float) -> None:
+        """Earns hedge budget, and sets the timer for the first look at the attempt.
+
+        Args:
+            now: Ticks.
+            request: The request of the attempt.
+            work: Slot-ticks that the attempt was charged as.
+        """
+        self._earn(work)
+        request.hedge_delay = self._delay(now, request)
+        self._state.set_request_timer(now, request, now + request.hedge_delay)
+
+    def hedge_due(self, now: int, request: PendingRequest) -> bool:
+        """Whether the one attempt in flight hangs and a hedge is useful and within the budget.
+
+        Args:
+            now: Ticks.
+            request: With an attempt in flight.
+        """
+        in_flight = [attempt for attempt in request.attempts if attempt.in_flight]
+        return (
+            len(in_flight) <= MAX_IN_FLIGHT
+            and self._budget > 0
+            and self._is_useful(now, request)
+            and all(self._hangs.is_hanging(now, attempt) for attempt in in_flight)
+        )
+
+    def charge(self, request: PendingRequest) -> None:
+        """Takes a hedge that was sent from the budget."""
+        self._budget -= request.slots * request.expected_work
+
+    def postpone(self, now: int, request: PendingRequest) -> None:
+        """Sets the timer for the next look at the attempts of the request."""
+        request.hedge_delay = max(request.hedge_delay, self._hangs.max_progress_gap)
+        self._state.set_request_timer(now, request, now + request.hedge_delay)
+
+    def _earn(self, work: float) -> None:
+        earned = HEDGE_SHARE * self._state.config.hedging_allowed * work
+        max_budget = MAX_HEDGE_BUDGET_RUNS * self._state.averages.mean_run
+        self._budget = min(self._budget + earned, max_budget)
+
+    def _delay(self, now: int, request: PendingRequest) -> int:
+        """Ticks until a silent attempt is looked at."""
+        if self._state.sparse:
+            spare = request.objective_at - now - request.expected_work
+            return max(int(spare / SPARE_TIME_DIVISOR), MIN_HEDGE_DELAY_TICKS)
+        part_of_objective = request.request_class.settings.latency_objective // FIRST_DELAY_DIVISOR
+        first = min(max(part_of_objective, MIN_HEDGE_DELAY_TICKS), MAX_FIRST_HEDGE_DELAY_TICKS)
+        usual_wait = int(DELAY_WAIT_RATIO * self._state.averages.mean_wait)
+        return max(request.hedge_delay * DELAY_GROWTH_FACTOR, first, usual_wait)
+
+    def _is_useful(self, now: int, request: PendingRequest) -> bool:
+        """Whether the response to a hedge could be in time, or has a value when late."""
+        in_time = now + LATEST_START_WORK_SHARE * request.expected_work <= request.objective_at
+        return in_time or request.request_class.settings.late_value != 0
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -1,55 +1,137 @@
-"""Outlier ejection: which backends are left out for a while because of errors or silence."""
+"""Outlier ejection: which backends get no attempts for a while, because of errors or because they hang."""
 
-from crankfold.routing.backend_table import Backend
-from crankfold.routing.interface import SECOND, Outcome
+from crankfold.routing.backend_table import Backend, Backends
+from crankfold.routing.interface import Outcome
+from crankfold.routing.records import Attempt, PendingRequest
 from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
 
-MIN_EJECTION = SECOND  # ticks; doubled with each ejection that follows without a success between
-MAX_EJECTION = 8 * SECOND  # ticks
-OVERLOADED_REST = SECOND // 4  # ticks without attempts after a backend refused one as overloaded
-UNREACHABLE_REST = SECOND  # ticks
-ERROR_BLEND = 0.3  # share of each outcome in the error rate
+MIN_EJECTION_TICKS = TICKS_PER_SECOND
+MAX_EJECTION_TICKS = 8 * TICKS_PER_SECOND
+EJECTION_GROWTH_FACTOR = 2  # with each ejection that follows another without a completed attempt between
+EJECTION_JITTER_DIVISOR = 4  # of the ejection time: the longest jitter, so that instances return apart
+OVERLOADED_REST_TICKS = TICKS_PER_SECOND // 4  # without attempts after a backend refused one as overloaded
+UNREACHABLE_REST_TICKS = TICKS_PER_SECOND
+ERROR_WEIGHT = 0.3  # of the latest outcome in the error rate
 MAX_ERROR_RATE = 0.45  # above it a backend is ejected
 FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN, Outcome.UNREACHABLE)
+MIN_TRUSTED_DIVISOR = 3  # of the backends: at or under this part, ejection is disregarded
+MIN_COMPARABLE_BACKENDS = 3  # under it a bare majority of ejected backends is no sign of a common cause
+
+MAX_SILENCE_TICKS = TICKS_PER_SECOND  # without a sign of life after an attempt was sent; then it is ejected
+HANG_TICKS = TICKS_PER_SECOND // 2  # without a sign of life, after which an attempt hangs
+SPARSE_HANG_TICKS = TICKS_PER_SECOND  # the same, where few responses of a backend come here
+MAX_PROGRESS_GAP_INTERVALS = 2.5  # progress intervals without progress, after which an attempt hangs
 
 
 class OutlierEjection:
     """Judges backends by the outcomes of attempts."""
 
     def __init__(self, state: RoutingState) -> None:
-        self.state = state
+        self._state = state
 
     def eject(self, now: int, backend: Backend) -> None:
-        """Leaves a backend out, longer each time, with jitter so that not all instances return at once."""
-        backend.ejection_time = min(max(2 * backend.ejection_time, MIN_EJECTION), MAX_EJECTION)
-        jitter = self.state.random.below(backend.ejection_time // 4)
+        """Ejects a backend, each time for longer until an attempt there is completed.
+
+        Args:
+            now: Ticks.
+            backend: The backend to be ejected.
+        """
+        longer = EJECTION_GROWTH_FACTOR * backend.ejection_time
+        backend.ejection_time = min(max(longer, MIN_EJECTION_TICKS), MAX_EJECTION_TICKS)
+        jitter = self._state.random.below(backend.ejection_time // EJECTION_JITTER_DIVISOR)
         backend.ejected_until = now + backend.ejection_time + jitter
 
     def record_outcome(self, now: int, backend: Backend, outcome: Outcome) -> None:
-        """Judges a backend by how an attempt there has ended."""
+        """Updates a backend's error rate and rest by how an attempt there has ended, and may eject it.
+
+        Args:
+            now: Ticks.
+            backend: Where the attempt went.
+            outcome: How it ended.
+        """
         if outcome == Outcome.COMPLETED:
             backend.last_seen_at = now
-            backend.error_rate *= 1.0 - ERROR_BLEND
+            backend.error_rate *= 1.0 - ERROR_WEIGHT
             backend.ejection_time = 0
         elif outcome == Outcome.OVERLOADED:
-            backend.overloaded_until = now + OVERLOADED_REST
+            backend.overloaded_until = now + OVERLOADED_REST_TICKS
         elif outcome == Outcome.UNREACHABLE:
-            # Nobody there is no suspicion: with ejection distrusted, dead backends took all of the attempts.
-            backend.overloaded_until = now + UNREACHABLE_REST
+            # The rest holds even where `trusted` disregards ejection, so few attempts go to a dead backend.
+            backend.overloaded_until = now + UNREACHABLE_REST_TICKS
         if outcome in FAILURES:
-            # Quick errors keep a queue short and would draw ever more work.
-            backend.error_rate += ERROR_BLEND * (1.0 - backend.error_rate)
+            # A backend that fails fast has a short queue, and without ejection would attract more attempts.
+            backend.error_rate += ERROR_WEIGHT * (1.0 - backend.error_rate)
             at_once = outcome == Outcome.UNREACHABLE or backend.ejection_time
             if at_once or backend.error_rate > MAX_ERROR_RATE:
                 self.eject(now, backend)
 
-    def trusted(self, now: int, backends: list[Backend]) -> list[Backend]:
-        """The backends that are not ejected; all of them where the suspicion looks wrong."""
-        # Return by limited trial: one attempt at a time until one is completed.
+    def trusted(self, now: int, backends: Backends) -> Backends:
+        """Returns the backends that are not ejected, or all where too few would be left.
+
+        A backend whose ejection is over gets one attempt at a time until one is completed. Where most
+        backends are ejected, a common cause is likelier than that many faulty backends; of one or two
+        backends, an ejected one is used only if there is no other.
+
+        Args:
+            now: Ticks.
+            backends: The backends to be considered.
+        """
         trusted = [
             b for b in backends if not b.ejection_time or (now >= b.ejected_until and b.own_slots == 0)
         ]
-        # When nearly all look bad, the suspicion is more likely wrong than the fleet.
-        if 3 * len(trusted) <= len(backends):
-            return backends if len(backends) > 2 else trusted or backends
-        return trusted
+        if MIN_TRUSTED_DIVISOR * len(trusted) > len(backends):
+            return trusted
+        if len(backends) >= MIN_COMPARABLE_BACKENDS:
+            return backends
+        return trusted or backends
+
+
+class HangDetection:
+    """Tells attempts that hang, and ejects backends that take work and give no sign of life."""
+
+    def __init__(self, state: RoutingState, ejection: OutlierEjection) -> None:
+        self._state = state
+        self._ejection = ejection
+        # Ticks without progress, after which a started attempt hangs; 0 where backends notify none.
+        self.max_progress_gap = int(MAX_PROGRESS_GAP_INTERVALS * state.config.progress_interval)
+
+    def is_hanging(self, now: int, attempt: Attempt) -> bool:
+        """Whether an attempt in flight gives no sign of life for too long.
+
+        Args:
+            now: Ticks.
+            attempt: An attempt in flight.
+        """
+        if attempt.started_at >= 0:
+            return self._stands_still(now, attempt)
+        # A backend that responds to other attempts is busy, and a hedge would only add to the load.
+        heard_since = attempt.backend.last_seen_at > attempt.sent_at
+        max_wait = SPARSE_HANG_TICKS if self._state.sparse else HANG_TICKS
+        return not heard_since and now - attempt.sent_at > max_wait
+
+    def eject_unresponsive_backends(self, now: int, request: PendingRequest) -> None:
+        """Ejects the backends that give no sign of life to the request's attempts in flight.
+
+        Args:
+            now: Ticks.
+            request: The request whose attempts are looked at.
+        """
+        for attempt in request.attempts:
+            if (
+                attempt.in_flight
+                and not attempt.backend.ejection_time
+                and self._is_unresponsive(now, attempt)
+            ):
+                self._ejection.eject(now, attempt.backend)
+
+    def _is_unresponsive(self, now: int, attempt: Attempt) -> bool:
+        if attempt.started_at >= 0:
+            return self._stands_still(now, attempt)
+        heard_since = attempt.backend.last_seen_at >= attempt.sent_at
+        overdue = now - attempt.sent_at > MAX_SILENCE_TICKS
+        return self._state.start_notifications and not heard_since and overdue
+
+    def _stands_still(self, now: int, attempt: Attempt) -> bool:
+        """Whether a started attempt has made no progress for too long, where backends notify progress."""
+        return bool(self.max_progress_gap) and now - attempt.last_seen_at > self.max_progress_gap
--- a/crankfold/routing/retries.py
+++ b/crankfold/routing/retries.py
@@ -1,92 +1,67 @@
-"""Retries and hedging: whether and where a request may be attempted again, and when a hedge is due."""
+"""Retry permission: whether, and where, a request may be attempted again."""
 
-from crankfold.routing.interface import SECOND, DeduplicationScope, Idempotency
-from crankfold.routing.outlier_ejection import OutlierEjection
+from crankfold.routing.backend_table import Backend
+from crankfold.routing.interface import DeduplicationScope, Idempotency
 from crankfold.routing.records import ANYWHERE, Attempt, AttemptScope, PendingRequest
 from crankfold.routing.state import RoutingState
 
-HEDGE_SHARE = 0.3  # of the work sent that may be sent once more
-MAX_HEDGE_BUDGET = 5.0  # mean runs that the hedge budget saves up
-MIN_HEDGE_DELAY = 400  # ticks
-MAX_FIRST_HEDGE_DELAY = SECOND // 2  # ticks
-SILENCE = SECOND  # ticks without any sign of life after which a backend is taken to hang
+
+def within_deduplication_window(now: int, sent_at: int, window: int, margin: int) -> bool:
+    """Whether backends still know the idempotency key of an attempt and would not execute it twice.
+
+    Args:
+        now: Ticks.
+        sent_at: Ticks, when the earlier attempt was sent.
+        window: Ticks for which backends remember a key.
+        margin: Ticks that may pass between `now` and the arrival of another attempt at its backend.
+    """
+    return now + margin < sent_at + window
+
+
+def scope_around(scope: DeduplicationScope, backend: Backend) -> AttemptScope:
+    """Returns the backends that know the idempotency keys which the given backend has seen."""
+    if scope == DeduplicationScope.ZONE:
+        return AttemptScope(zone=backend.zone)
+    if scope == DeduplicationScope.CELL:
+        return AttemptScope(cell=backend.cell)
+    return ANYWHERE
 
 
 class RetryPolicy:
-    """Knows which further attempts are safe, and hedges attempts that do not start or stand still."""
+    """Permits further attempts of a request that would not be executed twice."""
 
-    def __init__(self, state: RoutingState, ejection: OutlierEjection) -> None:
-        self.state = state
-        self.ejection = ejection
-        self.hedge_budget = 0.0  # ticks of work
-        # Ticks without progress after which a started request stands still; 0 where progress is not told.
-        self.max_progress_gap = 5 * state.config.progress_interval // 2
+    def __init__(self, state: RoutingState) -> None:
+        self._state = state
 
     def permitted_scope(self, now: int, request: PendingRequest) -> AttemptScope | None:
-        """Where another attempt may go; None where none is allowed."""
-        if len(request.attempts) >= min(request.max_attempts, self.state.config.max_attempts):
+        """Returns where another attempt may go; None where none is permitted.
+
+        Permitted while attempts are left and each earlier attempt has certainly not been executed, is of an
+        idempotent request, or has a key that is still within its deduplication window. In the last case the
+        attempt has to stay within the deduplication scope.
+
+        Args:
+            now: Ticks.
+            request: With its attempts so far.
+        """
+        if not self._attempts_left(request):
             return None
         settings = request.request_class.settings
         scope = ANYWHERE
         for attempt in request.attempts:
             if not attempt.may_have_executed or settings.idempotency == Idempotency.IDEMPOTENT:
                 continue
-            # A second run without a key, or with one where it is not known any more.
-            forgotten = now + self.state.clock_margin >= attempt.sent_at + settings.deduplication_window
-            if settings.idempotency == Idempotency.NON_IDEMPOTENT or forgotten:
+            if settings.idempotency == Idempotency.NON_IDEMPOTENT:
                 return None
-            if settings.deduplication_scope == DeduplicationScope.ZONE:
-                scope = AttemptScope(zone=attempt.backend.zone)
-            elif settings.deduplication_scope == DeduplicationScope.CELL:
-                scope = AttemptScope(cell=attempt.backend.cell)
+            if not self._is_deduplicated(now, attempt, settings.deduplication_window):
+                return None
+            scope = scope_around(settings.deduplication_scope, attempt.backend)
         return scope
 
-    def record_send(self, now: int, request: PendingRequest, burden: float) -> None:
-        """Earns hedge budget with `burden` ticks of work sent, and sets when to look at the attempt."""
-        averages = self.state.averages
-        earned = HEDGE_SHARE * self.state.config.hedging_allowed * burden
-        self.hedge_budget = min(self.hedge_budget + earned, MAX_HEDGE_BUDGET * averages.mean_run)
-        if self.state.sparse:
-            spare = request.objective_at - now - request.expected_work
-            request.hedge_delay = max(int(spare / 3), MIN_HEDGE_DELAY)
-        else:
-            half = request.request_class.settings.latency_objective // 2
-            first = min(max(half, MIN_HEDGE_DELAY), MAX_FIRST_HEDGE_DELAY)
-            request.hedge_delay = max(request.hedge_delay * 2, first, int(4 * averages.mean_wait))
-        self.state.set_request_timer(now, request, now + request.hedge_delay)
-
-    def hedge_due(self, now: int, request: PendingRequest) -> bool:
-        """Whether the one attempt in flight hangs and a second is worth it; ejects backends that hang."""
-        hanging = True
-        for attempt in request.attempts:
-            if attempt.in_flight and not self._hangs(now, attempt):
-                hanging = False
-        in_time = now + request.expected_work / 2 <= request.objective_at
-        useful = in_time or request.request_class.settings.late_value != 0
-        single = sum(attempt.in_flight for attempt in request.attempts) < 2
-        return hanging and single and useful and self.hedge_budget > 0
-
-    def charge_hedge(self, request: PendingRequest) -> None:
-        """Takes a hedge that was sent from the budget."""
-        self.hedge_budget -= request.slots * request.expected_work
-
-    def reschedule(self, now: int, request: PendingRequest) -> None:
-        """Sets when to look at the attempts the next time."""
-        request.hedge_delay = max(request.hedge_delay, self.max_progress_gap)
-        self.state.set_request_timer(now, request, now + request.hedge_delay)
+    def _attempts_left(self, request: PendingRequest) -> bool:
+        """Whether the request has attempts left, by the settings at its arrival and by those now in force."""
+        return len(request.attempts) < min(request.max_attempts, self._state.config.max_attempts)
 
-    def _hangs(self, now: int, attempt: Attempt) -> bool:
-        backend = attempt.backend
-        if attempt.started_at < 0:
-            # Only a while without news is silence: hedges for the mere wait took slots from other requests.
-            wait = now - attempt.sent_at
-            hanging = backend.last_seen_at <= attempt.sent_at and 2 * wait > SILENCE * (1 + self.state.sparse)
-            # It takes work and answers nothing:
-            unseen = backend.last_seen_at < attempt.sent_at and wait > SILENCE
-            mute = self.state.start_notifications and unseen
-        else:
-            gap = now - attempt.last_seen_at
-            hanging = mute = bool(self.max_progress_gap) and gap > self.max_progress_gap
-        if mute and not backend.ejection_time:
-            self.ejection.eject(now, backend)
-        return hanging
+    def _is_deduplicated(self, now: int, attempt: Attempt, window: int) -> bool:
+        # The margin covers a late timer: the decision may be acted on that much later than `now`.
+        return within_deduplication_window(now, attempt.sent_at, window, self._state.clock_margin)
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -13,6 +13,7 @@
 from crankfold.routing.candidates import Candidates
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
 from crankfold.routing.discovery_polling import DiscoveryPolling
+from crankfold.routing.hedging import HedgingPolicy
 from crankfold.routing.interface import (
     FIRST_REQUEST_TIMER,
     NEVER_EXECUTED,
@@ -27,7 +28,7 @@
 )
 from crankfold.routing.load_reports import LoadReports
 from crankfold.routing.membership import Membership
-from crankfold.routing.outlier_ejection import OutlierEjection
+from crankfold.routing.outlier_ejection import HangDetection, OutlierEjection
 from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
 from crankfold.routing.slow_start import SlowStart
@@ -48,12 +49,16 @@
         self.polling = DiscoveryPolling(state)
         self.subset = Subset(state, self.slow_start, self.limit)
         self.ejection = OutlierEjection(state)
-        self.retries = RetryPolicy(state, self.ejection)
+        self.hangs = HangDetection(state, self.ejection)
+        self.retries = RetryPolicy(state)
+        self.hedging = HedgingPolicy(state, self.hangs)
         self.affinity = KeyAffinity(state)
         candidates = Candidates(self.subset, self.reports, self.ejection, self.affinity)
-        sender = AttemptSender(state, self.slow_start, self.limit, self.retries)
+        sender = AttemptSender(state, self.slow_start, self.limit, self.hedging)
         self.selection = Selection(state, self.slow_start, self.retries, candidates, sender)
-        self.admission = Admission(state, self.slow_start, self.limit, self.retries, self.selection)
+        self.admission = Admission(
+            state, self.slow_start, self.limit, self.retries, self.hedging, self.hangs, self.selection
+        )
         self.refreshed_at = -1  # -1 for never
         self.clock_margin = state.clock_margin  # ticks by which timers may be late, both ways
         self.weights_follow_load = state.weights_follow_load
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -17,6 +17,7 @@
 )
 from crankfold.protocol.load_reports import report_from_header
 from crankfold.routing.interface import NEVER_EXECUTED, AttemptEnd, EndpointState, Idempotency, Outcome
+from crankfold.routing.retries import within_deduplication_window
 from crankfold.routing.router import Router
 from crankfold.service.backends.load_report_store import LoadReportStore
 from crankfold.service.backends.registry import BackendRegistry
@@ -31,8 +32,8 @@
 }
 
 
-# Ticks by which a process may be held up between reading its clock and writing, and so miss a window.
-HOLD_UP_ALLOWANCE = 1500
+# Ticks that may pass between the check of the deduplication window and the write, where the process stalls.
+STALL_ALLOWANCE_TICKS = 1500
 
 
 class RequestOwner(Protocol):
@@ -141,15 +142,16 @@
         return allowed
 
     def _within_deduplication_window(self, request: Request, attempt: Attempt) -> bool:
-        """Whether backends still drop a repeat of all attempts that may have been executed."""
+        """Whether backends still know the keys of all attempts that may have been executed."""
         request_class = self.request_table.class_of(request)
         if request_class.idempotency != Idempotency.IDEMPOTENT_WITH_KEY:
             return True
-        latest = self.clock.now() + HOLD_UP_ALLOWANCE
+        now = self.clock.now()
+        window = request_class.deduplication_window
         return all(
             earlier is attempt
             or not earlier.may_have_run
-            or latest < earlier.created_at + request_class.deduplication_window
+            or within_deduplication_window(now, earlier.created_at, window, STALL_ALLOWANCE_TICKS)
             for earlier in request.attempts
         )
 
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -143,7 +143,10 @@
                 raise
 
     def _fail_undecided(self, request: Request) -> None:
-        """Answers a request without a decision, and tells the decisions that no answer is owed any more."""
+        """Fails a request about which routing raised, and tells routing that no answer is owed any more.
+
+        Failed, not shed: without a decision it is not known that a retry would be harmless.
+        """
         self.respond(request, Disposition.FAILED)
         try:
             self.routing.client_disconnected(self.clock.now(), request.number)
