--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -1,25 +1,68 @@
-"""Admission: a request is sent, queued, shed or failed; the queue and its order."""
-
-from operator import itemgetter
+"""Admission: whether a request is sent, queued, hedged or answered, at its arrival and at later events."""
 
+from crankfold.routing.completion import Completion
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
-from crankfold.routing.final_answer import FinalAnswer, final_answer
 from crankfold.routing.hedging import HedgingPolicy
-from crankfold.routing.interface import REFRESH_TIMER, SECOND, RequestArrival
+from crankfold.routing.interface import REFRESH_TIMER, RequestArrival, RequestClass
 from crankfold.routing.outlier_ejection import HangDetection
 from crankfold.routing.records import PendingRequest
+from crankfold.routing.request_queue import RequestQueue
 from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
+
+REFRESH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
+MAX_UNSENT_REQUESTS = 3  # queued requests without a backend, after which the rest of the queue waits on
+IMPATIENT_DEADLINE_SHARE = (
+    0.5  # of the class's deadline; a new request with less left is an impatient client's
+)
+MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
+LATEST_START_WORK_SHARE = 0.5  # of the expected work that must be left to the objective at the start
+
+
+def first_try_at(now: int, arrival: RequestArrival, settings: RequestClass) -> int:
+    """Returns when the client first sent the request; the latency objective counts from there.
+
+    A retry keeps the deadline of its first try, so the deadline shows how long ago that was. A request
+    that is not marked as a retry and has little time left is the first try of a client with a short deadline.
+
+    Args:
+        now: Ticks.
+        arrival: The request.
+        settings: Of its class.
+    """
+    time_left = arrival.deadline - now
+    is_impatient = not arrival.is_retry and time_left < IMPATIENT_DEADLINE_SHARE * settings.deadline
+    return now if is_impatient else min(arrival.deadline - settings.deadline, now)
+
+
+def latest_useful_start(request: PendingRequest) -> int:
+    """Returns the tick from which an attempt of the request would end too late for its objective."""
+    shortest_run = int(LATEST_START_WORK_SHARE * request.expected_work)
+    return min(request.objective_at - shortest_run, request.deadline)
 
-REFRESH_INTERVAL = SECOND // 4  # ticks between two refreshes
-MAX_RETRY_AFTER = SECOND  # ticks
-MAX_MISSES = 3  # queued requests that find no place before the rest of the queue waits on
+
+def is_worthless(now: int, request: PendingRequest, first_try: int) -> bool:
+    """Whether no response to a new request can still have a value.
+
+    It has none where late responses count for nothing and the latest useful start is over. That start depends
+    on the expected work, so it counts only where the work is hinted, or the first try is long ago.
+
+    Args:
+        now: Ticks.
+        request: A new request.
+        first_try: Ticks, when the client first sent it.
+    """
+    settings = request.request_class.settings
+    is_overdue = now - first_try > max(settings.latency_objective, MIN_OVERDUE_AGE_TICKS)
+    is_certain = request.work > 0 or is_overdue
+    return is_certain and settings.late_value == 0 and now >= latest_useful_start(request)
 
 
 class Admission:
-    """Owns the queue; what is owed is one final answer to each request, by its deadline."""
+    """Decides what follows for a request: each gets one final answer, by its deadline."""
 
     def __init__(
         self,
@@ -31,121 +74,111 @@
         hangs: HangDetection,
         selection: Selection,
     ) -> None:
-        self.state = state
-        self.slow_start = slow_start
-        self.limit = limit
-        self.retries = retries
-        self.hedging = hedging
-        self.hangs = hangs
-        self.selection = selection
-        self.queue: dict[int, PendingRequest] = {}
-        self.refresh_timer_set = False
+        self._state = state
+        self._slow_start = slow_start
+        self._limit = limit
+        self._retries = retries
+        self._hedging = hedging
+        self._hangs = hangs
+        self._selection = selection
+        self.queue = RequestQueue(state)
+        self.completion = Completion(state, self.queue)
+        self._refresh_timer_set = False
 
     def admit(self, now: int, arrival: RequestArrival) -> None:
-        """Sends a new request, queues it, or answers it at once where no answer can be worth anything."""
-        settings = self.state.classes[arrival.class_index].settings
-        # A client's retry keeps the deadline, and so the objective, of its first try. One with less than half
-        # of the usual time left is an impatient client's, whose frantic repeats are late.
-        impatient = not arrival.is_retry and 2 * (arrival.deadline - now) < settings.deadline
-        first_try_at = now if impatient else min(arrival.deadline - settings.deadline, now)
-        request = self.state.add_request(arrival, first_try_at)
-        old = now - first_try_at > max(settings.latency_objective, SECOND // 2)
-        proven = request.work > 0 or old  # a guess of its work is no proof
-        worthless = proven and settings.late_value == 0 and now >= self.latest_useful_start(request)
-        if now >= request.deadline or worthless:
-            self.answer(request)  # what comes too late to be worth anything takes no slot from others
-        elif not self.selection.try_send(now, request, bool(self.queue) or self.limit.reached()):
-            self.enqueue(now, request)
-
-    def answer(self, request: PendingRequest) -> None:
-        """Gives the final answer: shed where a retry is harmless, otherwise failed."""
-        may_have_executed = any(attempt.may_have_executed for attempt in request.attempts)
-        settings = request.request_class.settings
-        if final_answer(settings, may_have_executed=may_have_executed) is FinalAnswer.SHED:
-            retry_after = min(self.state.config.max_retry_after, MAX_RETRY_AFTER)
-            self.state.actions.shed(request.request_id, retry_after)
-        else:
-            self.state.actions.fail_request(request.request_id)
-        self.close(request)
-
-    def close(self, request: PendingRequest) -> None:
-        """Cancels what an answered request still has in flight, so that it takes no slot from a live one."""
-        request.answered = True
-        self.queue.pop(request.request_id, None)
-        self.state.cancel_attempts(request)
-        if not request.in_flight:
-            self.state.requests.pop(request.request_id, None)
-
-    def enqueue(self, now: int, request: PendingRequest) -> None:
-        """Holds a request back until a backend has room."""
-        self.queue[request.request_id] = request
-        if not self.refresh_timer_set:  # nothing of ours may come back that would send it on
-            self.refresh_timer_set = True
-            self.state.actions.set_timer(REFRESH_INTERVAL, REFRESH_TIMER)
-        self.state.set_request_timer(now, request, self.latest_useful_start(request))
-
-    def latest_useful_start(self, request: PendingRequest) -> int:
-        """From here an answer comes late; a queued request is then ended, not kept to its deadline."""
-        return min(request.objective_at - int(request.expected_work / 2), request.deadline)
-
-    def attempt_ended(self, now: int, request: PendingRequest, *, last: bool) -> None:
-        """Forgets or closes a request that is over, and tries one again that has nothing in flight."""
+        """Sends a new request, queues it, or answers it at once where no response can have a value.
+
+        Args:
+            now: Ticks.
+            arrival: The request.
+        """
+        settings = self._state.classes[arrival.class_index].settings
+        first_try = first_try_at(now, arrival, settings)
+        request = self._state.add_request(arrival, first_try)
+        if now >= request.deadline or is_worthless(now, request, first_try):
+            self.completion.answer(request)
+            return
+        warming_only = bool(self.queue) or self._limit.reached()  # queued requests go first
+        if not self._selection.try_send(now, request, warming_only):
+            self._enqueue(now, request)
+
+    def attempt_ended(self, now: int, request: PendingRequest, *, request_over: bool) -> None:
+        """Closes a request that is over, or retries one without an attempt in flight.
+
+        Args:
+            now: Ticks.
+            request: The request of the attempt.
+            request_over: Whether the client has its answer or waits for none.
+        """
         if request.answered:
-            if not request.in_flight:
-                self.state.requests.pop(request.request_id, None)
-        elif last:
-            self.close(request)
+            self.completion.forget_if_over(request)
+        elif request_over:
+            self.completion.close(request)
         elif not request.in_flight:
-            if now >= request.deadline or self.retries.permitted_scope(now, request) is None:
-                self.answer(request)
-            elif not self.selection.try_send(now, request):
-                self.enqueue(now, request)
+            self._retry(now, request)
+
+    def _retry(self, now: int, request: PendingRequest) -> None:
+        if now >= request.deadline or self._retries.permitted_scope(now, request) is None:
+            self.completion.answer(request)
+        elif not self._selection.try_send(now, request):
+            self._enqueue(now, request)
 
     def review(self, now: int, request: PendingRequest) -> None:
-        """On its timer ends a request whose time is over, keeps it queued, or hedges it."""
-        queued = request.request_id in self.queue
-        if now >= request.deadline or (queued and now >= self.latest_useful_start(request)):
-            self.answer(request)
+        """On the request's timer: answers it if its time is over, keeps it queued, or hedges it.
+
+        Args:
+            now: Ticks.
+            request: A request without an answer.
+        """
+        queued = request in self.queue
+        if now >= request.deadline or (queued and now >= latest_useful_start(request)):
+            self.completion.answer(request)
         elif queued:
-            self.state.set_request_timer(now, request, self.latest_useful_start(request))
+            self._state.set_request_timer(now, request, latest_useful_start(request))
         else:
-            self.hangs.eject_unresponsive_backends(now, request)
+            self._hangs.eject_unresponsive_backends(now, request)
             self._hedge_if_due(now, request)
 
     def _hedge_if_due(self, now: int, request: PendingRequest) -> None:
-        if self.hedging.hedge_due(now, request) and self.selection.try_send(now, request):
-            self.hedging.charge(request)
+        if self._hedging.hedge_due(now, request) and self._selection.try_send(now, request):
+            self._hedging.charge(request)
         else:
-            self.hedging.postpone(now, request)
+            self._hedging.postpone(now, request)
+
+    def _enqueue(self, now: int, request: PendingRequest) -> None:
+        self.queue.add(request)
+        if not self._refresh_timer_set:  # without it, only the end of an own attempt would drain the queue
+            self._set_refresh_timer()
+        self._state.set_request_timer(now, request, latest_useful_start(request))
 
     def drain_queue_on_timer(self, now: int) -> None:
-        """Drains the queue, and again after a refresh interval if it held anything."""
-        self.refresh_timer_set = bool(self.queue)
+        """Drains the queue, and sets the timer again if it held any request.
+
+        Args:
+            now: Ticks.
+        """
+        self._refresh_timer_set = bool(self.queue)
         self.drain_queue(now)
-        if self.refresh_timer_set:
-            self.state.actions.set_timer(REFRESH_INTERVAL, REFRESH_TIMER)
+        if self._refresh_timer_set:
+            self._set_refresh_timer()
 
     def drain_queue(self, now: int) -> None:
-        """Sends on what the queue holds and backends have room for, the highest queue priority first."""
-        if not self.queue or (self.limit.reached() and now >= self.slow_start.all_warm_from):
-            return  # nothing can be sent, so the queue need not be put in order
-        misses = 0
-        offered = sum(known.offered_value for known in self.state.classes)
-        ranked = [(self._queue_priority(request, offered or 1.0), request) for request in self.queue.values()]
-        for _, request in sorted(ranked, key=itemgetter(0), reverse=True):
-            if self.selection.try_send(now, request, self.limit.reached()):
-                del self.queue[request.request_id]
+        """Sends queued requests that a backend has capacity for, the highest priority first.
+
+        Args:
+            now: Ticks.
+        """
+        if not self.queue or (self._limit.reached() and now >= self._slow_start.all_warm_from):
+            return
+        unsent = 0
+        for request in self.queue.by_priority():
+            if self._selection.try_send(now, request, self._limit.reached()):
+                self.queue.discard(request)
             else:
-                misses += 1  # it may be bound to a full scope while others are free to go
-            if misses > MAX_MISSES:
+                unsent += 1  # one may be bound to a full scope while the next is free to go elsewhere
+            if unsent > MAX_UNSENT_REQUESTS:
                 return
 
-    def _queue_priority(self, request: PendingRequest, offered: float) -> tuple[float, int]:
-        """What answering a request adds to the service, for the work it takes; then the newest."""
-        config = self.state.config
-        request_class = request.request_class
-        value = request.value(by_work=config.priority_by_work)
-        gain = (1.0 - config.worst_class_weight) * value / offered
-        if request_class is self.state.classes[self.state.worst_class]:
-            gain += config.worst_class_weight * value / (request_class.offered_value or 1.0)
-        return gain / (request.slots * request.slots * request.expected_work), request.request_id
+    def _set_refresh_timer(self) -> None:
+        self._refresh_timer_set = True
+        self._state.actions.set_timer(REFRESH_INTERVAL_TICKS, REFRESH_TIMER)
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Collection, Sequence
 
-from crankfold.routing.admission import REFRESH_INTERVAL, Admission
+from crankfold.routing.admission import REFRESH_INTERVAL_TICKS, Admission
 from crankfold.routing.affinity import KeyAffinity
 from crankfold.routing.attempt_sender import AttemptSender
 from crankfold.routing.candidates import Candidates
@@ -94,12 +94,12 @@
     def client_disconnected(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
         """Nobody waits for the answer any more."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
-            self.admission.close(request)
+            self.admission.completion.close(request)
 
     def request_aborted(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
         """The process ends. What never went out is shed, so that the client knows a retry is harmless."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
-            self.admission.answer(request)
+            self.admission.completion.answer(request)
 
     def timer_fired(self, now: int, token: int) -> None:
         """A timer that was asked for has run out."""
@@ -155,7 +155,7 @@
         if end.report:
             self.reports.record(now, record, end.report)
         if request:
-            self.admission.attempt_ended(now, request, last=end.request_over)
+            self.admission.attempt_ended(now, request, request_over=end.request_over)
         self.admission.drain_queue(now)
 
     def probe_ended(self, now: int, backend: int, healthy: bool, report: Sequence[float]) -> None:
@@ -174,10 +174,10 @@
 
     def refresh_if_due(self, now: int) -> None:
         """Refreshes when there is something to decide, not by the clock: an idle instance costs nothing."""
-        if now - self.refreshed_at >= REFRESH_INTERVAL:
+        if now - self.refreshed_at >= REFRESH_INTERVAL_TICKS:
             self._refresh(now)
             if self.reports.probing:
-                self.reports.probe(now, self.subset.members, REFRESH_INTERVAL)
+                self.reports.probe(now, self.subset.members, REFRESH_INTERVAL_TICKS)
 
     def _refresh(self, now: int) -> None:
         """Now and then, off the path of single requests: the figures that age by themselves."""
