--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -6,12 +6,12 @@
 from collections.abc import Sequence
 
 from crankfold.routing.backend_table import Backend
-from crankfold.routing.interface import SECOND
 from crankfold.routing.records import Attempt, PendingRequest
+from crankfold.time_units import TICKS_PER_SECOND
 
 FADE = 0.975  # kept of what was offered and earned in each fade interval: some ten seconds are remembered
-FADE_INTERVAL = SECOND // 4  # ticks
-_MAX_FADE_TIME = 10 * SECOND  # ticks: after a longer pause no more is forgotten
+FADE_INTERVAL = TICKS_PER_SECOND // 4  # ticks
+_MAX_FADE_TIME = 10 * TICKS_PER_SECOND  # ticks: after a longer pause no more is forgotten
 _RUN_TIME_FADE = 0.85  # kept of the sums of running times with each run
 
 
@@ -30,7 +30,7 @@
         self.multi_slot_seen = False
         # Of attempts, fading:
         self.mean_wait = 0.0
-        self.mean_run = 1.0 * SECOND
+        self.mean_run = 1.0 * TICKS_PER_SECOND
         self.run_per_work = 0.0  # run time for each hinted work on a slot of weight 1; 0 while not known
         # Of the backends with a fresh report, taken anew at each refresh:
         self.mean_reported_queue = 0.0
--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -7,9 +7,10 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from crankfold.routing.interface import SECOND, Endpoint, EndpointState
+from crankfold.routing.interface import Endpoint, EndpointState
+from crankfold.time_units import TICKS_PER_SECOND
 
-REPORT_DELAY = 4 * SECOND // 10  # ticks between the taking of a load report and its arrival
+REPORT_DELAY = 4 * TICKS_PER_SECOND // 10  # ticks between the taking of a load report and its arrival
 NEVER = -(1 << 62)  # before every time that is told
 
 
--- a/crankfold/routing/discovery_polling.py
+++ b/crankfold/routing/discovery_polling.py
@@ -3,10 +3,11 @@
 Nothing is decided here about a request or a backend. Times are ticks of 0.1 ms.
 """
 
-from crankfold.routing.interface import POLL_TIMER, SECOND
+from crankfold.routing.interface import POLL_TIMER
 from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
 
-MAX_FIRST_PAUSE = 2 * SECOND  # ticks before a list is asked for again the first time
+MAX_FIRST_PAUSE = 2 * TICKS_PER_SECOND  # ticks before a list is asked for again the first time
 POLLS_PER_SECOND = 10  # that a discovery service serves, of all instances together
 MAX_DOUBLINGS = 4  # of the pause
 
@@ -23,13 +24,13 @@
         self.min_pause = max(min(within // 8, MAX_FIRST_PAUSE), 1)
         self.max_pause = min(2 * max(within, self.min_pause), config.change_notice_within // 2)
         at_most = min(within // 2, config.change_notice_within // 2)
-        self.spread = min(state.instance_count * SECOND // POLLS_PER_SECOND, at_most)
+        self.spread = min(state.instance_count * TICKS_PER_SECOND // POLLS_PER_SECOND, at_most)
 
     def start(self) -> None:
         """Asks for the first list where it has to be asked for."""
         if not self.state.config.discovery_by_poll:
             return
-        if self.spread < SECOND:
+        if self.spread < TICKS_PER_SECOND:
             self.state.actions.poll_endpoints()
         else:  # forty that start together would all be turned away
             self.state.actions.set_timer(self.state.random.below(self.spread), POLL_TIMER)
--- a/crankfold/routing/interface.py
+++ b/crankfold/routing/interface.py
@@ -9,7 +9,6 @@
 from enum import IntEnum
 from typing import Final, Protocol
 
-SECOND: Final = 10_000  # ticks
 # Tokens of timers that concern no request; a request's own is FIRST_REQUEST_TIMER + its index.
 POLL_TIMER: Final = 1
 REFRESH_TIMER: Final = 2
--- a/crankfold/routing/load_reports.py
+++ b/crankfold/routing/load_reports.py
@@ -3,14 +3,14 @@
 from collections.abc import Sequence
 
 from crankfold.routing.backend_table import Backend
-from crankfold.routing.interface import SECOND
 from crankfold.routing.report_fields import ReportFields
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
 
-REPORT_MAX_AGE = 5 * SECOND  # ticks; an older report no longer tells one backend from another
+REPORT_MAX_AGE = 5 * TICKS_PER_SECOND  # ticks; an older report no longer tells one backend from another
 REPORT_BLEND = 0.12  # how far one report moves the estimate
-PROBE_INTERVAL = 2 * SECOND  # ticks between two probes of a backend
+PROBE_INTERVAL = 2 * TICKS_PER_SECOND  # ticks between two probes of a backend
 SLOWNESS_TOLERANCE = 2.0  # times the median running time, by which types of backends differ
 
 
--- a/crankfold/routing/membership.py
+++ b/crankfold/routing/membership.py
@@ -3,13 +3,14 @@
 from collections.abc import Sequence
 
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
-from crankfold.routing.interface import SECOND, Endpoint
+from crankfold.routing.interface import Endpoint
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
+from crankfold.time_units import TICKS_PER_SECOND
 
 WAIT_SHARE = 0.4  # of the latency objective that a wait may take before the limit falls
 MIN_LIMIT = 1.0  # attempts, where the limit follows the listed weights
-ADJUST_INTERVAL = SECOND // 2  # ticks between two adjustments of the limit by listed weights
+ADJUST_INTERVAL = TICKS_PER_SECOND // 2  # ticks between two adjustments of the limit by listed weights
 
 
 class Membership:
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -23,7 +23,7 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
-from crankfold.service.maintenance.machine_inventory import TICKS_PER_SECOND
+from crankfold.time_units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
     from crankfold.service.maintenance.agent import MaintenanceAgent
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -25,13 +25,13 @@
 from crankfold.service.maintenance.commands import CommandExecutor
 from crankfold.service.maintenance.machine_inventory import (
     DISPATCHER_PREFIX,
-    TICKS_PER_SECOND,
     MachineInventory,
     dispatcher_id,
     dispatcher_machines,
 )
 from crankfold.service.maintenance.observations import MaintenanceObservations
 from crankfold.service.requests.handler import RequestHandler
+from crankfold.time_units import TICKS_PER_SECOND
 
 logger = logging.getLogger(__name__)
 
--- a/crankfold/service/maintenance/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -8,8 +8,8 @@
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.routing.interface import EndpointState
 from crankfold.service.backends.registry import BackendRecord, BackendRegistry
+from crankfold.time_units import TICKS_PER_SECOND
 
-TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
 MISSING_MACHINE_PERIOD = (
     600 * TICKS_PER_SECOND
 )  # so long a machine that is not listed any more counts as lost
--- a/crankfold/simulation/consensus/case.py
+++ b/crankfold/simulation/consensus/case.py
@@ -9,10 +9,9 @@
 from random import Random
 from typing import Any
 
-from crankfold.simulation.event_queue import TICKS_PER_SECOND
+from crankfold.time_units import MICROSECONDS_PER_TICK, TICKS_PER_SECOND
 
 REQUEST_DEADLINE = 20_000  # of the only request class
-MICROSECONDS_PER_TICK = 100  # settings have times in microseconds
 TOTAL_QUOTA = 30  # requests that all members together may have in hand
 CALM_SECONDS = 2  # without faults, at the end of a drawn case
 FAULT_DURATIONS = (20, 300, 1000, 5000, 15_000, 30_000)
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -25,7 +25,8 @@
 )
 from crankfold.simulation.consensus.invariants import ClusterInvariants
 from crankfold.simulation.consensus.process import QUOTA_KEY, IdleHost, SimulatedProcess
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
+from crankfold.time_units import TICKS_PER_SECOND
 
 __all__ = [
     "REQUEST_DEADLINE",
--- a/crankfold/simulation/consensus/invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -13,7 +13,8 @@
 from crankfold.consensus.raft_state import Role
 from crankfold.consensus.voter import Voter
 from crankfold.simulation.consensus.process import SimulatedProcess
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
+from crankfold.time_units import TICKS_PER_SECOND
 
 MAX_VIOLATIONS = 20  # that are kept
 TICKS_PER_MS = 10
--- a/crankfold/simulation/event_queue.py
+++ b/crankfold/simulation/event_queue.py
@@ -3,8 +3,6 @@
 import heapq
 from collections.abc import Callable
 
-TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
-
 
 class EventQueue:
     """A clock that jumps from one scheduled call to the next."""
--- a/crankfold/simulation/maintenance/cases.py
+++ b/crankfold/simulation/maintenance/cases.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from crankfold.simulation.consensus.cluster import ClusterCase, random_scenario
-from crankfold.simulation.event_queue import TICKS_PER_SECOND
+from crankfold.time_units import TICKS_PER_SECOND
 
 DRAWN_MACHINE_COUNT = 9
 DRAWN_ZONE_COUNT = 3
--- a/crankfold/simulation/maintenance/checker.py
+++ b/crankfold/simulation/maintenance/checker.py
@@ -11,9 +11,10 @@
 from crankfold.maintenance.specification import JobSpecification
 from crankfold.maintenance.state import TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
 from crankfold.simulation.maintenance.dispatcher import MAX_LIST_LAG_TICKS, SimulatedDispatcher
 from crankfold.simulation.maintenance.machines import INSTANCE_TYPE, SimulatedMachine, WorkRun
+from crankfold.time_units import TICKS_PER_SECOND
 
 WARM_UP_TICKS: Final = 30_000  # after a start a machine is cold for so long
 DECISION_TICKS: Final = 2000  # beyond the lists' lag, until a loss that is told of bears on what is proposed
--- a/crankfold/simulation/maintenance/study.py
+++ b/crankfold/simulation/maintenance/study.py
@@ -18,10 +18,10 @@
 from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
 from crankfold.routing.interface import EndpointState, RoutingConfig
 from crankfold.routing.router import Router
-from crankfold.simulation.event_queue import TICKS_PER_SECOND
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import START, ZONE_COUNT, Scenario
+from crankfold.time_units import TICKS_PER_SECOND
 
 FIRST_DECISION_TICKS: Final = TICKS_PER_SECOND  # after the day's begin
 DECISION_INTERVAL_TICKS: Final = 2_000
--- a/crankfold/simulation/traffic/experiment.py
+++ b/crankfold/simulation/traffic/experiment.py
@@ -13,7 +13,6 @@
 
 from crankfold import __version__
 from crankfold.errors import CrankfoldError
-from crankfold.simulation.event_queue import TICKS_PER_SECOND
 from crankfold.simulation.traffic.comparison import (
     DEFAULT_CONFIG,
     POLICIES,
@@ -25,6 +24,7 @@
 )
 from crankfold.simulation.traffic.faults import Fault, FaultKind
 from crankfold.simulation.traffic.scenario import ZONE_COUNT, Scenario
+from crankfold.time_units import TICKS_PER_SECOND
 
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
 Count = Annotated[int, Meta(ge=1, le=2000)]
--- a/crankfold/simulation/traffic/fault_script.py
+++ b/crankfold/simulation/traffic/fault_script.py
@@ -6,11 +6,12 @@
 from typing import Protocol
 
 from crankfold.routing.interface import EndpointState
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
 from crankfold.simulation.traffic.backend import SimulatedBackend
 from crankfold.simulation.traffic.dispatcher import SimulatedDispatcher
 from crankfold.simulation.traffic.faults import Fault, FaultKind, affected_indices
 from crankfold.simulation.traffic.scenario import START, Scenario, zone_of
+from crankfold.time_units import TICKS_PER_SECOND
 
 DRAIN_TIME = TICKS_PER_SECOND  # that a released backend drains, in ticks
 RESTART_TIME = TICKS_PER_SECOND // 2  # until it is back
--- a/crankfold/simulation/traffic/fleet.py
+++ b/crankfold/simulation/traffic/fleet.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from crankfold.routing.interface import EndpointState, RoutingConfig
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
 from crankfold.simulation.traffic.backend import SimulatedBackend
 from crankfold.simulation.traffic.dispatcher import ONLY_CLASS, SimulatedDispatcher
 from crankfold.simulation.traffic.fault_script import FaultScript, FleetConditions
@@ -16,6 +16,7 @@
     PolicyFactory,
     Scenario,
 )
+from crankfold.time_units import TICKS_PER_SECOND
 
 FAILOVER_DELAY = TICKS_PER_SECOND // 2  # until clients go round a dead dispatcher
 DEFAULT_DRAIN_GRACE = 3_000  # ticks
--- a/crankfold/simulation/traffic/scenario.py
+++ b/crankfold/simulation/traffic/scenario.py
@@ -4,9 +4,10 @@
 from dataclasses import dataclass
 
 from crankfold.routing.interface import RoutingActions, RoutingConfig, RoutingEvents
-from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
+from crankfold.simulation.event_queue import EventQueue
 from crankfold.simulation.traffic.faults import Fault
 from crankfold.simulation.traffic.invariants import InvariantChecker
+from crankfold.time_units import TICKS_PER_SECOND
 
 START = TICKS_PER_SECOND  # the time when the day begins: 0 stands for long ago
 ZONE_COUNT = 3
--- a/crankfold/simulator_adapter/codec.py
+++ b/crankfold/simulator_adapter/codec.py
@@ -12,8 +12,8 @@
 
 from crankfold.errors import CrankfoldError
 from crankfold.routing.interface import AttemptEnd, EndpointState, Outcome, RequestArrival
+from crankfold.time_units import MICROSECONDS_PER_TICK
 
-MICROSECONDS_PER_TICK: Final = 100
 MAX_FAULT_TEXT: Final = 4000  # bytes
 
 _LENGTH = Struct("<I")  # of a frame, itself included
--- a/crankfold/simulator_adapter/instance.py
+++ b/crankfold/simulator_adapter/instance.py
@@ -11,7 +11,6 @@
 from crankfold.routing.router import Router
 from crankfold.simulator_adapter.codec import (
     MAX_FAULT_TEXT,
-    MICROSECONDS_PER_TICK,
     ActionCode,
     AttemptRecord,
     EventCode,
@@ -19,6 +18,7 @@
     FrameReader,
     ListEntry,
 )
+from crankfold.time_units import MICROSECONDS_PER_TICK
 
 _SEND_ATTEMPT = Struct("<HIi6s")
 _SHED = Struct("<HII")
--- a/crankfold/time_units.py
+++ b/crankfold/time_units.py
@@ -1,4 +1,8 @@
-"""Units of time. The program counts time in ticks, which are whole tenths of a millisecond."""
+"""Units of time for the whole program.
+
+Times and durations are whole ticks of 0.1 ms on a clock that never goes back, unless a name or docstring says
+otherwise; settings and the simulator's wire count microseconds.
+"""
 
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MILLISECOND = 10
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,9 +23,10 @@
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.backend_connection import BackendConnection
-from crankfold.routing.interface import POLL_TIMER, SECOND, Idempotency
+from crankfold.routing.interface import POLL_TIMER, Idempotency
 from crankfold.service.application import Application
 from crankfold.service.requests.classes import RequestClassTable
+from crankfold.time_units import TICKS_PER_SECOND
 from tests.loopback import NEVER_RAN, OK, UNIT, DispatcherTestCase, Handler, Loopback, accepting
 from tests.scene import GRADE, ORDERS, Scene, read_request
 
@@ -568,6 +569,6 @@
     def test_defaults_of_timeouts_allow_a_lost_packet_and_a_backend_that_closes_early(self) -> None:
         rules = read_service_config({})
         self.assertGreater(
-            rules.connect_timeout, SECOND
+            rules.connect_timeout, TICKS_PER_SECOND
         )  # a first packet that is lost is sent again after it
-        self.assertLess(rules.idle_timeout, 5 * SECOND)
+        self.assertLess(rules.idle_timeout, 5 * TICKS_PER_SECOND)
