--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -7,9 +7,13 @@
 
 from collections.abc import Collection, Sequence
 
-from crankfold.routing.admission import REFRESH_INTERVAL, Admission
+from crankfold.routing.admission import REFRESH_INTERVAL_TICKS, Admission
+from crankfold.routing.affinity import KeyAffinity
+from crankfold.routing.attempt_sender import AttemptSender
+from crankfold.routing.candidates import Candidates
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
 from crankfold.routing.discovery_polling import DiscoveryPolling
+from crankfold.routing.hedging import HedgingPolicy
 from crankfold.routing.interface import (
     FIRST_REQUEST_TIMER,
     NEVER_EXECUTED,
@@ -24,7 +28,7 @@
 )
 from crankfold.routing.load_reports import LoadReports
 from crankfold.routing.membership import Membership
-from crankfold.routing.outlier_ejection import OutlierEjection
+from crankfold.routing.outlier_ejection import HangDetection, OutlierEjection
 from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
 from crankfold.routing.slow_start import SlowStart
@@ -45,9 +49,16 @@
         self.polling = DiscoveryPolling(state)
         self.subset = Subset(state, self.slow_start, self.limit)
         self.ejection = OutlierEjection(state)
-        self.retries = RetryPolicy(state, self.ejection)
-        self.selection = Selection(self.subset, self.reports, self.retries)
-        self.admission = Admission(self.selection)
+        self.hangs = HangDetection(state, self.ejection)
+        self.retries = RetryPolicy(state)
+        self.hedging = HedgingPolicy(state, self.hangs)
+        self.affinity = KeyAffinity(state)
+        candidates = Candidates(self.subset, self.reports, self.ejection, self.affinity)
+        sender = AttemptSender(state, self.slow_start, self.limit, self.hedging)
+        self.selection = Selection(state, self.slow_start, self.retries, candidates, sender)
+        self.admission = Admission(
+            state, self.slow_start, self.limit, self.retries, self.hedging, self.hangs, self.selection
+        )
         self.refreshed_at = -1  # -1 for never
         self.clock_margin = state.clock_margin  # ticks by which timers may be late, both ways
         self.weights_follow_load = state.weights_follow_load
@@ -65,7 +76,7 @@
         """Takes a list of endpoints: all there are, or those that have changed."""
         self.polling.succeeded()
         self.membership.update(now, endpoints, snapshot=snapshot)
-        self.selection.order_of_key.clear()
+        self.affinity.endpoints_changed()
         self.subset.endpoints_changed()
         self._refresh(now)
         self.admission.drain_queue(now)
@@ -83,12 +94,12 @@
     def client_disconnected(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
         """Nobody waits for the answer any more."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
-            self.admission.close(request)
+            self.admission.completion.close(request)
 
     def request_aborted(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
         """The process ends. What never went out is shed, so that the client knows a retry is harmless."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
-            self.admission.answer(request)
+            self.admission.completion.answer(request)
 
     def timer_fired(self, now: int, token: int) -> None:
         """A timer that was asked for has run out."""
@@ -144,7 +155,7 @@
         if end.report:
             self.reports.record(now, record, end.report)
         if request:
-            self.admission.attempt_ended(now, request, last=end.request_over)
+            self.admission.attempt_ended(now, request, request_over=end.request_over)
         self.admission.drain_queue(now)
 
     def probe_ended(self, now: int, backend: int, healthy: bool, report: Sequence[float]) -> None:
@@ -163,10 +174,10 @@
 
     def refresh_if_due(self, now: int) -> None:
         """Refreshes when there is something to decide, not by the clock: an idle instance costs nothing."""
-        if now - self.refreshed_at >= REFRESH_INTERVAL:
+        if now - self.refreshed_at >= REFRESH_INTERVAL_TICKS:
             self._refresh(now)
             if self.reports.probing:
-                self.reports.probe(now, self.subset.members, REFRESH_INTERVAL)
+                self.reports.probe(now, self.subset.members, REFRESH_INTERVAL_TICKS)
 
     def _refresh(self, now: int) -> None:
         """Now and then, off the path of single requests: the figures that age by themselves."""
