--- a/crankfold/service/__init__.py
+++ b/crankfold/service/__init__.py
@@ -1,1 +1,1 @@
-"""The whole dispatcher: decisions, protocol and network put together, from start to drain."""
+"""A dispatcher process: builds routing, protocol and network parts, starts them and shuts them down."""
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sends requests to backends, cancels them, and tells the decisions how each one ends."""
+"""Attempts: sends requests to backends, cancels attempts, and reports to the router how each one ends."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -31,38 +31,38 @@
 }
 
 
-# Ticks by which a process may be held up between reading its clock and writing, and so miss a window.
+# Ticks. The process may be suspended for so long between reading its clock and writing to the socket.
 HOLD_UP_ALLOWANCE = 1500
 
 
 class RequestOwner(Protocol):
-    """Who answers requests and holds the router, as attempts and callbacks need it."""
+    """The request handler, as attempts and callbacks depend on it."""
 
     @property
     def routing(self) -> Router:
-        """The decisions."""
+        """The router."""
 
     def notify_routing(
         self, event: Callable[..., None], *arguments: object, request_number: int = -1
     ) -> None:
-        """Tells the router an event, with the present time before the arguments."""
+        """Calls a method of the router with the present time and the arguments."""
 
     def respond(self, request: Request, disposition: Disposition, body: bytes = b"") -> None:
-        """Answers an open request."""
+        """Sends the final response of an open request."""
 
 
 class Attempts:
-    """Carries out what routing decides about attempts.
+    """Sends and cancels attempts as the router decides, and reports their outcomes to it.
 
     Args:
-        owner: Answers requests and tells routing.
+        owner: Sends responses and passes events to the router.
         request_table: Holds the requests that the attempts belong to.
-        backends: Carries the attempts.
-        load_reports: Keeps the load reports that come with responses and callbacks.
-        cluster: Allows attempts, and is told of those that were abandoned.
-        clock: The present time.
-        metrics: Counts attempts and their ends.
-        cancellation_allowed: Whether backends can be told to stop executing a request.
+        backends: Holds the connections to the backends.
+        load_reports: Stores the load reports in responses and callbacks.
+        cluster: Permits attempts while its configuration is valid; records abandoned attempts.
+        clock: Gives the present time.
+        metrics: Counts attempts and their outcomes.
+        cancellation_allowed: Whether backends accept the cancellation of a request.
     """
 
     def __init__(
@@ -90,13 +90,13 @@
     # --- sending ---
 
     def send(self, request: Request, backend: int) -> None:
-        """Begins an attempt."""
+        """Starts an attempt at the backend with that index."""
         attempt = Attempt(len(request.attempts), backend, self.clock.now())
-        occupied = self._may_confuse(request, backend)
+        ambiguous = self._callback_would_be_ambiguous(request, backend)
         request.attempts.append(attempt)
         self.metrics.increment("attempts")
-        if occupied or not self._may_send(request, attempt):
-            # In the next turn, as routing is in the middle of its decision.
+        if ambiguous or not self._may_send(request, attempt):
+            # In the next iteration of the event loop: the router calls this method within its decision.
             self.call_soon(self._on_exchange_ended, request, attempt, ExchangeResult.NOT_SENT, None)
             return
         http = request.http_request
@@ -110,11 +110,13 @@
         )
         self.backends.records[backend].pool.send(attempt.exchange)
 
-    def _may_confuse(self, request: Request, backend: int) -> bool:
-        """Whether what the backend tells of a new attempt could be meant for an earlier one.
+    def _callback_would_be_ambiguous(self, request: Request, backend: int) -> bool:
+        """Whether a callback of this backend could belong to an earlier attempt of the request.
 
-        A backend gets one attempt of a request at a time, also where it did not heed a cancellation. It may
-        tell an end twice, and "never executed" of a first attempt would pass for that of a second.
+        Callbacks name the request, not the attempt, so a backend has at most one attempt of a request at a
+        time, and an attempt that was cancelled without confirmation counts. Backends may repeat callbacks. A
+        repeated "never executed" of the first attempt must not be taken for the outcome of a second one, so a
+        backend gets a request that is not idempotent only once.
         """
         never_twice = self.request_table.class_of(request).idempotency != Idempotency.IDEMPOTENT
         return any(
@@ -124,10 +126,14 @@
         )
 
     def _may_send(self, request: Request, attempt: Attempt) -> bool:
-        """Asked again once a connection is up: the request may have ended or the backend begun to drain."""
+        """Whether the attempt may be written to its connection.
+
+        Checked before a connection is requested and again once it is established: in between the request may
+        have ended, or the backend may have started to drain.
+        """
         allowed = (
             request.is_open
-            # Its end may stand behind bytes that are not read yet, of a client that floods.
+            # The close may be unread yet, behind pipelined data of the client.
             and not request.client.peer_has_closed()
             and attempt.in_flight
             and self.backends.records[attempt.backend].state == EndpointState.READY
@@ -158,7 +164,7 @@
     def _on_exchange_ended(
         self, request: Request, attempt: Attempt, result: ExchangeResult, response: BackendConnection | None
     ) -> None:
-        """The backend has accepted the request, or the attempt has ended."""
+        """Handles the end of an exchange: the backend has accepted the request, or the attempt has ended."""
         if result is not ExchangeResult.ANSWERED or response is None:
             self.end(request, attempt, _OUTCOMES_WITHOUT_RESPONSE.get(result, Outcome.RESET))
             return
@@ -166,8 +172,8 @@
         if outcome is Acceptance.ACCEPTED:
             attempt.accepted = True
         elif outcome is Acceptance.REJECTED:
-            # It is the client's answer, as a result would be. With retries, one such request had five
-            # backends ejected.
+            # A 4xx response is final: every backend would reject a retry as well. It says nothing about the
+            # health of the backend, so the router gets no error.
             if request.is_open:
                 self.owner.respond(request, Disposition.REJECTED)
             self.end(request, attempt, Outcome.CANCELLED)
@@ -178,20 +184,23 @@
     # --- cancelling ---
 
     def cancel(self, request: Request, attempt: Attempt) -> None:
-        """Nobody waits for it any more. Its end is told in the next turn of the loop."""
+        """Cancels an attempt; the router gets the outcome in the next iteration of the event loop."""
         if attempt.in_flight:
             self.metrics.increment("attempts-cancelled")
             self._withdraw(request, attempt)
             self.call_soon(self.end, request, attempt, Outcome.CANCELLED)
 
     def time_out(self, request: Request, attempt: Attempt) -> None:
-        """Its end is waited for no longer."""
+        """Ends the attempt as timed out and cancels it at the backend."""
         if attempt.in_flight:
             self._withdraw(request, attempt)
             self.end(request, attempt, Outcome.TIMED_OUT)
 
     def _withdraw(self, request: Request, attempt: Attempt) -> None:
-        """Closes the connection of an attempt that was not accepted yet; after that the backend is told."""
+        """Cancels the attempt at the backend.
+
+        Closes the connection while the backend has not accepted the request; afterwards sends a DELETE.
+        """
         if attempt.exchange is None:
             return
         attempt.may_still_run = attempt.exchange.connection is not None
@@ -207,7 +216,7 @@
     # --- the end ---
 
     def end(self, request: Request, attempt: Attempt, outcome: Outcome, report: Sequence[float] = ()) -> None:
-        """Tells routing that an attempt has ended, unless that was told before."""
+        """Ends an attempt and reports the outcome to the router; no effect on one that has ended."""
         if not attempt.in_flight:
             return
         attempt.in_flight = False
@@ -229,4 +238,4 @@
 
 
 def _ignore_response(result: ExchangeResult, response: BackendConnection | None) -> None:
-    """Whether a cancellation arrived changes nothing: the attempt has ended for its client."""
+    """Ignores the response to a cancellation: the attempt has ended already."""
--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -1,7 +1,8 @@
-"""Callbacks: what backends tell of the requests that they execute."""
+"""Callbacks: reports of backends on the requests that they execute."""
 
 import asyncio
 from collections.abc import Sequence
+from http import HTTPStatus
 
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.client_connection import ClientChannel
@@ -13,15 +14,15 @@
 
 
 class CallbackHandler:
-    """Finds the attempt that a callback speaks of, and passes on what it tells.
+    """Finds the attempt that a callback belongs to and reports its state to the router.
 
     Args:
-        owner: Answers requests and tells routing.
+        owner: Sends responses and passes events to the router.
         request_table: Holds the requests.
         attempts: Ends attempts.
-        backends: Knows backends by their ids.
-        cluster: Is told the ends of attempts that were abandoned.
-        other_processes: Are asked about requests that are not in hand here.
+        backends: Maps backend ids to indexes.
+        cluster: Records that abandoned attempts have ended.
+        other_processes: Handle callbacks for requests that are not in hand at this process.
         metrics: Counts callbacks.
     """
 
@@ -46,18 +47,18 @@
         self.call_soon = asyncio.get_running_loop().call_soon
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the request is in hand here."""
+        """Whether the request is in hand at this process."""
         return request_id in self.request_table.by_request_id
 
     def forward_unknown_callback(self, client: ClientChannel, body: bytes) -> bool:
-        """Passes on a callback for a request that is not in hand here.
+        """Forwards a callback for a request that is not in hand at this process.
 
         Returns:
-            Whether another process was asked; its answer is then the response to the callback.
+            Whether there is another process; its answer then determines the response to the callback.
         """
 
         def on_answer(handled: bool | None) -> None:
-            # It may come at once, from within the call; the response waits for the next turn.
+            # The answer may come within the call; the response is sent in the next iteration of the loop.
             self.call_soon(self._respond_to_forwarded, client, handled)
 
         return self.other_processes.forward_callback(body, on_answer)
@@ -66,12 +67,13 @@
         if not handled:
             self.metrics.increment("callbacks-unknown-request")
         if client.is_awaiting_response():
-            # A request that no process knows counts as told. Where one did not answer, the backend is to try
-            # again.
-            client.respond(503 if handled is None else 204)
+            # A callback for a request that is unknown to all processes is acknowledged: a retry would not
+            # help. If a process did not answer, the status asks the backend to retry.
+            status = HTTPStatus.SERVICE_UNAVAILABLE if handled is None else HTTPStatus.NO_CONTENT
+            client.respond(status)
 
     def execution_started(self, request_id: str, backend_id: str) -> None:
-        """The backend began to execute the request."""
+        """Handles the report that the backend has started to execute the request."""
         found = self._find_attempt(request_id, backend_id)
         if found and not found.attempt.started:
             request, attempt = found
@@ -88,9 +90,9 @@
         self,
         request_id: str,
         backend_id: str,
-        progress: float,  # noqa: ARG002 - that it gets on is all that routing needs
+        progress: float,  # noqa: ARG002 - the router does not use the share that is done
     ) -> None:
-        """The backend gets on with the request; how far does not matter."""
+        """Handles the report that the backend still executes the request."""
         found = self._find_attempt(request_id, backend_id)
         if found:
             request, attempt = found
@@ -105,14 +107,14 @@
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
     ) -> None:
-        """The backend executes the request no longer.
+        """Handles the report that the execution of the request has ended.
 
         Args:
-            request_id: The client's id.
-            backend_id: Who tells it.
-            outcome: How it ended.
-            result: The body of the client's answer, where the outcome is COMPLETED.
-            report: The load of the backend, empty where it told none.
+            request_id: The id that the client gave the request.
+            backend_id: The backend that reports.
+            outcome: How the execution ended.
+            result: The body of the response to the client, if the outcome is COMPLETED.
+            report: The load report of the backend, empty if there is none.
         """
         found = self._find_attempt(request_id, backend_id)
         if not found:
--- a/crankfold/service/requests/classes.py
+++ b/crankfold/service/requests/classes.py
@@ -1,4 +1,4 @@
-"""Request classes over changes of the configuration: a request keeps the class that it came under."""
+"""Request classes across configuration changes: a request keeps the class that it was admitted under."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,18 +6,18 @@
 
 
 class RequestClassTable:
-    """Rows of request classes, as routing knows them by index.
+    """The request classes by row; the router identifies a class by the index of its row.
 
-    A name points to its newest row; an older one stays until its last request has ended.
+    A name maps to its newest row. An older row stays until its last request has ended.
 
     Args:
         names: The names of the classes.
         classes: The classes, in the same order.
 
     Attributes:
-        open_counts: How many requests in hand came under each row.
-        reassigned: The rows that the last update gave to another class.
-        index_by_name: The row that requests of a class come under now.
+        open_counts: The number of requests in hand for each row.
+        reassigned: The rows that the last update assigned to another class.
+        index_by_name: The row for new requests, by the name of the class.
     """
 
     def __init__(self, names: Iterable[str], classes: Sequence[RequestClass]) -> None:
@@ -27,22 +27,22 @@
         self.index_by_name = {name: index for index, name in enumerate(names)}
 
     def find(self, name: str) -> int:
-        """The row of that class, -1 if there is none of that name."""
+        """Returns the row of the class of that name, -1 if there is none."""
         return self.index_by_name.get(name, -1)
 
     def request_opened(self, index: int) -> None:
-        """Counts a request under that row."""
+        """Counts one more request in hand for a row."""
         self.open_counts[index] += 1
 
     def request_closed(self, index: int) -> None:
-        """Counts a request under that row no longer."""
+        """Counts one request in hand less for a row."""
         self.open_counts[index] -= 1
 
     def update(self, names: Iterable[str], classes: Sequence[RequestClass]) -> bool:
-        """Takes over the classes of another configuration; a name that is not among them is forgotten.
+        """Replaces the classes by those of another configuration.
 
         Returns:
-            Whether any name points to another row than before.
+            Whether any name maps to another row than before.
         """
         previous = self.index_by_name
         current = dict(zip(names, classes, strict=True))
@@ -56,13 +56,13 @@
         for name, request_class in current.items():
             if name not in self.index_by_name:
                 self.index_by_name[name] = self._assign_row(request_class, free)
-        # A class of another name with the same settings is another class: what routing learnt of one says
-        # nothing of the other.
+        # A class of another name is another class even with equal settings: the statistics of the router for
+        # one do not apply to the other.
         self.reassigned = frozenset(self.index_by_name.values()) - unchanged
         return self.index_by_name != previous
 
     def _assign_row(self, request_class: RequestClass, free: list[int]) -> int:
-        """Puts a class in the first free row, which is taken off the list, or in a new one."""
+        """Stores a class in the first free row, which it removes from `free`, or in a new row."""
         if free:
             index = free.pop(0)
             self.classes[index] = request_class
--- a/crankfold/service/requests/collaborators.py
+++ b/crankfold/service/requests/collaborators.py
@@ -1,7 +1,7 @@
-"""What the request side needs from the cluster and from other processes of the same dispatcher.
+"""The interfaces of the cluster and of the other processes of a dispatcher, as request handling uses them.
 
-A start without peers or without a handover folder uses the `No...` implementations, so nothing of the
-cluster is imported for it.
+A process without peers or without a handover directory uses the `No...` implementations, and so does not
+import the modules of the cluster and of the handover.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,11 +11,11 @@
 from crankfold.routing.interface import Outcome
 
 CallbackAnswer = Callable[[bool | None], None]
-"""Takes True once another process handled a callback, False if none knew it, None if one did not answer."""
+"""Takes True if another process handled the callback, False if none did, None if one did not answer."""
 
 
 class RecordedEvent(Enum):
-    """What is written to the record of a dispatcher with peers; the values stand in that file."""
+    """Kinds of lines in the event log of a dispatcher with peers; the values are those in the file."""
 
     REQUEST_ADMITTED = "take"
     ATTEMPT_SENT = "dispatch"
@@ -23,56 +23,56 @@
 
 
 class ClusterServices(Protocol):
-    """The cluster of dispatchers, as far as requests and attempts depend on it."""
+    """The cluster of dispatchers, as requests and attempts depend on it."""
 
     def has_valid_config(self) -> bool:
-        """Whether requests may be admitted and attempts be sent under the configuration in force."""
+        """Whether requests may be admitted and attempts may be sent under the configuration in force."""
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
-        """Counts one more request.
+        """Counts a request against the cluster-wide limits, unless one of them is used up.
 
         Returns:
-            The names of the limits that count it, for `release_quota`; None where one of them is used up.
+            The names of these limits, for `release_quota`; None if one is used up.
         """
 
     def release_quota(self, limits: Sequence[str]) -> None:
-        """Counts a request no longer."""
+        """Ends the count of a request against these limits."""
 
     def record_event(self, event: RecordedEvent, request_id: str, subject: str) -> None:
-        """Writes an event to the record, if one is kept; `subject` is a request class or a backend id."""
+        """Writes an event to the event log, if there is one; `subject` is a request class or a backend id."""
 
     def attempt_abandoned(self, backend_id: str, request_id: str) -> None:
-        """An attempt was given up, and the backend may still execute it."""
+        """Records that an attempt was abandoned; the backend may still execute it."""
 
     def attempt_finished(self, backend: int, outcome: Outcome) -> None:
-        """An attempt on the backend with that index has ended."""
+        """Records the outcome of an attempt at the backend with that index."""
 
     def abandoned_attempt_finished(self, request_id: str, backend_id: str) -> None:
-        """The backend told the end of an attempt that is not waited for."""
+        """Records that the backend confirmed the end of an abandoned attempt."""
 
 
 class OtherProcesses(Protocol):
-    """The processes of the same dispatcher that this one took over from, or that take over from it."""
+    """The predecessor and the successors of this process."""
 
     def has_successor(self) -> bool:
-        """Whether another process accepts connections in place of this one."""
+        """Whether a successor accepts the connections in place of this process."""
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the predecessor still has that request in hand."""
+        """Whether the request is in hand at the predecessor."""
 
     def forward_callback(self, body: bytes, on_answer: CallbackAnswer) -> bool:
-        """Passes on a callback for a request that is not in hand here.
+        """Forwards a callback for a request that is not in hand at this process.
 
         Returns:
-            Whether there was a process to ask; only then `on_answer` is called, maybe at once.
+            Whether there is another process. If so, `on_answer` is called, possibly before the return.
         """
 
     async def replicate_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Records a manual drain or its end, and has the other processes do it too."""
+        """Saves the manual drains and applies a drain, or its end, at the other processes."""
 
 
 class NoCluster:
-    """A dispatcher without peers: its own file is always valid, and nothing is limited or recorded."""
+    """A dispatcher without peers: its configuration is always valid; there are no quotas and no event log."""
 
     def has_valid_config(self) -> bool:
         """See `ClusterServices`."""
@@ -80,8 +80,8 @@
 
     def acquire_quota(
         self,
-        request_class: str,  # noqa: ARG002 - nothing is limited
-        tenant: str,  # noqa: ARG002 - nothing is limited
+        request_class: str,  # noqa: ARG002 - there are no quotas
+        tenant: str,  # noqa: ARG002 - there are no quotas
     ) -> Sequence[str] | None:
         """See `ClusterServices`."""
         return ()
@@ -103,20 +103,20 @@
 
 
 class NoOtherProcess:
-    """A process that nobody takes over from and that took over from nobody."""
+    """A process without predecessor and successor."""
 
     def has_successor(self) -> bool:
         """See `OtherProcesses`."""
         return False
 
-    def has_request(self, request_id: str) -> bool:  # noqa: ARG002 - nobody else has any
+    def has_request(self, request_id: str) -> bool:  # noqa: ARG002 - there is no other process
         """See `OtherProcesses`."""
         return False
 
     def forward_callback(
         self,
-        body: bytes,  # noqa: ARG002 - there is nobody to ask
-        on_answer: CallbackAnswer,  # noqa: ARG002 - there is nobody to ask
+        body: bytes,  # noqa: ARG002 - there is no other process
+        on_answer: CallbackAnswer,  # noqa: ARG002 - there is no other process
     ) -> bool:
         """See `OtherProcesses`."""
         return False
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -1,4 +1,4 @@
-"""Requests: admits what clients send, answers it, and stands between the sockets and the decisions."""
+"""Requests: admits or rejects what clients send, and connects the sockets to the router."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -25,16 +25,16 @@
 from crankfold.service.requests.table import Disposition, Request, RequestTable
 from crankfold.time_units import TICKS_PER_SECOND
 
-# Ticks that a request was under way before it was read: its deadline is that much nearer.
+# Ticks between the start of the client's timeout and the moment at which the request is read.
 TRANSIT_ALLOWANCE = 10
 
 ADMITTED_COUNTER = "requests-admitted"
 
 
 class Refusal(NamedTuple):
-    """Why a request is not admitted: the counter that counts it, and the response.
+    """The reason why a request is not admitted: its counter and its response.
 
-    Nothing was sent for it, so a retry is harmless. `retry_after` is in seconds, 0 for no advice.
+    No attempt was sent, so the client may retry. `retry_after` is in seconds, 0 for no Retry-After header.
     """
 
     counter: str
@@ -47,28 +47,28 @@
 SHUTTING_DOWN = Refusal("shed-at-shutdown", 503, closes_connection=True)
 DUPLICATE_ID = Refusal("duplicate-request-ids", 409, closes_connection=True)
 OVERLOADED = Refusal("shed-overloaded", 503)
-# Within the time of a lease some dispatcher has a valid configuration again.
+# Another dispatcher has a valid configuration at the latest when the present lease expires.
 NO_VALID_CONFIG = Refusal("shed-without-valid-config", 503, retry_after=1)
 QUOTA_USED_UP = Refusal("shed-by-quota", 503, retry_after=1)
 
 
 class RequestHandler:
-    """The request side of a dispatcher.
+    """Admits requests, passes events to the router and carries out its decisions.
 
-    Tells the decisions (`routing`) what happens, and carries out what they decide: it is the `RoutingActions`
-    of its router, the owner of attempts, and where listeners bring requests.
+    It implements `RoutingActions` for the router, `RequestOwner` for attempts and callbacks, and the request
+    interface of the listener.
 
     Args:
-        routing_config: What the decisions are configured by.
-        config: What sockets and tables are configured by.
-        seed: Of the random numbers of the decisions.
-        timers: Calls back later.
-        metrics: Counts what happens.
+        routing_config: The configuration of the router.
+        config: The configuration of connections, limits and names.
+        seed: Of the router's random numbers.
+        timers: Schedules callbacks.
+        metrics: Counts events.
         backends: The backends with their connections.
         lifecycle: Whether this process is in service.
         cluster: The cluster of dispatchers, or `NoCluster`.
         other_processes: Other processes of this dispatcher, or `NoOtherProcess`.
-        poll_endpoints: Has discovery asked for the endpoint list.
+        poll_endpoints: Starts a poll of the endpoint list.
     """
 
     def __init__(
@@ -85,7 +85,6 @@
         other_processes: OtherProcesses,
         poll_endpoints: Callable[[], None],
     ) -> None:
-        # Long, as it is the one place where the parts of the request side are made and given to each other.
         self.config = config
         self.timers = timers
         self.clock = timers.clock
@@ -95,42 +94,53 @@
         self.cluster = cluster
         self.other_processes = other_processes
         self.poll_endpoints = poll_endpoints
-        self.closed = False  # the process ends: whatever still comes is shed
+        self.closed = False  # the process ends: new requests are shed
         self.call_soon = asyncio.get_running_loop().call_soon
         self.request_classes = RequestClassTable(config.request_classes.names, routing_config.request_classes)
         self.request_table = RequestTable(self.request_classes, cluster)
         self.load_reports = LoadReportStore(timers.clock)
-        self.attempts = Attempts(
+        self.attempts = self._build_attempts(routing_config.cancellation_allowed)
+        self.callbacks = self._build_callback_handler()
+        self.probes = HealthProbes(routing_config, backends, self.load_reports, metrics, self._on_probe_ended)
+        self.routing = Router(routing_config, seed, self)
+
+    def _build_attempts(self, cancellation_allowed: bool) -> Attempts:
+        return Attempts(
             self,
             self.request_table,
-            backends,
+            self.backends,
             self.load_reports,
-            cluster=cluster,
-            clock=timers.clock,
-            metrics=metrics,
-            cancellation_allowed=routing_config.cancellation_allowed,
+            cluster=self.cluster,
+            clock=self.clock,
+            metrics=self.metrics,
+            cancellation_allowed=cancellation_allowed,
         )
-        self.callbacks = CallbackHandler(
+
+    def _build_callback_handler(self) -> CallbackHandler:
+        return CallbackHandler(
             self,
             self.request_table,
             self.attempts,
-            backends,
-            cluster=cluster,
-            other_processes=other_processes,
-            metrics=metrics,
+            self.backends,
+            cluster=self.cluster,
+            other_processes=self.other_processes,
+            metrics=self.metrics,
         )
-        self.probes = HealthProbes(routing_config, backends, self.load_reports, metrics, self._on_probe_ended)
-        self.routing = Router(routing_config, seed, self)
 
-    # --- telling the decisions ---
+    # --- events for the router ---
 
     def notify_routing(
         self, event: Callable[..., None], *arguments: object, request_number: int = -1
     ) -> None:
-        """Tells the decisions an event, with the present time before the arguments.
+        """Calls a method of the router with the present time and the arguments.
+
+        An exception in the router is recorded and fails only the request of the event. A debug build raises
+        it again.
 
-        A failure in the decisions ends here: the request that the event is about is answered, and the process
-        goes on. A debug build raises the exception once it is recorded.
+        Args:
+            event: The method.
+            *arguments: Its arguments after the time.
+            request_number: The request of the event, -1 if there is none.
         """
         try:
             event(self.clock.now(), *arguments)
@@ -143,7 +153,7 @@
                 raise
 
     def _fail_undecided(self, request: Request) -> None:
-        """Answers a request without a decision, and tells the decisions that no answer is owed any more."""
+        """Fails a request for which the router raised an exception, and removes it from the router."""
         self.respond(request, Disposition.FAILED)
         try:
             self.routing.client_disconnected(self.clock.now(), request.number)
@@ -153,7 +163,7 @@
     # --- admission ---
 
     def is_serving(self) -> bool:
-        """Whether a request would be admitted now, as far as this process is concerned."""
+        """Whether this process is in service and has a valid configuration."""
         return self.lifecycle.is_serving() and self.cluster.has_valid_config()
 
     def knows_request_class(self, name: str) -> bool:
@@ -161,7 +171,7 @@
         return self.request_classes.find(setting_text(name)) >= 0
 
     def submit(self, client: ClientChannel, request: ClientRequest) -> None:
-        """Admits a request, or answers at once why not."""
+        """Admits a request or rejects it at once."""
         refusal = self._check_admission(client, request)
         if refusal:
             self._refuse(client, refusal)
@@ -173,7 +183,7 @@
         self._admit(client, request, quota_limits)
 
     def _admit(self, client: ClientChannel, request: ClientRequest, quota_limits: Sequence[str]) -> None:
-        """Takes a request in hand, and leaves it to the decisions."""
+        """Adds a request to the table and passes it to the router."""
         self.metrics.increment(ADMITTED_COUNTER)
         self.cluster.record_event(RecordedEvent.REQUEST_ADMITTED, request.request_id, request.request_class)
         timeout = max(request.timeout - TRANSIT_ALLOWANCE, 0)
@@ -220,10 +230,10 @@
         else:
             client.respond(refusal.status)
 
-    # --- ends that come from outside ---
+    # --- disconnects, deadlines and shutdown ---
 
     def client_disconnected(self, client: ClientChannel) -> None:
-        """The client has gone; its request needs no answer."""
+        """Closes the open request of a client that has disconnected."""
         request = self.request_table.by_client.get(client)
         if request and request.is_open:
             self.request_table.close(request)
@@ -231,7 +241,7 @@
             self.request_table.discard(request)
 
     def _on_deadline(self, request: Request) -> None:
-        """The decisions answer before this; attempts still in flight are waited for no longer."""
+        """Times out attempts still in flight; aborts the request if the router has not answered it."""
         if request.is_open:
             self.metrics.increment("requests-open-at-deadline")
             self._abort(request)
@@ -239,7 +249,7 @@
             self.attempts.time_out(request, attempt)
 
     def answer_all_open(self) -> None:
-        """Answers whatever is open, and sheds whatever comes from here on: nobody will be there later."""
+        """Aborts all open requests and sheds new ones, as the process ends."""
         self.closed = True
         for request in list(self.request_table.requests.values()):
             if request.is_open:
@@ -247,19 +257,19 @@
                 self._abort(request)
 
     def _abort(self, request: Request) -> None:
-        """Has it answered now: shed where a retry is harmless, else failed, also where the decisions fail."""
+        """Makes the router answer the request now: shed if a retry is harmless, else failed."""
         self.notify_routing(self.routing.request_aborted, request.number, request_number=request.number)
         if request.is_open:
             self._fail_undecided(request)
 
     def open_request_count(self) -> int:
-        """How many clients wait for an answer."""
+        """Returns the number of requests whose clients wait for a response."""
         return sum(request.is_open for request in self.request_table.requests.values())
 
-    # --- what the decisions have done (`RoutingActions`) ---
+    # --- actions of the router (`RoutingActions`) ---
 
     def send_attempt(self, request_number: int, backend: int) -> None:
-        """Sends a request to a backend."""
+        """Starts an attempt of a request at a backend."""
         request = self.request_table.requests.get(request_number)
         if request is None:
             self.metrics.check_invariant(False, "attempt-for-known-request")
@@ -267,20 +277,20 @@
         self.attempts.send(request, backend)
 
     def cancel_attempt(self, request_number: int, attempt_number: int) -> None:
-        """Ends an attempt that nobody waits for."""
+        """Cancels an attempt whose result is no longer needed."""
         request = self.request_table.requests.get(request_number)
         if request is not None:
             self.attempts.cancel(request, request.attempts[attempt_number])
 
     def shed(self, request_number: int, retry_after: int) -> None:
-        """Answers that a retry is harmless, after `retry_after` ticks; 0 for no advice."""
+        """Sheds a request: the client may retry after `retry_after` ticks; 0 for no Retry-After header."""
         advice = f"{retry_after / TICKS_PER_SECOND:.3f}".encode()
         self._respond_to_number(
             request_number, Disposition.SHED, [(b"Retry-After", advice)] if retry_after else []
         )
 
     def fail_request(self, request_number: int) -> None:
-        """Answers that the request has failed, and may have been executed."""
+        """Responds that the request has failed and may have been executed."""
         self._respond_to_number(request_number, Disposition.FAILED)
 
     def _respond_to_number(
@@ -299,7 +309,7 @@
         body: bytes = b"",
         headers: Sequence[Header] = (),
     ) -> None:
-        """Answers an open request."""
+        """Sends the final response of an open request."""
         self.request_table.close(request)
         self.metrics.increment(disposition.counter)
         if self.clock.now() > request.deadline:
@@ -308,12 +318,12 @@
         self.call_soon(self.request_table.discard, request)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Has the decisions told when `delay` ticks have passed."""
-        # The decisions set timers while they are being made, when `self.routing` is not there yet.
+        """Schedules `RoutingEvents.timer_fired` after `delay` ticks."""
+        # A lambda, as the router sets timers in its constructor, before `self.routing` is assigned.
         self.timers.call_after(delay, lambda: self.notify_routing(self.routing.timer_fired, token))
 
     def probe(self, backend: int) -> None:
-        """Asks a backend for a sign of life and its load."""
+        """Sends a health check to a backend, which also asks for its load report."""
         self.probes.send(backend)
 
     def _on_probe_ended(self, backend: int, healthy: bool, report: Sequence[float]) -> None:
@@ -322,7 +332,7 @@
     # --- configuration and discovery ---
 
     def config_changed(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """Takes over other request classes and limits; what is known by an index keeps it."""
+        """Puts other request classes and limits in force; interned names keep their indexes."""
         for tenant in config.tenants.names:
             self.config.tenants.intern(tenant)
         running = self.config
@@ -345,10 +355,10 @@
         )
 
     def endpoints_changed(self, endpoints: Sequence[Endpoint], snapshot: bool) -> None:
-        """Takes over the endpoint list: all there are for a snapshot, else those that have changed."""
+        """Applies a snapshot or a delta of the endpoint list."""
         effective = self.backends.update_endpoints(endpoints, snapshot)
         self.notify_routing(self.routing.endpoints_changed, effective, snapshot)
 
     def discovery_failed(self) -> None:
-        """The endpoint list that the decisions asked for did not come."""
+        """Reports to the router that the poll of the endpoint list has failed."""
         self.notify_routing(self.routing.discovery_failed)
--- a/crankfold/service/requests/quotas.py
+++ b/crankfold/service/requests/quotas.py
@@ -1,21 +1,21 @@
-"""Quotas: this dispatcher's part of limits on requests in hand that bind the whole cluster."""
+"""Quotas: this dispatcher's allocation of the cluster-wide limits on requests in hand."""
 
 from collections import Counter
 from collections.abc import Sequence
 
-# Limits are named after what they count; the names stand in the cluster's documents.
+# Names of limits in the cluster's documents: all requests, or those of a request class or a tenant.
 ALL_REQUESTS = "all"
 REQUEST_CLASS_PREFIX = "grade:"
 TENANT_PREFIX = "tenant:"
 
 
 class Quotas:
-    """How many requests each limit allows here, and how many it counts.
+    """The allocation and the usage of each limit at this dispatcher.
 
     Attributes:
-        allocated: The part of each limit that is allocated to this dispatcher, by the limit's name.
-        in_use: The requests in hand that a limit counts.
-        rejected: The requests that a limit rejected since its usage was collected last.
+        allocated: Requests that each limit allows at this dispatcher, by the name of the limit.
+        in_use: Requests in hand that count against each limit.
+        rejected: Requests that each limit rejected since the last `collect_usage`.
     """
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
         self.rejected: Counter[str] = Counter()
 
     def acquire(self, request_class: str, tenant: str) -> Sequence[str] | None:
-        """Counts one more request.
+        """Counts a request against its limits, unless one of them is used up.
 
         Returns:
-            The names of the limits that count it, for `release`; None where one of them is used up.
+            The names of these limits, for `release`; None if one is used up.
         """
         names = (ALL_REQUESTS, REQUEST_CLASS_PREFIX + request_class, TENANT_PREFIX + tenant)
         limits = [name for name in names if name in self.allocated]
@@ -39,15 +39,15 @@
         return limits
 
     def release(self, limits: Sequence[str]) -> None:
-        """Counts a request no longer."""
+        """Ends the count of a request against its limits."""
         self.in_use.subtract(limits)
 
     def within_allocation(self) -> bool:
-        """Whether the requests in hand fit into what is allocated by now, which may have shrunk."""
+        """Whether no limit is exceeded; one may be after its allocation was reduced."""
         return all(self.in_use[name] <= allocated for name, allocated in self.allocated.items())
 
     def collect_usage(self) -> dict[str, int]:
-        """The demand for each limit: requests in hand and those rejected since the last call."""
+        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
         usage = {name: self.in_use[name] + self.rejected[name] for name in self.allocated}
         self.rejected.clear()
         return usage
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -1,4 +1,4 @@
-"""The requests in hand, their attempts, and how they are found: by number, by id and by client."""
+"""The table of requests in hand with their attempts; looked up by number, by id and by client."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,12 +14,12 @@
 
 
 class Disposition(Enum):
-    """How a request in hand is answered: the counter that counts it, and the HTTP status."""
+    """The final response of a request in hand: its counter and its HTTP status."""
 
     COMPLETED = ("requests-completed", 200)
-    REJECTED = ("requests-rejected", 400)  # a backend says that no backend can use it
+    REJECTED = ("requests-rejected", 400)  # a backend found the request invalid
     SHED = ("requests-shed", 503)  # a retry is harmless
-    FAILED = ("requests-failed", 504)  # it may have been executed
+    FAILED = ("requests-failed", 504)  # the request may have been executed
 
     def __init__(self, counter: str, status: int) -> None:
         self.counter = counter
@@ -30,18 +30,18 @@
     """One attempt to have a request executed.
 
     Attributes:
-        number: Its place among the attempts of the request, from 0.
+        number: Its position among the attempts of the request, from 0.
         backend: The index of the backend.
         created_at: In ticks.
-        exchange: What carries it; None for an attempt that was not sent.
-        in_flight: Its end is not known yet.
-        started: The backend told that it began to execute it.
-        accepted: The backend told that it has it; the end comes by callback.
-        may_still_run: It was abandoned without news of its end, so the backend may still execute it.
-        may_have_run: It is not known that it was never executed.
+        exchange: The HTTP exchange; None for an attempt that was not sent.
+        in_flight: Whether its outcome is unknown yet.
+        started: Whether the backend reported the start of the execution.
+        accepted: Whether the backend accepted it; the outcome comes by callback.
+        may_still_run: Whether it was abandoned and the backend has not confirmed its end since.
+        may_have_run: False once its outcome proves that it was never executed.
     """
 
-    # Plain classes with slots: a dataclass costs a start a millisecond.
+    # A plain class with slots: importing dataclasses would slow the start of the process.
     __slots__ = (
         "accepted",
         "backend",
@@ -66,7 +66,7 @@
         self.may_have_run = True
 
     def was_sent(self) -> bool:
-        """Whether it went out on a connection."""
+        """Whether it was assigned a connection."""
         return self.exchange is not None and self.exchange.connection is not None
 
 
@@ -74,15 +74,15 @@
     """One request in hand.
 
     Attributes:
-        number: Counted up as requests come; routing knows the request by it.
+        number: A sequence number; the router identifies the request by it.
         class_index: The row of its class in the table of request classes.
-        request_id: The client's id for it.
-        client: The connection that it came on, and is answered on.
+        request_id: The id that the client gave it.
+        client: The connection of the request and its response.
         deadline: When the client stops waiting, in ticks.
-        http_request: What each attempt sends.
+        http_request: The HTTP request that each attempt sends.
         attempts: All attempts so far.
-        is_open: The client has no answer yet, and waits for one.
-        quota_limits: The names of the limits of the whole cluster that count it.
+        is_open: Whether the client still waits for the response.
+        quota_limits: The names of the cluster-wide limits that it counts against.
         deadline_timer: Fires at the deadline.
     """
 
@@ -122,18 +122,18 @@
 
 
 class ActiveAttempt(NamedTuple):
-    """An attempt in flight, and its request."""
+    """An attempt in flight and its request."""
 
     request: Request
     attempt: Attempt
 
 
 class RequestTable:
-    """Keeps each request until it is answered and its last attempt has ended.
+    """Holds each request until its response is sent and its last attempt has ended.
 
     Args:
-        request_classes: Counts the requests of each class.
-        cluster: Is told when a request no longer counts towards its limits.
+        request_classes: Counts the requests in hand of each class.
+        cluster: Holds the quotas, which closed requests release.
     """
 
     def __init__(self, request_classes: RequestClassTable, cluster: ClusterServices) -> None:
@@ -152,7 +152,7 @@
         deadline: int,
         http_request: HttpRequest,
     ) -> Request:
-        """Takes a request in, and gives it the next number; `deadline` in ticks."""
+        """Adds a request under the next number; `deadline` is in ticks."""
         request = Request(
             self.next_number,
             class_index=class_index,
@@ -169,29 +169,29 @@
         return request
 
     def class_of(self, request: Request) -> RequestClass:
-        """The class as it was when the request came."""
+        """Returns the class of the request as of its admission."""
         return self.request_classes.classes[request.class_index]
 
     def close(self, request: Request) -> None:
-        """Its client has an answer, or has gone. Attempts may go on."""
+        """Marks the request as answered or its client as gone; its attempts may still be in flight."""
         if request.quota_limits and request.is_open:
             self.cluster.release_quota(request.quota_limits)
         request.is_open = False
         self.by_client.pop(request.client, None)
 
     def discard(self, request: Request) -> None:
-        """Forgets it if nothing more can come: no answer is owed, and no attempt is in flight."""
+        """Removes the request if its client does not wait and no attempt is in flight; else has no effect."""
         if request.is_open or any(attempt.in_flight for attempt in request.attempts):
             return
         if self.requests.pop(request.number, None):
             self.request_classes.request_closed(request.class_index)
         if request.deadline_timer:
-            request.deadline_timer.cancel()  # or it would keep the body until the deadline
+            request.deadline_timer.cancel()  # it refers to the request, whose body may be large
         if self.by_request_id.get(request.request_id) is request:
             del self.by_request_id[request.request_id]
 
     def find_active_attempt(self, request_id: str, backend: int) -> ActiveAttempt | None:
-        """The attempt in flight of that request at that backend; there is one at most."""
+        """Returns the attempt in flight of a request at a backend; there is at most one."""
         request = self.by_request_id.get(request_id)
         if request:
             for attempt in request.attempts:
@@ -200,7 +200,7 @@
         return None
 
     def end_abandoned_attempts(self, request_id: str, backend: int) -> None:
-        """The backend told the end of attempts of that request that were abandoned."""
+        """Handles the confirmation of a backend that it no longer executes abandoned attempts."""
         request = self.by_request_id.get(request_id)
         for attempt in request.attempts if request else ():
             if attempt.backend == backend:
