--- a/crankfold/service/backends/__init__.py
+++ b/crankfold/service/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backends as the endpoint list, operators, probes and load reports show them."""
+"""The backends: their endpoints, connections, manual drains, health checks and load reports."""
--- a/crankfold/service/backends/health_probes.py
+++ b/crankfold/service/backends/health_probes.py
@@ -1,7 +1,8 @@
-"""Probes: asks backends for a sign of life and for their load."""
+"""Active health checks, which also fetch load reports."""
 
 from collections.abc import Callable, Sequence
 from functools import partial
+from http import HTTPStatus
 
 from crankfold.network.connection_pool import ExchangeResult
 from crankfold.network.metrics import Metrics
@@ -16,14 +17,14 @@
 
 
 class HealthProbes:
-    """Sends probes that routing asks for.
+    """Sends the health checks that the router requests.
 
     Args:
-        config: Says whether backends report their load, to ask for that and not for a sign of life alone.
-        backends: Carries the probes.
-        load_reports: Keeps the reports.
+        config: Determines the target: `/load` if backends report their load, else `/healthz`.
+        backends: Holds the connections to the backends.
+        load_reports: Stores the reports.
         metrics: Counts probes and reports.
-        on_probe_ended: Is told each result.
+        on_probe_ended: Called with each result.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
     def _on_end(self, backend: int, result: ExchangeResult, response: BackendConnection | None) -> None:
         report: Sequence[float] = ()
         healthy = False
-        if result is ExchangeResult.ANSWERED and response is not None and response.status == 200:
+        if result is ExchangeResult.ANSWERED and response is not None and response.status == HTTPStatus.OK:
             healthy = True
             report = report_from_header(bytes(response.body), self.backends.config.report_fields)
             self.metrics.increment("reports-by-probe" if report else "probes-without-report")
--- a/crankfold/service/backends/load_report_store.py
+++ b/crankfold/service/backends/load_report_store.py
@@ -1,4 +1,4 @@
-"""The last load report of each backend, for the process that takes over."""
+"""The last load report of each backend, for a successor process."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,26 +7,26 @@
 
 
 class LoadReport(NamedTuple):
-    """A load report and when it came, in ticks; `values` stand in the order of the configured fields."""
+    """A load report with its arrival time in ticks; `values` are in the order of the configured fields."""
 
     received_at: int
     values: Sequence[float]
 
 
 class LoadReportStore:
-    """Keeps one report for each backend, by its index."""
+    """Holds the last report of each backend, by its index."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.by_backend: dict[int, LoadReport] = {}
 
     def store(self, backend: int, values: Sequence[float]) -> None:
-        """Replaces the backend's report; an empty one says nothing and is left out."""
+        """Replaces the report of a backend, unless the new one is empty."""
         if values:
             self.by_backend[backend] = LoadReport(self.clock.now(), values)
 
     def received_since(self, earliest: int) -> dict[int, Sequence[float]]:
-        """The reports that came after that tick, by backend."""
+        """Returns the reports that arrived after that tick, by backend."""
         return {
             backend: report.values
             for backend, report in self.by_backend.items()
--- a/crankfold/service/backends/manual_drains.py
+++ b/crankfold/service/backends/manual_drains.py
@@ -1,4 +1,4 @@
-"""Backends that operators drained, laid over the endpoint list."""
+"""Manual drains of backends, which override the states in the endpoint list."""
 
 from dataclasses import replace
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class AssumedStart(NamedTuple):
-    """What is assumed of a backend that was restored, until the endpoint list knows better.
+    """The assumed start of a restored backend, in force until the endpoint list shows a later one.
 
     Attributes:
-        drained_at: When the drain began, in ticks.
-        started_at: The start that is assumed, in ticks: when it was restored. One that the list showed before
-            that may be of a restart before the drain, as lists lag.
+        drained_at: The start of the drain, in ticks.
+        started_at: The assumed start of the backend, in ticks: the end of the drain. The endpoint list lags,
+            so it may still show the start before a restart during the drain.
     """
 
     drained_at: int
@@ -22,7 +22,7 @@
 class ManualDrains:
     """The drains in force and the assumed starts they left, by backend id.
 
-    Times are ticks of the clock by which the starts of backends are told.
+    Times are ticks of the dispatcher's clock, as in `Endpoint.started_at`.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         """Drains a backend.
 
         Returns:
-            Whether that is new. A drain that is in force already goes on as it began.
+            False if the backend is drained already; its drain keeps the time at which it began.
         """
         if backend_id in self.drained_since:
             return False
@@ -44,9 +44,9 @@
         """Ends the drain of a backend.
 
         Args:
-            backend_id: Which backend.
+            backend_id: The backend.
             now: The present time.
-            same_process: The backend is known to be the process that it was before the drain.
+            same_process: Whether the backend has certainly not restarted during the drain.
 
         Returns:
             Whether it was drained.
@@ -56,20 +56,21 @@
             return False
         earlier = self.assumed_starts.pop(backend_id, None)
         if not same_process:
-            # Lists lag behind restarts. Taken for warm on an old list, it would be overloaded.
+            # The endpoint list may not show a restart yet, and a backend without slow start after its restart
+            # would be overloaded.
             self.assumed_starts[backend_id] = AssumedStart(drained_at, now)
         elif earlier:
-            self.assumed_starts[backend_id] = earlier  # it is still warming up as it was
+            self.assumed_starts[backend_id] = earlier  # the slow start before this drain continues
         return True
 
     def apply_to(self, backend_id: str, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with the drain of its backend, or the assumed start after one, laid over."""
+        """Returns the endpoint with the drain and the assumed start of its backend applied."""
         if backend_id in self.drained_since and endpoint.state == EndpointState.READY:
             endpoint = replace(endpoint, state=EndpointState.DRAINING)
         assumed = self.assumed_starts.get(backend_id)
         if assumed is None:
             return endpoint
         if endpoint.started_at > assumed.started_at:
-            del self.assumed_starts[backend_id]  # a start since the restoring: the list knows better
+            del self.assumed_starts[backend_id]  # restarted since the end of the drain
             return endpoint
         return replace(endpoint, started_at=assumed.started_at)
--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -1,4 +1,4 @@
-"""The backends as the endpoint list names them, each with its index, its state and its connections."""
+"""The registry of backends: the index, the endpoint, the state and the connections of each."""
 
 import zlib
 from collections.abc import Collection, Sequence
@@ -23,23 +23,26 @@
 from crankfold.service.backends.starts import BackendStarts
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-CONTROL_EXCHANGE_TIMEOUT = 10_000  # ticks, for exchanges that carry no request
-HASH_RANGE = 1 << 32  # of a CRC
+CONTROL_EXCHANGE_TIMEOUT = 10_000  # ticks; for health checks and cancellations
+HASH_RANGE = 1 << 32  # number of values of a CRC-32
 
 
 class UnknownBackendError(CrankfoldError):
-    """No backend of that id was ever listed."""
+    """No backend of that id was ever in the endpoint list."""
 
 
 class BackendAddress(NamedTuple):
-    """Where a backend listens, and when the process there started, in milliseconds since the epoch."""
+    """The address of a backend, and the start of its process in milliseconds since the epoch."""
 
     host: str
     port: int
     boot_ms: int
 
     def announced_start(self) -> int:
-        """The start of the process in ticks since the epoch, 0 for long ago; all dispatchers see the same."""
+        """Returns the start of the process by the clock of the backend, in ticks since the epoch.
+
+        0 means that the backend started long ago. All dispatchers get the same value.
+        """
         return self.boot_ms * TICKS_PER_MILLISECOND
 
 
@@ -47,10 +50,10 @@
     """One backend.
 
     Attributes:
-        address: As it was listed last.
-        endpoint: As it was listed last, without drains.
-        state: In force, with drains.
-        pool: The connections to it.
+        address: As in the newest endpoint list.
+        endpoint: As in the newest endpoint list, without manual drains.
+        state: The effective state, with manual drains.
+        pool: The connections to the backend.
     """
 
     __slots__ = ("address", "endpoint", "pool", "state")
@@ -63,21 +66,21 @@
 
 
 class BackendRegistry:
-    """All backends that were ever listed.
+    """All backends that were ever in the endpoint list.
 
     Args:
-        config: Names of zones and instance types, and how long a backend warms up.
-        timers: Time exchanges out.
+        config: Has the names of zones and instance types and the duration of a slow start.
+        timers: Schedules the timeouts of exchanges.
         sockets: Limits the connections to all backends together.
 
     Attributes:
         backend_ids: The index of each backend, by its id.
         records: The backends, by index.
-        manual_drains: What operators drained at this dispatcher.
-        cluster_drains: What is drained for all dispatchers.
-        starts: When the backends started.
-        known_ids: Ids that the process before this one had listed.
-        slow_start_reserved: Another process sends what backends that warm up may be sent.
+        manual_drains: Manual drains at this dispatcher.
+        cluster_drains: Drains that are in force at all dispatchers.
+        starts: Estimates the starts of backends.
+        known_ids: Backend ids that the predecessor process knew.
+        slow_start_reserved: Whether the slow-start budgets of backends belong to a successor process.
     """
 
     def __init__(self, config: ServiceConfig, timers: Timers, sockets: ConnectionLimiter) -> None:
@@ -99,9 +102,9 @@
     # --- the endpoint list ---
 
     def register(self, entry: DiscoveryEntry) -> Endpoint:
-        """The endpoint of a discovery entry; a backend not seen before gets the next index.
+        """Returns the endpoint of a discovery entry, and assigns an index to a new backend.
 
-        Its start is as listed, by the clock of the backends.
+        The start in the endpoint is that of the entry, by the clock of the backend.
         """
         backend = self.backend_ids.intern(entry.backend_id)
         address = BackendAddress(entry.host, entry.port, entry.boot_ms)
@@ -110,7 +113,7 @@
             pool = ConnectionPool(entry.host, entry.port, self.sockets)
             self.records.append(BackendRecord(address, unlisted, pool))
         elif self.records[backend].address != address:
-            # A process that started anew or moved: connections to the old one are not used.
+            # The backend has restarted or moved, so connections to the earlier process are closed.
             record = self.records[backend]
             record.address = address
             record.pool.close()
@@ -127,10 +130,10 @@
         )
 
     def update_endpoints(self, endpoints: Sequence[Endpoint], is_snapshot: bool) -> list[Endpoint]:
-        """Takes over the endpoint list: all there are for a snapshot, else those that have changed.
+        """Applies a snapshot or a delta of the endpoint list.
 
         Returns:
-            The same endpoints as they are in force, with drains.
+            The same endpoints with manual drains applied.
         """
         if is_snapshot:
             for record in self.records:
@@ -158,7 +161,7 @@
         return endpoint
 
     def discovery_entry(self, backend: int) -> dict[str, Any]:
-        """The backend's entry as discovery words it."""
+        """Returns the discovery entry of a backend in the JSON form of discovery."""
         record = self.records[backend]
         endpoint = record.endpoint
         return encode_entry(
@@ -176,38 +179,38 @@
         )
 
     def any_ready(self) -> bool:
-        """Whether requests may be sent to any backend."""
+        """Whether at least one backend may get requests."""
         return any(record.state == EndpointState.READY for record in self.records)
 
     # --- drains ---
 
     def drain(self, backend_id: str) -> Endpoint | None:
-        """Drains a backend for an operator.
+        """Starts the manual drain of a backend.
 
         Returns:
-            Its endpoint as it is in force now, or None where nothing changes.
+            Its effective endpoint, or None if nothing changes.
 
         Raises:
-            UnknownBackendError: It was never listed.
+            UnknownBackendError: The backend was never in the endpoint list.
         """
         return self._drain(self.manual_drains, backend_id, self._index_of_known(backend_id))
 
     def restore(self, backend_id: str) -> Endpoint | None:
-        """Ends the drain of a backend for an operator.
+        """Ends the manual drain of a backend.
 
         Returns:
-            Its endpoint as it is in force now, or None where nothing changes.
+            Its effective endpoint, or None if nothing changes.
 
         Raises:
-            UnknownBackendError: It was never listed.
+            UnknownBackendError: The backend was never in the endpoint list.
         """
         return self._restore(self.manual_drains, backend_id, self._index_of_known(backend_id))
 
     def set_cluster_drains(self, drained: Collection[str]) -> list[Endpoint]:
-        """Makes these ids, and no others, the backends that are drained for all dispatchers.
+        """Replaces the set of backends that are drained at all dispatchers.
 
         Returns:
-            The endpoints that changed, as they are in force now.
+            The effective endpoints of the backends that changed.
         """
         drains = self.cluster_drains
         changed = [
@@ -221,10 +224,10 @@
         return [endpoint for endpoint in changed if endpoint]
 
     def reserve_slow_start(self, is_reserved: bool) -> list[Endpoint]:
-        """Leaves backends that warm up to another process, or takes them back.
+        """Reserves the slow-start budgets of backends for a successor process, or ends that.
 
         Returns:
-            The endpoints that may have changed, as they are in force now.
+            The effective endpoints of the backends that may have changed.
         """
         self.slow_start_reserved = is_reserved
         return [
@@ -242,14 +245,18 @@
         now = self.timers.clock.now()
         same_process = False
         if drained_at is not None and backend >= 0:
-            # A connection that is older than the drain shows that the process there never restarted.
+            # A connection that is older than the drain proves that the backend has not restarted since.
             drained_for = (now - drained_at) / TICKS_PER_SECOND
             same_process = self.records[backend].pool.has_connection_older_than(drained_for)
         was_drained = drains.restore(backend_id, now, same_process)
         return self._put_in_force(backend) if was_drained and backend >= 0 else None
 
     def _index_of_known(self, backend_id: str) -> int:
-        """The index of a backend; -1 for one that only the process before this one had listed."""
+        """Returns the index of a backend; -1 for one that only the predecessor process knew.
+
+        Raises:
+            UnknownBackendError: No process knew the backend.
+        """
         backend = self.backend_ids.find(backend_id)
         if backend < 0 and backend_id not in self.known_ids:
             raise UnknownBackendError(backend_id)
@@ -260,7 +267,10 @@
     def send_control_request(
         self, backend: int, method: bytes, target: bytes, on_end: ExchangeCallback
     ) -> None:
-        """Sends what is no attempt, such as a probe. It times out: a machine that vanished says nothing."""
+        """Sends an exchange that is not an attempt, such as a health check.
+
+        It has a timeout, as a machine that is down may neither answer nor reset the connection.
+        """
         pool = self.records[backend].pool
         host = f"{pool.host}:{pool.port}".encode()
         exchange = Exchange(
@@ -280,7 +290,10 @@
         exchange.abort()
 
     def abandon_exchange(self, exchange: Exchange) -> None:
-        """Waits for no response to an attempt that ended by callback; the connection gets a while for it."""
+        """Ignores the response of an attempt that has ended by callback.
+
+        The connection is aborted if the response does not arrive within `CONTROL_EXCHANGE_TIMEOUT`.
+        """
         if not exchange.finished:
             exchange.finished = True
             self.timers.call_after(CONTROL_EXCHANGE_TIMEOUT, exchange.abort)
