--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -294,7 +294,7 @@
             remark = (
                 ""
                 if self.handover
-                else "; no --hand-over or $TMPDIR, so no process can replace this one under load"
+                else "; handover disabled (no --hand-over or $TMPDIR): a restart interrupts the service"
             )
             logger.info("operators at %s:%s%s", self.admin_address[0], self.admin_server.port(), remark)
         self.timers.loop.call_later(SWEEP_INTERVAL, self._run_periodic_tasks)
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -1,4 +1,4 @@
-"""Lets one process replace another under load: joins the state machine of that to the parts of this one."""
+"""Replaces a running process without loss of requests: connects the handover state machine to the process."""
 
 import asyncio
 import logging
@@ -29,12 +29,15 @@
 
 logger = logging.getLogger(__name__)
 
-TAKEOVER_TIMEOUT = 1.0  # seconds; a predecessor that hangs must not keep its successor from serving
-TAKEOVER_RETRY_DELAY = 0.05  # seconds until it is asked again which process serves
+TAKEOVER_TIMEOUT = 1.0  # seconds; then the successor serves beside a predecessor that does not answer
+TAKEOVER_RETRY_DELAY = 0.05  # seconds between attempts to find the process that serves
 
 
 class Handover:
-    """A process's part in it: carries out the state machine's actions and hears the channel's events."""
+    """The handover at one process.
+
+    It carries out the actions of the state machine and handles the events of the channel.
+    """
 
     def __init__(
         self,
@@ -45,8 +48,8 @@
         metrics: Metrics,
     ) -> None:
         """Opens nothing. `attach` has to be called before anything else."""
-        # A directory may hold what another dispatcher's process left, or have one behind it that serves other
-        # customers at what is now our address: so the name is compared too.
+        # The directory may have the socket or the record of another dispatcher that used the same address, so
+        # names are compared as well.
         self.dispatcher_name = dispatcher_name
         self.listen_address = listen_address
         self.backend_registry = backend_registry
@@ -60,7 +63,7 @@
         self.channel = HandoverChannel(directory, f"crankfold-{address_hash:08x}", self)
         self.state_machine = HandoverStateMachine(self)
         self.listening_socket: socket.socket | None = None
-        self.takeover_decided = asyncio.Event()  # the predecessor accepts no more, or there is none
+        self.takeover_decided = asyncio.Event()  # the predecessor has stopped accepting, refused or gone
         self.retry_takeover = False
         self.inherited_reports: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -76,7 +79,13 @@
     # --- as the successor ---
 
     async def connect(self) -> dict[str, Any] | None:
-        """Learns from a predecessor, if one serves; its endpoint list as discovery words it, else None."""
+        """Connects to the predecessor and adopts its state.
+
+        Without a predecessor, adopts the saved manual drains.
+
+        Returns:
+            The endpoint list of the predecessor in the JSON form of discovery; None if there is none.
+        """
         hello = Hello(FORMAT_VERSION, self.listen_address, self.dispatcher_name)
         connection = await self.channel.connect(hello)
         if connection:
@@ -86,7 +95,7 @@
                 self.listening_socket = listening_socket
                 self.state_machine.predecessor_connected(process)
                 return self._adopt_state(welcome.state)
-            self._warn("predecessor", "speaks another form or has another address; starting alone")
+            self._warn("predecessor", "has another format version, address or name; starting alone")
             self.channel.disconnect(process)
             if listening_socket:
                 listening_socket.close()
@@ -114,7 +123,7 @@
         return transferred_state.inherited_endpoints(state, self.request_handler.routing.weights_follow_load)
 
     def replay_reports(self) -> None:
-        """Has routing take the last load reports to the predecessor for answers to probes."""
+        """Passes the last load reports of the predecessor to the router, as results of health checks."""
         field_count = len(self.request_handler.config.report_fields)
         for backend_id, report in self.inherited_reports.items():
             backend = self.backend_registry.backend_ids.find(backend_id)
@@ -124,7 +133,11 @@
                 )
 
     async def take_over(self) -> socket.socket | None:
-        """Waits until the predecessor accepts no more; the listening socket, where there was one."""
+        """Waits until the predecessor has stopped accepting.
+
+        Returns:
+            The listening socket that the predecessor passed on; None without a predecessor.
+        """
         while True:
             self.retry_takeover = False
             self.takeover_decided.clear()
@@ -134,7 +147,7 @@
                 async with asyncio.timeout(TAKEOVER_TIMEOUT):
                     await self.takeover_decided.wait()
             except TimeoutError:
-                self._warn("predecessor", "hangs; serving beside it")
+                self._warn("predecessor", "does not answer; serving beside it")
                 return self.listening_socket
             if not self.retry_takeover:
                 return self.listening_socket
@@ -142,16 +155,16 @@
             await self.connect()
 
     async def open(self) -> None:
-        """Lets successors connect. Without that this process serves all the same."""
+        """Accepts connections of successors; a failure is logged, and the process serves without it."""
         try:
             await self.channel.open()
         except OSError as error:
-            self._warn("records", f"{error}; no process can replace this one")
+            self._warn("records", f"{error}; handover disabled, a restart will drop connections")
 
-    # --- at any time ---
+    # --- manual drains, requests and callbacks of other processes ---
 
     async def replicate_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Records a manual drain or its end, and has the other processes do it too."""
+        """Saves the manual drains and applies a drain, or its end, at the other processes."""
         self._save_manual_drains()
         answered: asyncio.Future[None] = self.loop.create_future()
         self.state_machine.query_manual_drain(
@@ -165,17 +178,18 @@
             self.channel.save_record(ManualDrainRecord(self.dispatcher_name, state))
         except OSError as error:
             self._warn(
-                "records", f"{error}; a manual drain is in force, but is forgotten if both processes die"
+                "records", f"{error}; the manual drain is active, but will be lost if all processes end"
             )
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the predecessor still has that request in hand."""
+        """Whether the request is in hand at the predecessor."""
         return request_id in self.predecessor_request_ids
 
     def forward_callback(self, body: bytes, on_answer: CallbackAnswer) -> bool:
-        """Has another process handle a callback whose request is not in hand here.
+        """Forwards a callback for a request that is not in hand at this process.
 
-        False if there is no other. The answer is whether one had the request; None if one did not answer.
+        Returns:
+            Whether there is another process. If so, `on_answer` is called, possibly before the return.
         """
         if not self.state_machine.processes:
             return False
@@ -184,22 +198,25 @@
         return True
 
     def run_periodic_tasks(self) -> None:
-        """To be called several times a second."""
+        """Ends queries that have timed out and reports the usage to the successor.
+
+        To be called several times a second.
+        """
         self.state_machine.expire_queries(self.loop.time())
         self.state_machine.report_usage()
 
     def has_successor(self) -> bool:
-        """Whether another process accepts connections in place of this one."""
+        """Whether a successor accepts the connections in place of this process."""
         return self.state_machine.role == HandoverRole.SUPERSEDED
 
     def close(self) -> None:
-        """Ends the connections to the other processes."""
+        """Closes the connections to the other processes."""
         self.channel.close()
 
     # --- events of the channel ---
 
     def successor_found(self, process: int, sock: socket.socket, hello: HandoverMessage) -> None:
-        """Passes the listening socket to another process of this dispatcher; disconnects any other."""
+        """Passes the listening socket to a new process of this dispatcher; disconnects other processes."""
         self.metrics.increment("successors-connected")
         shared_socket = self.listener.shared_socket
         try:
@@ -216,7 +233,7 @@
         self.state_machine.message_received(self.loop.time(), process, message)
 
     def connection_lost(self, process: int) -> None:
-        """Tells the state machine."""
+        """Reports a lost connection to the state machine."""
         self.state_machine.disconnected(self.loop.time(), process)
 
     # --- actions of the state machine ---
@@ -226,28 +243,28 @@
         self.channel.send(process, message)
 
     def disconnect(self, process: int) -> None:
-        """Closes a connection when all that was sent on it has been written."""
+        """Closes the connection to a process after all sent messages are written."""
         self.channel.disconnect(process)
 
     def describe_state(self) -> ProcessState:
-        """What a successor has to know."""
+        """Returns the state that a successor adopts."""
         return transferred_state.describe_state(self.request_handler, self.dispatcher_name)
 
     def describe_usage(self) -> ProcessUsage:
-        """What this process holds."""
+        """Returns the requests and connections that this process still has."""
         return transferred_state.describe_usage(self.request_handler, len(self.listener.connections))
 
     def stop_accepting(self) -> None:
-        """Leaves new connections and the slow start of backends to a successor."""
-        logger.info("another process takes over")
+        """Leaves new connections and the slow-start budgets of backends to the successor."""
+        logger.info("a successor process takes over")
         self.metrics.increment("handovers")
         self.listener.pause()
         self.socket_budget.yield_to_successor()
         self._endpoints_changed(self.backend_registry.reserve_slow_start(True))
 
     def resume_accepting(self) -> None:
-        """Serves again, as the successor has gone."""
-        logger.info("the process that took over is gone; serving again")
+        """Accepts connections again after the successor has ended."""
+        logger.info("the successor process has ended; serving again")
         self.metrics.increment("handovers-reverted")
         self.socket_budget.reserve(0, 0)
         self._endpoints_changed(self.backend_registry.reserve_slow_start(False))
@@ -265,12 +282,12 @@
         self.takeover_decided.set()
 
     def takeover_refused(self) -> None:
-        """Has `take_over` look for the process that serves."""
+        """Makes `take_over` connect again, to the process that serves."""
         self.retry_takeover = True
         self.takeover_decided.set()
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if its request is in hand here; whether it was."""
+        """Handles a callback if its request is in hand at this process; returns whether it is."""
         body = callback.encode()
         callbacks = self.request_handler.callbacks
         return callbacks.has_request(request_id_of(body)) and handle_callback(
@@ -278,7 +295,7 @@
         )
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Drains or restores a backend that may not be listed here."""
+        """Drains or restores a backend, which may be missing in the endpoint list of this process."""
         self.backend_registry.known_ids.add(backend_id)
         change = self.backend_registry.drain if drained else self.backend_registry.restore
         endpoint = change(backend_id)
@@ -286,7 +303,7 @@
             self._endpoints_changed([endpoint])
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
-        """Refuses the ids of requests in hand at the predecessor, and leaves room for its connections."""
+        """Notes the requests in hand at the predecessor and reserves sockets for its connections."""
         self.predecessor_request_ids = frozenset(usage.request_ids)
         self.socket_budget.reserve(usage.accepted_connections, usage.backend_connections)
 
--- a/crankfold/service/handover/state_machine.py
+++ b/crankfold/service/handover/state_machine.py
@@ -1,8 +1,17 @@
-"""Which of several processes of one dispatcher serves, and what they owe each other; given the time, no I/O.
+"""The handover state machine: decides which of several processes of a dispatcher serves. No I/O.
 
-The other processes are numbered as they connect. One may be the predecessor, and several may want to succeed
-this one; the first to ask takes over. A query (a callback, a manual drain) goes to all other processes but
-the one that it came from, and is answered once they have answered, or when its time is up.
+Processes are numbered as they connect. One may be the predecessor, and several may request to succeed this
+one; the first of them takes over. A query (a callback or a manual drain) is forwarded to all processes except
+its sender; it is answered when all of them have answered, or after `QUERY_TIMEOUT`.
+
+Role transitions:
+
+    STANDALONE   predecessor connected      WAITING
+    WAITING      takeover granted           TOOK_OVER
+    WAITING      refused, predecessor lost  STANDALONE
+    TOOK_OVER    predecessor lost           STANDALONE
+    STANDALONE, TOOK_OVER    takeover requested    SUPERSEDED
+    SUPERSEDED   successor lost             TOOK_OVER, or STANDALONE without predecessor
 
 Times are seconds of one monotonic clock.
 """
@@ -27,69 +36,71 @@
     Welcome,
 )
 
-QUERY_TIMEOUT = 0.5  # seconds; a callback or an operator's call waits for the answer
+QUERY_TIMEOUT = 0.5  # seconds; the response to a callback or to an admin call waits for the answer
 NO_PROCESS = -1
 NO_USAGE = ProcessUsage([], 0, 0)
 
 AnswerCallback = Callable[[bool | None], None]
-"""Gets True once one process said yes, False when all said no, None if one said nothing in time."""
+"""Takes True if one process answered yes, False if all answered no, None after a timeout."""
 
 
 class HandoverRole(Enum):
-    """What this process does beside the others."""
+    """The role of this process among the processes of its dispatcher."""
 
     STANDALONE = "alone"
-    WAITING = "following"  # a predecessor serves
-    TOOK_OVER = "serving"  # it serves, and the predecessor finishes the requests that it has
-    SUPERSEDED = "followed"  # a successor serves
+    WAITING = "following"  # the predecessor serves
+    TOOK_OVER = "serving"  # this process serves; the predecessor finishes its requests
+    SUPERSEDED = "followed"  # the successor serves
 
 
 class HandoverActions(Protocol):
-    """What the state machine has done to this process and to others. Processes are given by their number."""
+    """The effects of the state machine on this process and on others, which are given by number."""
 
     def send(self, process: int, message: HandoverMessage) -> None:
         """Sends a message to another process."""
 
     def disconnect(self, process: int) -> None:
-        """Closes a connection when all that was sent on it has been written."""
+        """Closes the connection to a process after all sent messages are written."""
 
     def describe_state(self) -> ProcessState:
-        """What a successor has to know."""
+        """Returns the state that a successor adopts."""
 
     def describe_usage(self) -> ProcessUsage:
-        """What this process holds."""
+        """Returns the requests and connections that this process still has."""
 
     def stop_accepting(self) -> None:
-        """Leaves new connections to a successor."""
+        """Leaves new connections to the successor."""
 
     def resume_accepting(self) -> None:
-        """The successor has gone: serves again."""
+        """Accepts connections again after the successor has ended."""
 
     def takeover_completed(self) -> None:
-        """The predecessor accepts no more, or has gone."""
+        """Handles that the predecessor has stopped accepting or has ended."""
 
     def takeover_refused(self) -> None:
-        """Another process serves, which is to be looked for."""
+        """Handles that the predecessor does not serve, so that the process that serves has to be found."""
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if it is for a request in hand; whether it was."""
+        """Handles a callback if its request is in hand at this process; returns whether it is."""
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Drains a backend or restores it."""
+        """Drains or restores a backend."""
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
-        """What the predecessor holds now."""
+        """Handles a change of the requests and connections that the predecessor still has."""
 
 
 class _PendingQuery:
+    """A query that was forwarded and is not answered yet."""
+
     def __init__(self, awaited: set[int], deadline: float, on_answer: AnswerCallback) -> None:
-        self.awaited = awaited  # processes that have not answered
+        self.awaited = awaited  # processes that have not answered yet
         self.deadline = deadline
         self.on_answer = on_answer
 
 
 class HandoverStateMachine:
-    """Given what other processes do and say, decides which one serves."""
+    """Handles connections and messages of other processes, and keeps the role of this one."""
 
     def __init__(self, actions: HandoverActions) -> None:
         self.actions = actions
@@ -104,25 +115,25 @@
     # --- connections and roles ---
 
     def predecessor_connected(self, process: int) -> None:
-        """A process that serves has answered."""
+        """Handles the connection to a predecessor, which serves."""
         self.processes.add(process)
         self.predecessor = process
         self.role = HandoverRole.WAITING
 
     def successor_connected(self, process: int) -> None:
-        """Another process wants to take over."""
+        """Handles the connection of a process that is to take over, and sends it the state."""
         self.processes.add(process)
         self.actions.send(process, Welcome(self.actions.describe_state()))
 
     def request_takeover(self) -> bool:
-        """To be called when this process is ready to serve. False if there is nobody to ask."""
+        """Requests the takeover, once this process is ready to serve; returns False without a predecessor."""
         if self.role != HandoverRole.WAITING:
             return False
         self.actions.send(self.predecessor, TakeoverRequest())
         return True
 
     def disconnected(self, now: float, process: int) -> None:
-        """A process has ended, or its connection broke."""
+        """Handles the loss of the connection to a process."""
         if process not in self.processes:
             return
         self.processes.discard(process)
@@ -139,7 +150,7 @@
         self.actions.predecessor_usage_changed(NO_USAGE)
         if self.role == HandoverRole.WAITING:
             self.role = HandoverRole.STANDALONE
-            self.actions.takeover_completed()  # nobody is left to wait for
+            self.actions.takeover_completed()
         elif self.role == HandoverRole.TOOK_OVER:
             self.role = HandoverRole.STANDALONE
 
@@ -149,16 +160,16 @@
             has_predecessor = self.predecessor != NO_PROCESS
             self.role = HandoverRole.TOOK_OVER if has_predecessor else HandoverRole.STANDALONE
             if not self.shutting_down:
-                self.actions.resume_accepting()  # no signal asked this process to end: nobody else serves
+                self.actions.resume_accepting()  # no other process serves
 
     def start_shutdown(self) -> None:
-        """This process ends: what was handed over is not taken back."""
+        """Prevents that this process serves again after its successor is lost."""
         self.shutting_down = True
 
     # --- messages ---
 
     def message_received(self, now: float, process: int, message: HandoverMessage) -> None:
-        """What a process says; what it has no right to say is ignored."""
+        """Handles a message; one that does not fit the role of its sender is ignored."""
         match message:
             case TakeoverRequest():
                 self._takeover_requested(process)
@@ -181,7 +192,7 @@
 
     def _takeover_requested(self, process: int) -> None:
         if self.role in (HandoverRole.SUPERSEDED, HandoverRole.WAITING) or self.shutting_down:
-            # Another was first, or this process does not serve itself: whoever serves is to be asked.
+            # This process does not serve, or is about to end: the sender has to find the process that serves.
             self.actions.send(process, TakeoverRefusal())
             self.processes.discard(process)
             self.actions.disconnect(process)
@@ -203,14 +214,14 @@
 
         match query:
             case ManualDrainQuery():
-                # Every process applies it; the answer waits until those behind have.
+                # The answer waits until the processes behind this one have applied the drain as well.
                 self.actions.apply_manual_drain(query.backend_id, query.drained)
-                self._ask_others(now, query, lambda _: answer(False), sender=process)
+                self._forward_query(now, query, lambda _: answer(False), sender=process)
             case CallbackQuery():
                 if self.actions.handle_callback(query.callback):
                     answer(True)
                 else:
-                    self._ask_others(now, query, lambda found: answer(bool(found)), sender=process)
+                    self._forward_query(now, query, lambda found: answer(bool(found)), sender=process)
             case UnknownQuery():
                 answer(False)
 
@@ -230,21 +241,21 @@
     def query_manual_drain(
         self, now: float, backend_id: str, drained: bool, on_answer: AnswerCallback
     ) -> None:
-        """Has all other processes drain or restore a backend; the answer is False or None."""
-        self._ask_others(now, ManualDrainQuery(0, backend_id, drained), on_answer)
+        """Makes all other processes drain or restore a backend; the answer is False or None."""
+        self._forward_query(now, ManualDrainQuery(0, backend_id, drained), on_answer)
 
     def query_callback(self, now: float, callback: str, on_answer: AnswerCallback) -> None:
-        """Looks for the process that has the request of a callback in hand, and has it handle that."""
-        self._ask_others(now, CallbackQuery(0, callback), on_answer)
+        """Forwards a callback to the process that has its request in hand."""
+        self._forward_query(now, CallbackQuery(0, callback), on_answer)
 
-    def _ask_others(
+    def _forward_query(
         self,
         now: float,
         query: ManualDrainQuery | CallbackQuery,
         on_answer: AnswerCallback,
         sender: int = NO_PROCESS,
     ) -> None:
-        """Passes a query on under a number of this process, to all but its sender."""
+        """Forwards a query to all processes except its sender, under an id of this process."""
         awaited = self.processes - {sender}
         if not awaited:
             on_answer(False)
@@ -256,7 +267,7 @@
             self.actions.send(process, numbered)
 
     def expire_queries(self, now: float) -> None:
-        """Answers the queries to which nobody has to answer any more, or whose time is up."""
+        """Answers the queries that no process is awaited for, and those that have timed out."""
         for query_id, pending in list(self.queries.items()):
             if not pending.awaited:
                 self._resolve(query_id, False)
@@ -269,6 +280,6 @@
             pending.on_answer(result)
 
     def report_usage(self) -> None:
-        """From time to time: tells the successor what this process still holds."""
+        """Reports the requests and connections of this process to its successor; called periodically."""
         if self.role == HandoverRole.SUPERSEDED:
             self.actions.send(self.successor, UsageReport(self.actions.describe_usage()))
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -1,8 +1,9 @@
-"""What a process tells its successor of the backends, and what of that the successor may go by.
+"""The state that a process transfers to its successor, and the part of it that the successor adopts.
 
-Weights are inherited between processes that read weights alike, load reports between those that know the same
-fields. Manual drains, starts and states of backends mean the same everywhere. Queued requests, ejections,
-running averages, preferred backends and concurrency limits start afresh: they are learnt within seconds.
+Weights are adopted if both processes interpret weights in the same way, load reports if both have the same
+report fields; manual drains, starts and states of backends always. Queued requests, ejections, moving
+averages, preferred backends and concurrency limits are not transferred: the successor rebuilds them within
+seconds.
 """
 
 from collections.abc import Sequence
@@ -21,16 +22,19 @@
 from crankfold.service.backends.starts import MAX_CLOCK_ERROR
 from crankfold.service.requests.handler import RequestHandler
 
-MAX_REPORT_AGE = 50_000  # tenths of a millisecond; older load reports say nothing of the present
+MAX_REPORT_AGE = 50_000  # ticks; older load reports are not transferred
 
 
 def weight_semantics(weights_follow_load: bool) -> str:
-    """How this process reads weights in endpoint lists, as it is told to others."""
+    """Returns the wire name of how weights in endpoint lists are interpreted."""
     return DYNAMIC_WEIGHTS if weights_follow_load else STATIC_WEIGHTS
 
 
 def inherited_endpoints(state: ProcessState, weights_follow_load: bool) -> dict[str, Any] | None:
-    """The predecessor's endpoint list as discovery words it; weights of another meaning are left out."""
+    """Returns the endpoint list of the predecessor in the JSON form of discovery, None without one.
+
+    Weights are reset if the predecessor interprets them differently.
+    """
     endpoints = state.endpoints
     if endpoints is None:
         return None
@@ -44,14 +48,14 @@
 
 
 def inherited_reports(state: ProcessState, report_fields: Sequence[str]) -> dict[str, list[float]]:
-    """Last load reports by backend id; none where their fields are not those of this process."""
+    """Returns the last load reports by backend id; none if the report fields differ."""
     if state.report_fields is not None and state.report_fields != list(report_fields):
         return {}
     return state.load_reports
 
 
 def describe_state(request_handler: RequestHandler, dispatcher_name: str) -> ProcessState:
-    """What a successor of this process is told."""
+    """Returns the state for a successor of this process."""
     registry = request_handler.backends
     routing = request_handler.routing
     names = registry.backend_ids.names
@@ -61,7 +65,7 @@
         for backend, record in enumerate(registry.records)
         if record.endpoint.state != EndpointState.REMOVED
     ]
-    if routing.weights_follow_load:  # of a weight that follows load only the size behind it lasts
+    if routing.weights_follow_load:  # the base weight; the part that follows the load is outdated at once
         for target in targets:
             target["capacity_hint"] = routing.backend_weight(registry.backend_ids.intern(target["uid"]))
     return ProcessState(
@@ -80,7 +84,7 @@
 
 
 def manual_drain_state(request_handler: RequestHandler) -> ManualDrainState:
-    """The manual drains in force in this process; times by the wall clock as it is now."""
+    """Returns the manual drains of this process, with times by the present wall clock."""
     drains = request_handler.backends.manual_drains
     shift = request_handler.timers.clock.wall_shift()
     assumed_starts = {
@@ -94,13 +98,13 @@
 def adopt_manual_drains(
     request_handler: RequestHandler, state: ManualDrainState, *, times_known: bool = True
 ) -> None:
-    """Puts in force the manual drains of a process before this one.
+    """Puts the manual drains of an earlier process in force.
 
     Args:
-        request_handler: Of this process.
-        state: As the process before this one told it.
-        times_known: It was told just now, so that no step of the wall clock lies between; else backends that
-            may still be warming up by any clock are taken to have started now.
+        request_handler: The request handler of this process.
+        state: The manual drains of the earlier process.
+        times_known: Whether the state was received from a running process, so that the wall clock was not
+            stepped in between. Else backends that may still be in slow start are assumed to start now.
     """
     registry = request_handler.backends
     now = request_handler.timers.clock.now()
@@ -118,7 +122,7 @@
 
 
 def describe_usage(request_handler: RequestHandler, accepted_connections: int) -> ProcessUsage:
-    """What this process holds while it finishes its requests."""
+    """Returns the requests and connections that this process still has."""
     return ProcessUsage(
         request_ids=[request.request_id for request in request_handler.request_table.requests.values()],
         accepted_connections=accepted_connections,
