--- a/crankfold/service/cluster/__init__.py
+++ b/crankfold/service/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What the members of a cluster agree on, applied to this dispatcher."""
+"""The replicated configuration of a cluster, applied to this dispatcher."""
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -1,6 +1,7 @@
-"""Answers operators' calls about the cluster: its members, its documents, its voters, its maintenance.
+"""The admin API of the cluster: its members, documents, voters and maintenance.
 
-The keys of calls and answers are older than the names in the program. Not imported unless there are peers.
+The JSON keys of calls and answers differ from the names in the code; they are mapped in this module. It is
+imported only with peers.
 """
 
 import time
@@ -22,35 +23,36 @@
 if TYPE_CHECKING:
     from crankfold.service.maintenance.admin import MaintenanceAdmin
 
-PUBLISH_TIMEOUT = 10.0  # seconds
-READ_TIMEOUT = 2.0  # seconds; how long a read waits for the version that the caller knows of
-MAX_WAIT = 60.0  # seconds; the longest that a call may wait until a version is in force everywhere
-MAX_AUTHOR_LENGTH = 200
-MAX_REASON_LENGTH = 2000
-VOTERS = "voters"  # a call for this in place of a document changes the membership
-FORECAST = "plan"  # and for this, asks what a maintenance job would bring about
+PUBLISH_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
+READ_TIMEOUT = 2.0  # seconds that a read waits for the minimum version of its caller
+MAX_WAIT = 60.0  # seconds that a publish waits at most until all dispatchers have applied the version
+MAX_AUTHOR_LENGTH = 200  # characters
+MAX_REASON_LENGTH = 2000  # characters
+NANOSECONDS_PER_MILLISECOND = 1_000_000
+VOTERS = "voters"  # in place of the name of a document: changes the membership
+FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
 
 
 class AdminAnswer(NamedTuple):
-    """The HTTP status of an answer and its JSON text."""
+    """The HTTP status of an answer and its JSON body."""
 
     status: int
     body: str
 
 
 class PublishRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A new version of a document."""
+    """The call that publishes a new version of a document."""
 
-    call: str  # identifies the call; the same one has one effect, however often it is made
-    made_from: int  # the number of the version from which it was made
+    call: str  # idempotency key of the call
+    made_from: int  # number of the version that the content is based on
     content: dict[str, Any] = field(name="text")
     author: str = ""
     reason: str = ""
-    wait: float = 0.0  # seconds for the version to be in force everywhere
+    wait: float = 0.0  # seconds until all dispatchers have applied the version
 
 
 class MembershipChangeRequest(Struct, forbid_unknown_fields=True):
-    """Adds voters, by name and address, and removes one; one change at a time."""
+    """The call that adds voters, by name and address, or removes one; one change at a time."""
 
     call: str
     add: dict[str, str] = field(default_factory=dict)
@@ -58,21 +60,21 @@
 
 
 class ClusterAdmin:
-    """The operators' calls of a dispatcher that is a member of a cluster."""
+    """Carries out the admin calls at a member of a cluster."""
 
     def __init__(self, cluster_node: ClusterNode, maintenance: Callable[[], "MaintenanceAdmin"]) -> None:
-        """`maintenance` gives the calls about maintenance, which are not imported before the first one."""
+        """`maintenance` gives the admin API of maintenance, whose modules are imported on the first call."""
         self.cluster_node = cluster_node
         self.maintenance = maintenance
 
     def cluster_status(self) -> AdminAnswer:
-        """The cluster as this member sees it."""
+        """Returns the status of the cluster as this member sees it."""
         return _answer(HTTPStatus.OK, self.cluster_node.status())
 
     async def read_document(self, name: str, minimum_version: int) -> AdminAnswer:
-        """A document, not older than the version that the caller says to know of.
+        """Returns a document whose newest version is `minimum_version` or later.
 
-        Where that version is not known here in time, the answer says so and gives no content.
+        Waits `READ_TIMEOUT` for that version; the answer is an error if it does not arrive.
         """
         if name == MACHINES:
             return _answer(HTTPStatus.OK, self.maintenance().describe())
@@ -96,7 +98,7 @@
         )
 
     async def publish(self, name: str, body: bytes) -> AdminAnswer:
-        """Proposes what the call brings: a version of a document, other voters, a transition of a machine."""
+        """Proposes a version of a document, a change of the voters or a transition of a machine."""
         try:
             if name == VOTERS:
                 return await self._change_voters(body)
@@ -137,7 +139,7 @@
                 "made_from": request.made_from,
                 "author": request.author[:MAX_AUTHOR_LENGTH],
                 "reason": request.reason[:MAX_REASON_LENGTH],
-                "at": time.time_ns() // 1_000_000,
+                "at": time.time_ns() // NANOSECONDS_PER_MILLISECOND,
                 "text": request.content,
             },
             request.call,
@@ -157,7 +159,16 @@
         return _answer(HTTPStatus.OK, answer)
 
     async def _wait_until_in_force(self, name: str, number: int, max_wait: float) -> dict[str, Any]:
-        """Whether a version is active by then, and which members do not act on it yet. Seconds."""
+        """Waits until all dispatchers have applied a version.
+
+        Args:
+            name: Of the document.
+            number: Of the version.
+            max_wait: Seconds.
+
+        Returns:
+            The part of the answer that says whether the version is active, and which members lag.
+        """
         started = time.monotonic()
         index = await self.cluster_node.wait_until_active(name, number, max_wait)
         applied_by_all = index > 0 and await self.cluster_node.wait_until_cluster_applied(
@@ -166,7 +177,7 @@
         return {"counts": index > 0, "lag": [] if applied_by_all else self._lagging_members()}
 
     def _lagging_members(self) -> list[str]:
-        """Who does not act on all that is known here, as far as this member can tell."""
+        """Describes the members that have not applied all entries that this member has applied."""
         status = self.cluster_node.status()
         lagging = [
             f"{member['name']} at {member['at']}: {member['state']}, {member['lag']} behind"
@@ -186,7 +197,7 @@
 
 
 def _rejection_status(response: ProposalResponse) -> HTTPStatus:
-    """Of a version that was not accepted: whether it is known to have been rejected."""
+    """Returns CONFLICT if a version was certainly rejected, GATEWAY_TIMEOUT if its outcome is unknown."""
     known = response.version_number or not response.reason.startswith("no outcome")
     return HTTPStatus.CONFLICT if known else HTTPStatus.GATEWAY_TIMEOUT
 
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -1,6 +1,6 @@
-"""Checks a new version of a replicated document: whether a dispatcher could act on it.
+"""Validates new versions of replicated documents against the settings of this dispatcher.
 
-Not imported unless there are peers.
+Imported only with peers.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,26 +26,27 @@
 from crankfold.maintenance.scheduler import Machine
 
 Content = dict[str, Any]
-"""A document as it is replicated: the JSON object that operators published."""
+"""The content of a replicated document: the JSON object that an operator published."""
 
-UNLISTED = {"listen": "-", "discovery": "-"}  # in place of what the schema asks for and no document has
-LIMIT_PREFIXES = ("grade", "tenant")  # a limit is `all`, or one of these with a name behind a colon
+# The schema requires these keys of a configuration file; replicated settings do not have them.
+PLACEHOLDERS = {"listen": "-", "discovery": "-"}
+LIMIT_PREFIXES = ("grade", "tenant")  # a limit is `all`, or one of these, a colon and a name
 
 
 class QuotaDocument(Struct, forbid_unknown_fields=True):
-    """Limits for the whole cluster, by name."""
+    """The document of cluster-wide limits on requests in hand, by the name of the limit."""
 
     limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)
 
 
 class ManualDrainDocument(Struct, forbid_unknown_fields=True):
-    """Backends that no dispatcher sends requests to."""
+    """The document of backends that are drained at all dispatchers."""
 
     reasons: dict[str, str] = field(name="runners", default_factory=dict)  # by backend id
 
 
 def replicated_settings(settings: Content) -> Content:
-    """The part of a dispatcher's settings that the cluster agrees on."""
+    """Returns the replicated part of a dispatcher's settings."""
     return {name: settings[name] for name in RELOADABLE if name in settings}
 
 
@@ -57,16 +58,14 @@
     local_settings: Content,
     list_machines: Callable[[], Sequence[Machine]],
 ) -> str:
-    """Why a dispatcher could not act on that content, with path, found and allowed; empty if it could.
-
-    Over 30 lines: one case for each document.
+    """Returns why a new version of a document is not valid, with path, found and allowed; empty if it is.
 
     Args:
-        document: its name.
-        content: the new version.
-        previous: the newest version so far, if there is one; asked of settings and maintenance only.
-        local_settings: the settings of this dispatcher's own file, over which the replicated ones are laid.
-        list_machines: gives the machines on which maintenance jobs may be wanted.
+        document: The name of the document.
+        content: The new version.
+        previous: The newest version before it, if there is one; used for settings and maintenance only.
+        local_settings: The settings in the configuration file, which the replicated ones override.
+        list_machines: Gives the machines that maintenance jobs may cover.
     """
     try:
         if document == SETTINGS:
@@ -77,26 +76,32 @@
         if document == LIMITS:
             return _limits_error(content)
         if document == MAINTENANCE:
-            from crankfold.maintenance import specification  # nothing of it before there is maintenance
-
-            return specification.validation_error(content, previous or {}, list_machines())
+            return _maintenance_error(content, previous, list_machines)
     except ValueError as error:
         return str(error)
     return f"{document}: dealt by whoever leads, not by operators"
 
 
+def _maintenance_error(
+    content: Content, previous: Content | None, list_machines: Callable[[], Sequence[Machine]]
+) -> str:
+    from crankfold.maintenance import specification  # imported only where maintenance is used
+
+    return specification.validation_error(content, previous or {}, list_machines())
+
+
 def _settings_error(content: Content, previous: Content | None, local_settings: Content) -> str:
-    """See `validation_error`.
+    """Returns the first setting that is not replicated, as an error; empty if there is none.
 
     Raises:
-        ValueError: naming the first field that is not valid.
+        ValueError: A setting is not valid; the text names the first one.
     """
     for name in content:
         if name not in RELOADABLE:
-            return f"settings.{name}: is each dispatcher's own; agreed are {', '.join(RELOADABLE)}"
+            return f"settings.{name}: not a replicated setting; replicated are {', '.join(RELOADABLE)}"
     settings = {**local_settings, **content}
-    running = None if previous is None else {**UNLISTED, "settings": {**local_settings, **previous}}
-    schema.validate({**UNLISTED, "settings": settings}, running)
+    running = None if previous is None else {**PLACEHOLDERS, "settings": {**local_settings, **previous}}
+    schema.validate({**PLACEHOLDERS, "settings": settings}, running)
     flat = flatten_settings(settings)
     read_service_config(flat)
     read_routing_config(flat)
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -1,7 +1,7 @@
-"""Writes what a dispatcher with peers does, a JSON object a line, for the checks of fault injection.
+"""The event log of a dispatcher with peers: one JSON object a line, for the invariants of fault injection.
 
-The keys of the lines are older than the names in the program. Not imported unless there are peers. A line
-that can't be written is lost and logged: no request depends on it.
+The JSON keys differ from the names in the code; they are mapped in this module. A line that cannot be written
+is dropped and a warning is logged, as no request depends on it. Imported only with peers.
 """
 
 import logging
@@ -19,30 +19,31 @@
 
 logger = logging.getLogger(__name__)
 
-STANDARD_OUTPUT = "-"  # in place of a path; nothing else is written there
-TRANSITION = "step"  # the kind of line that tells a transition of a machine in maintenance
+STANDARD_OUTPUT = "-"  # in place of a path
+TRANSITION = "step"  # the kind of the lines for transitions of machines in maintenance
+FILE_MODE = 0o666  # less the umask
 
 
 class EventLog:
-    """A file that is open until the process ends; nothing is buffered, as the process may be killed."""
+    """Appends events to a file without a buffer, so that a kill of the process loses no event."""
 
     def __init__(self, path: str) -> None:
-        """Appends to the file at `path`, or to standard output.
+        """Opens the file at `path`, or standard output, until the process ends.
 
         Raises:
-            OSError: if the file cannot be opened.
+            OSError: The file cannot be opened.
         """
         if path == STANDARD_OUTPUT:
             self._file = sys.stdout.fileno()
         else:
-            self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o666)
+            self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         self._line_is_torn = False
-        self.recorded_index = 0  # of the replicated log; up to there transitions have been written
+        self.recorded_index = 0  # log index up to which transitions are written
 
     def record_event(
         self, event: RecordedEvent, request_id: str, subject: str, member: Voter | Follower
     ) -> None:
-        """Writes an event with the versions of the documents by which `member` acted."""
+        """Writes an event with the versions of the documents that are in force at `member`."""
         line: dict[str, Any] = {
             "at": _boot_time_ns(),
             "what": event.value,
@@ -59,7 +60,7 @@
         self._write(line)
 
     def record_transitions(self, member: Voter | Follower) -> None:
-        """Writes the transitions of machines in maintenance that `member` has applied since the last call."""
+        """Writes the transitions of machines that `member` has applied since the last call."""
         for transition in member.documents.replicated.maintenance.transitions:
             if transition.index > self.recorded_index:
                 self._write(
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -1,6 +1,6 @@
-"""Acts on what the cluster agreed on, laid over a dispatcher's own file.
+"""Applies the replicated configuration of the cluster, which overrides the configuration file.
 
-Not imported unless there are peers.
+Imported only with peers.
 """
 
 import logging
@@ -13,9 +13,7 @@
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
 from crankfold.config import schema
-from crankfold.config.parser import (
-    ServiceConfig,
-)
+from crankfold.config.parser import ServiceConfig
 from crankfold.consensus.conservative_merge import (
     DRAINED_BACKENDS,
     EXCLUDED_BACKENDS,
@@ -44,7 +42,7 @@
 
 
 class ReplicatedConfig:
-    """What requests and attempts need of the cluster, and what a change of its documents brings about."""
+    """Implements `ClusterServices` for requests, and applies changed documents of the cluster."""
 
     def __init__(
         self,
@@ -54,10 +52,17 @@
         apply_config: Callable[[RoutingConfig, ServiceConfig], None],
         endpoint_list_age: Callable[[], int],
     ) -> None:
-        """Connects to nobody yet. `endpoint_list_age` gives the ticks since discovery answered last.
+        """Reads the configuration of the cluster, without joining it.
+
+        Args:
+            document: The configuration file as decoded.
+            metrics: Counts events.
+            backend_registry: Holds the drains of the cluster.
+            apply_config: Puts a configuration in force.
+            endpoint_list_age: Gives the ticks since the last answer of discovery.
 
         Raises:
-            ValueError: if the document, which is the configuration file as decoded, is not valid.
+            ValueError: The document is not valid.
         """
         self.local_settings: dict[str, Any] = document["settings"]
         self.metrics = metrics
@@ -80,11 +85,16 @@
     async def open(
         self, request_handler: RequestHandler, admin_service: AdminService, succeeds: bool
     ) -> None:
-        """Joins the cluster. `succeeds`: this process replaces one of the same name, which is a member still.
+        """Joins the cluster.
+
+        Args:
+            request_handler: Of this process.
+            admin_service: Of this process.
+            succeeds: Whether this process replaces one of the same name that is still a member.
 
         Raises:
-            OSError: if an address cannot be opened.
-            ValueError: if the folder of a voter is of no use.
+            OSError: An address cannot be opened.
+            ValueError: The storage folder of a voter cannot be used.
         """
         self.request_handler = request_handler
         self.admin_service = admin_service
@@ -98,14 +108,14 @@
         except StorageError as error:
             raise ValueError(f"peers: {error}") from None
         await self.cluster_node.open()
-        # Not before: the admin server is open already, and there was nothing to ask for.
+        # The admin server is open already; calls about the cluster are answered from here on.
         self.admin_service.replicated_config = ClusterAdmin(
             self.cluster_node, lambda: self._maintenance_agent().admin
         )
 
     def _maintenance_agent(self) -> "MaintenanceAgent":
         if self.maintenance is None:
-            from crankfold.service.maintenance import agent  # nothing of it before there is a job
+            from crankfold.service.maintenance import agent  # imported only where maintenance is used
 
             self.maintenance = agent.MaintenanceAgent(
                 self.request_handler,
@@ -118,15 +128,19 @@
         return self.maintenance
 
     async def close(self) -> None:
-        """Leaves the cluster and ends the commands of maintenance jobs."""
+        """Leaves the cluster and kills the commands of maintenance jobs."""
         if self.maintenance:
             self.maintenance.close()
         await self.cluster_node.close()
 
-    # --- what requests and attempts need; see ClusterServices ---
+    # --- for requests and attempts: ClusterServices ---
 
     def has_valid_config(self) -> bool:
-        """Whether requests may be received and attempts be sent under the configuration in force."""
+        """Whether requests may be admitted and attempts may be sent under the configuration in force.
+
+        That is while this member holds a lease, or is isolated and configured to continue. Logs the loss of
+        the lease once.
+        """
         if self.effective_settings is None:
             return False
         if self.cluster_node.has_lease():
@@ -137,7 +151,7 @@
             logger.warning(
                 "%s; %s",
                 self.cluster_node.inactive_reason(),
-                "goes on under the last configuration" if self.acts_when_isolated else "sheds new requests",
+                "continues with the last configuration" if self.acts_when_isolated else "sheds new requests",
                 extra={"category": "cluster"},
             )
         if self.acts_when_isolated:
@@ -145,37 +159,37 @@
         return self.acts_when_isolated
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
-        """Counts one more request; None where a limit for the whole cluster is used up."""
+        """See `ClusterServices`."""
         return self.quotas.acquire(request_class, tenant)
 
     def release_quota(self, limits: Sequence[str]) -> None:
-        """Counts a request no longer."""
+        """See `ClusterServices`."""
         self.quotas.release(limits)
 
     def record_event(self, event: RecordedEvent, request_id: str, subject: str) -> None:
-        """Writes an event to the record, if one is kept, with the versions in force."""
+        """See `ClusterServices`."""
         if self.event_log:
             self.event_log.record_event(event, request_id, subject, self.cluster_node.consensus)
 
     def attempt_abandoned(self, backend_id: str, request_id: str) -> None:
-        """An attempt was given up, and the backend may still execute it."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.attempt_abandoned(backend_id, request_id)
 
     def attempt_finished(self, backend: int, outcome: Outcome) -> None:
-        """An attempt on the backend with that index has ended."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.attempt_finished(backend, outcome)
 
     def abandoned_attempt_finished(self, request_id: str, backend_id: str) -> None:
-        """The backend told the end of an attempt that is not waited for."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.abandoned_attempt_finished(request_id, backend_id)
 
-    # --- what the cluster node asks for and tells; see cluster.node.Dispatcher ---
+    # --- for the cluster node: cluster.node.Dispatcher ---
 
     def validate_document(self, name: str, content: dict[str, Any]) -> str:
-        """Why this dispatcher could not act on that content: path, found and allowed; empty if it could."""
+        """Returns why a new version of a document is not valid here; empty if it is valid."""
         previous = None
         if name in (SETTINGS, MAINTENANCE):
             versions = self.cluster_node.consensus.documents.document(name).versions
@@ -189,7 +203,10 @@
         )
 
     def documents_changed(self, names: set[str]) -> None:
-        """Puts in force what may be acted on by now, before anybody is told that this member knows it."""
+        """Applies the effective content of changed documents.
+
+        The member confirms their versions to the cluster only after this returns.
+        """
         member = self.cluster_node.consensus
         settings = member.effective_content(SETTINGS)
         if SETTINGS in names and settings is not None and settings != self.effective_settings:
@@ -225,13 +242,16 @@
             self.admin_service.endpoints_changed(endpoints)
 
     def quota_usage(self) -> dict[str, int]:
-        """By limit, the requests in hand and those that were rejected for it since the last call."""
+        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
         return self.quotas.collect_usage()
 
     def quiesced_index(self, applied: int) -> int:
-        """Up to which index of the log nothing is done any more by what was in force before.
+        """Returns the log index up to which no request depends on an earlier quota allocation.
+
+        Requests that were admitted under a larger quota may exceed a new one until they are answered.
 
-        Requests received under a larger quota count against it until they are answered.
+        Args:
+            applied: The last applied index, which is the result while no quota is exceeded.
         """
         if self.quotas.within_allocation():
             return applied
@@ -243,9 +263,12 @@
         return min([applied, *(index - 1 for index in pending)])
 
     def maintenance_report(self) -> MaintenanceReport | None:
-        """What this dispatcher knows of machines in maintenance; None while there are none."""
+        """Returns the report of this dispatcher on machines in maintenance; None while there are none."""
         return self.maintenance.build_report() if self.maintenance else None
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions of machines in maintenance to propose at `now`; none unless this member leads."""
+        """Returns the transitions of machines to propose; none unless this member leads.
+
+        `now` is in ticks of the boot clock.
+        """
         return self.maintenance.propose_transitions(now) if self.maintenance else []
