--- a/crankfold/service/admin_service.py
+++ b/crankfold/service/admin_service.py
@@ -1,4 +1,4 @@
-"""Carries out operators' calls on the request handler, the backend registry and the clients' connections."""
+"""Carries out the admin calls: readiness, manual drains of backends, the drain of this process."""
 
 import logging
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
 
 logger = logging.getLogger(__name__)
 
-DRAIN_CHECK_INTERVAL = 0.05  # seconds
+DRAIN_CHECK_INTERVAL = 0.05  # seconds between checks whether a drain is complete
 
 
 class AdminService:
-    """The operators' calls, as `protocol.admin_api` decodes them."""
+    """Implements the admin calls that `protocol.admin_api` decodes."""
 
     def __init__(
         self,
@@ -34,11 +34,11 @@
         self.other_processes = other_processes
         self.loop = request_handler.timers.loop
         self.replicated_config: ReplicatedConfigAdmin | None = None
-        """None without a cluster, and until the member of it is open."""
+        """None without a cluster, and until this process has joined it."""
         self._checking_drain = False
 
     def is_ready(self) -> bool:
-        """Whether a request would be accepted now, and there is a backend to send it to."""
+        """Whether this process would admit a request and a backend may get it."""
         return (
             self.request_handler.is_serving()
             and self.backend_registry.any_ready()
@@ -46,11 +46,11 @@
         )
 
     async def drain_backend(self, backend_id: str) -> bool:
-        """Sends a backend no more requests; false if it was never listed."""
+        """Drains a backend; returns False if no backend of that id was ever listed."""
         return await self._set_manual_drain(backend_id, drained=True)
 
     async def restore_backend(self, backend_id: str) -> bool:
-        """Ends a manual drain; false if the backend was never listed."""
+        """Ends a manual drain; returns False if no backend of that id was ever listed."""
         return await self._set_manual_drain(backend_id, drained=False)
 
     async def _set_manual_drain(self, backend_id: str, *, drained: bool) -> bool:
@@ -69,11 +69,11 @@
         return True
 
     def endpoints_changed(self, endpoints: Sequence[Endpoint]) -> None:
-        """Tells routing of endpoints that count otherwise now, though the list is as it was."""
+        """Reports endpoints whose effective state has changed without a new endpoint list to the router."""
         self.request_handler.notify_routing(self.request_handler.routing.endpoints_changed, endpoints, False)
 
     def leave_service(self) -> None:
-        """Drains this process; a repeated call changes nothing."""
+        """Drains this process; a repeated call has no effect."""
         if self.lifecycle.start_drain(self.loop.time()):
             self.metrics.increment("drains")
             logger.info("out of service, draining")
@@ -82,7 +82,7 @@
             self._check_drain()
 
     def enter_service(self) -> bool:
-        """Ends a drain of this process; false if it is shutting down."""
+        """Ends the drain of this process; returns False if it is shutting down."""
         allowed = self.lifecycle.resume_serving(self.loop.time())
         if allowed and self.listener.closing:
             self.listener.closing = False
@@ -90,7 +90,7 @@
         return allowed
 
     def _check_drain(self) -> None:
-        """Closes clients' connections one by one until there are none; called again and again meanwhile."""
+        """Closes idle connections of clients; scheduled again until the drain of this process ends."""
         self._checking_drain = self.lifecycle.is_leaving()
         if not self._checking_drain:
             return
--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -1,11 +1,11 @@
-"""One dispatcher process: builds its parts, starts them in order, serves, and hands over to the shutdown."""
+"""The dispatcher process: builds its parts, starts them in order and runs until shutdown."""
 
 import asyncio
 import contextlib
 import logging
 import signal
 import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
@@ -36,6 +36,7 @@
 from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.shutdown import ShutdownSequence
 from crankfold.service.socket_budget import SocketBudget
+from crankfold.time_units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
     from crankfold.service.cluster.replicated_config import ReplicatedConfig
@@ -43,13 +44,14 @@
 
 logger = logging.getLogger(__name__)
 
-# Tenths of a millisecond; whether polled or watched, a change of the endpoint list counts as known after it.
-ENDPOINT_PROPAGATION_DELAY = 60_000
+# Ticks after which every dispatcher is expected to know a change of the endpoint list.
+ENDPOINT_PROPAGATION_DELAY = 6 * TICKS_PER_SECOND
 FIRST_LIST_TIMEOUT = 0.3  # seconds that a start waits for discovery, which may be down
+SEED_BASE = 16  # the configuration has the seed as a hexadecimal number
 
 
 class Application:
-    """Owns every part of the process for its whole life; `run` returns at its end."""
+    """Owns all parts of the process; `run` returns after its shutdown."""
 
     def __init__(
         self,
@@ -57,15 +59,15 @@
         read_document: Callable[[], dict[str, Any]],
         handover_directory: str = "",
     ) -> None:
-        """Builds all parts and opens none.
+        """Builds all parts without opening a file or a socket.
 
         Args:
-            document: the configuration file as decoded, with what the command line replaces in it.
-            read_document: gives the document again, as it is on SIGHUP.
-            handover_directory: where processes that replace one another meet; empty if they cannot.
+            document: The configuration file as decoded, with the overrides of the command line.
+            read_document: Reads the document again, for a reload.
+            handover_directory: Has the handover socket and record; empty disables the handover.
 
         Raises:
-            ConfigError: if the document cannot be served from.
+            ConfigError: The document is not valid.
         """
         # Over 30 lines: the list of the parts, in the order in which they need one another.
         routing_config, config, seed = _parse_document(document)
@@ -130,10 +132,10 @@
         )
 
     def _build_handover(self, document: dict[str, Any], directory: str) -> "Handover | None":
-        """Processes replace one another only where operators can ask the new one whether it is ready."""
+        """Enables the handover if there is an admin server, which reports the readiness of a successor."""
         if not self.admin_address or not directory:
             return None
-        from crankfold.service.handover.handover import Handover  # no other process is met without it
+        from crankfold.service.handover.handover import Handover  # imported only with a handover directory
 
         return Handover(
             directory,
@@ -146,7 +148,7 @@
     def _build_replicated_config(self, document: dict[str, Any]) -> "ReplicatedConfig | None":
         if not document.get("peers"):
             return None
-        from crankfold.service.cluster import replicated_config  # nothing of it is imported without peers
+        from crankfold.service.cluster import replicated_config  # imported only with peers
 
         try:
             return replicated_config.ReplicatedConfig(
@@ -160,7 +162,7 @@
             raise ConfigError(str(error)) from None
 
     def _build_control_path(self, document: dict[str, Any]) -> None:
-        """What discovery and operators reach."""
+        """Builds the discovery watcher, the admin service and the admin server."""
         host, port = parse_address(document["discovery"], "discovery")
         self.discovery_watcher = DiscoveryWatcher(
             host,
@@ -176,19 +178,19 @@
         self.admin_server = AdminServer(self.admin_service, self.metrics)
 
     def _apply_config(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """For the replicated configuration, which is there before what applies a configuration."""
+        """Applies the replicated configuration, which is built before `config_applier`."""
         self.config_applier.apply(routing_config, config)
 
-    # --- what discovery says ---
+    # --- events of discovery ---
 
     def _endpoint_list_age(self) -> int:
-        """Tenths of a millisecond since discovery answered last; 0 where it is only polled now and then."""
+        """Returns the ticks since the last answer of discovery; 0 where discovery is polled on demand."""
         if self.polls_discovery:
             return 0
-        return int((self.timers.loop.time() - self.discovery_watcher.last_answer_at) * 10_000)
+        return int((self.timers.loop.time() - self.discovery_watcher.last_answer_at) * TICKS_PER_SECOND)
 
     def _start_polling(self) -> None:
-        # Routing asks for a poll while it is constructed, when there is no watcher yet.
+        # The constructor of the router starts a poll before the watcher is built.
         self.timers.loop.call_soon(lambda: self.discovery_watcher.start(False))
 
     def _endpoints_received(self, endpoints: Sequence[Endpoint], is_snapshot: bool) -> None:
@@ -201,23 +203,23 @@
             self.discovery_answered.set()
             self.request_handler.discovery_failed()
 
-    # --- from the start to the end ---
+    # --- start and shutdown ---
 
     async def run(self) -> None:
-        """Serves until a signal asks for the end, then drains.
+        """Serves until SIGTERM or SIGINT, then drains.
 
         Raises:
-            ConfigError: if an address cannot be opened, or the cluster member cannot be started.
+            ConfigError: An address cannot be opened, or the cluster cannot be joined.
         """
         self._install_signal_handlers()
         await self._start_discovery()
         await self._open_admin_server()
-        # Known endpoints may be out of date after a restart; requests would go to backends that are gone.
+        # The known endpoints may be outdated, so the first list of discovery is awaited for a moment.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.discovery_answered.wait()
         await self._open_replicated_config()
-        if self.shutdown_requested.is_set():  # nobody is to connect only to be sent away
+        if self.shutdown_requested.is_set():  # no connection is accepted only to be closed
             logger.info("ended by a signal before serving")
             await self._close()
             return
@@ -236,10 +238,10 @@
         loop.add_signal_handler(signal.SIGUSR1, self.report_metrics)
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         if take_reload_request():
-            self.reloader.reload()  # the file may have been read before it was changed
+            self.reloader.reload()  # SIGHUP came during the start, maybe after the file was read
 
     async def _start_discovery(self) -> None:
-        """Begins with the endpoints of a predecessor, else of the configuration, where there are some."""
+        """Registers the endpoints of the predecessor or of the configuration, and starts the watcher."""
         if self.handover:
             self.known_endpoints = await self.handover.connect() or self.known_endpoints
         if self.known_endpoints is not None:
@@ -259,7 +261,7 @@
             return
         self.request_handler.endpoints_changed(endpoints, is_snapshot)
         if self.polls_discovery:
-            # Polled when routing says so; what changed since this revision is a shorter answer than all.
+            # The router starts the polls; discovery then answers with the changes since this revision.
             self.discovery_watcher.revision = revision
             self.discovery_answered.set()
 
@@ -311,7 +313,7 @@
         self.report_metrics()
 
     def _unhandled_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Counts and logs, with its place, an error that no handler caught; a debug build ends by it."""
+        """Records an unhandled exception; a debug build shuts down and raises it from `run`."""
         error = context.get("exception") or RuntimeError(context.get("message"))
         self.metrics.record_exception(error)
         if __debug__:
@@ -319,7 +321,7 @@
             self.shutdown_requested.set()
 
     def report_metrics(self) -> None:
-        """Logs the counters and what is open now."""
+        """Logs the counters and the numbers of open requests and connections."""
         self.metrics.log_counters(
             {
                 "open-requests": self.request_handler.open_request_count(),
@@ -331,14 +333,14 @@
 
 
 def _parse_document(document: dict[str, Any]) -> tuple[RoutingConfig, ServiceConfig, int]:
-    """Both configurations and the seed of the routing decisions.
+    """Returns both configurations and the seed of the router.
 
     Raises:
-        ConfigError: naming what is wrong.
+        ConfigError: A setting is not valid; the text names it.
     """
     try:
         parsed = parse_settings(document["settings"])
-        seed = int(str(document.get("seed", "0")), 16)
+        seed = int(str(document.get("seed", "0")), SEED_BASE)
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     routing_config = replace(parsed.routing, change_notice_within=ENDPOINT_PROPAGATION_DELAY)
@@ -346,8 +348,8 @@
 
 
 @contextlib.contextmanager
-def _config_error_at(address: tuple[str, int]) -> Any:
-    """Turns an error of opening that address into a `ConfigError`."""
+def _config_error_at(address: tuple[str, int]) -> Iterator[None]:
+    """Converts an OSError at the opening of that address to a `ConfigError`."""
     try:
         yield
     except OSError as error:
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -19,6 +19,7 @@
 from crankfold.consensus.messages import ProposalResponse
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.consensus.voter import Voter
+from crankfold.service.wall_clock import wall_clock_ms
 
 if TYPE_CHECKING:
     from crankfold.service.maintenance.admin import MaintenanceAdmin
@@ -28,7 +29,6 @@
 MAX_WAIT = 60.0  # seconds that a publish waits at most until all dispatchers have applied the version
 MAX_AUTHOR_LENGTH = 200  # characters
 MAX_REASON_LENGTH = 2000  # characters
-NANOSECONDS_PER_MILLISECOND = 1_000_000
 VOTERS = "voters"  # in place of the name of a document: changes the membership
 FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
 
@@ -139,7 +139,7 @@
                 "made_from": request.made_from,
                 "author": request.author[:MAX_AUTHOR_LENGTH],
                 "reason": request.reason[:MAX_REASON_LENGTH],
-                "at": time.time_ns() // NANOSECONDS_PER_MILLISECOND,
+                "at": wall_clock_ms(),
                 "text": request.content,
             },
             request.call,
--- a/crankfold/service/config_file.py
+++ b/crankfold/service/config_file.py
@@ -1,6 +1,6 @@
-"""Reads the configuration file and derives from it what a start or a reload needs.
+"""Reads the configuration file, and derives the values for a start or a reload.
 
-A document is the JSON object of the file as it was decoded, with the keys and values of the file.
+A document is the JSON object in the file as decoded, with the keys and values of the file.
 """
 
 from pathlib import Path
@@ -19,21 +19,25 @@
 from crankfold.network.admin_server import MAX_CALLERS
 from crankfold.network.listener import UNCOUNTED_SOCKETS
 from crankfold.routing.interface import RoutingConfig
+from crankfold.time_units import TICKS_PER_SECOND
 
-DEFAULT_SOCKETS = 1024  # of the process, where the file names no limit
+DEFAULT_SOCKETS = 1024  # limit of the process if the file has none
 MIN_SOCKETS = 64
-ADMIN_SPARE_SOCKETS = 4  # beside the admin callers': the listening one, and those just being closed
+IDLE_TIMEOUT_SHARE = 0.5  # of a backend's idle timeout; no request meets a connection that it closes
+ADMIN_SPARE_SOCKETS = 4  # the listening socket of the admin server and sockets being closed
+BACKEND_SOCKETS_DIVISOR = 4  # a quarter of the sockets is for backends
+SPARE_SOCKETS_DIVISOR = 16  # a sixteenth stays free for sockets being closed
 
 
 class SocketLimits(NamedTuple):
-    """How many sockets the process may have open at once, by what they are for."""
+    """The maximum numbers of open sockets of the process, by purpose."""
 
     backend_connections: int
     accepted_connections: int
 
 
 class ParsedConfig(NamedTuple):
-    """What follows from a document's settings."""
+    """The configurations that a document's settings define."""
 
     routing: RoutingConfig
     service: ServiceConfig
@@ -47,10 +51,10 @@
 
 
 def read_config(path: str) -> dict[str, Any]:
-    """The document in the file at `path`.
+    """Returns the document in the file at `path`.
 
     Raises:
-        ConfigError: without a path, or if the file cannot be read, is no JSON or lacks a part.
+        ConfigError: There is no path, the file cannot be read or is not JSON, or a part is missing.
     """
     if not path:
         raise ConfigError("no configuration: set GW_CONFIG or give --config")
@@ -65,10 +69,10 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Host and port of `HOST:PORT`; an IPv6 host may stand in brackets.
+    """Returns host and port of `HOST:PORT`; an IPv6 host may be in brackets.
 
     Raises:
-        ConfigError: if `text`, which stands under `key`, has another form.
+        ConfigError: `text`, the value of `key`, has another form.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -78,18 +82,18 @@
 
 
 def divide_socket_limit(document: dict[str, Any], has_admin_server: bool) -> SocketLimits:
-    """The limits that follow from `limits.sockets`. Some sockets stay free for files and discovery.
+    """Divides `limits.sockets` between backends and clients; some stay free for files and discovery.
 
     Raises:
-        ConfigError: if the limit is no number.
+        ConfigError: The limit is not a number.
     """
     try:
         sockets = max(int((document.get("limits") or {}).get("sockets") or DEFAULT_SOCKETS), MIN_SOCKETS)
     except (AttributeError, TypeError, ValueError):
         raise ConfigError("limits: sockets is no number") from None
-    for_backends = sockets // 4
-    # A closed connection gives its descriptor back only a turn of the event loop later, on either side.
-    free = sockets // 16 + UNCOUNTED_SOCKETS
+    for_backends = sockets // BACKEND_SOCKETS_DIVISOR
+    # The descriptor of a closed connection is released in the next iteration of the event loop.
+    free = sockets // SPARE_SOCKETS_DIVISOR + UNCOUNTED_SOCKETS
     for_admin = MAX_CALLERS + ADMIN_SPARE_SOCKETS if has_admin_server else 0
     return SocketLimits(
         backend_connections=for_backends,
@@ -98,28 +102,30 @@
 
 
 def connection_timeouts(config: ServiceConfig) -> ConnectionTimeouts:
-    """The time limits in force under `config`."""
-    # Backends close idle connections after their own timeout; half of it is well before.
-    return ConnectionTimeouts(connect=config.connect_timeout / 10_000, idle=config.idle_timeout / 20_000)
+    """Returns the time limits that `config` defines."""
+    return ConnectionTimeouts(
+        connect=config.connect_timeout / TICKS_PER_SECOND,
+        idle=config.idle_timeout / TICKS_PER_SECOND * IDLE_TIMEOUT_SHARE,
+    )
 
 
 def parse_settings(settings: dict[str, Any]) -> ParsedConfig:
-    """The configurations in the settings as they stand in a document.
+    """Returns the configurations that the settings of a document define.
 
     Raises:
-        ValueError: naming a setting that is not valid. Not all that `config.schema` checks is looked at.
+        ValueError: A setting is not valid; the text names it. `config.schema` checks more.
     """
     flat = flatten_settings(settings)
     return ParsedConfig(read_routing_config(flat), read_service_config(flat))
 
 
 def parse_changed_document(document: dict[str, Any], running: dict[str, Any]) -> ParsedConfig:
-    """The configurations in a document that is to replace the running one, if all of it is valid.
+    """Returns the configurations of a document that is to replace the running one.
 
     Raises:
-        ConfigError: naming the first field that is not.
+        ConfigError: The document is not valid; the text names the first such field.
     """
-    from crankfold.config import schema  # not at start: 2.7 MB and 15 ms
+    from crankfold.config import schema  # not at the start, for its import time and memory
 
     try:
         schema.validate(document, running)
@@ -129,7 +135,7 @@
 
 
 def settings_needing_restart(document: dict[str, Any], running: dict[str, Any]) -> list[str]:
-    """Paths of what differs between the documents and is not applied by a reload, sorted."""
+    """Returns the sorted paths of the differences that a reload does not apply."""
     new_settings = _without_class_specifics(document["settings"])
     old_settings = _without_class_specifics(running["settings"])
     differing = [
@@ -143,7 +149,7 @@
 
 
 def _without_class_specifics(settings: dict[str, Any]) -> dict[str, Any]:
-    """The settings less the specifics of request classes, which are reloaded with their classes."""
+    """Returns the settings without specifics of request classes, which a reload applies."""
     specifics = {
         name: value
         for name, value in (settings.get("specifics") or {}).items()
--- a/crankfold/service/lifecycle.py
+++ b/crankfold/service/lifecycle.py
@@ -1,15 +1,15 @@
-"""Whether this process is in service, and how it is taken out of service and back; given the time, no I/O.
+"""The lifecycle state machine: in service, draining, out of service, shutting down. No I/O.
 
 Times are seconds of one monotonic clock.
 """
 
 from enum import Enum
 
-CLIENT_MIGRATION_PERIOD = 1.5  # seconds in which clients get the answer marked as their connection's last
+CLIENT_MIGRATION_PERIOD = 1.5  # seconds in which a response moves a client to another dispatcher
 
 
 class LifecycleState(Enum):
-    """Where a process stands between its start and its end."""
+    """The states of a process."""
 
     STARTING = "starting"
     SERVING = "in service"
@@ -19,7 +19,7 @@
 
 
 class Lifecycle:
-    """A state machine: operators drain it and put it back; a signal ends it for good."""
+    """The state of the process; admin calls drain and resume it, a signal shuts it down for good."""
 
     def __init__(self) -> None:
         self.state = LifecycleState.STARTING
@@ -33,28 +33,28 @@
         return True
 
     def start_serving(self, now: float) -> None:
-        """The end of the start. A drain that was asked for before is not forgotten by it."""
+        """Ends the start; a drain that began during the start continues."""
         if self.state == LifecycleState.STARTING:
             self._enter(LifecycleState.SERVING, now)
 
     def start_drain(self, now: float) -> bool:
-        """Whether anything changes: a repeated call does not begin the drain anew."""
+        """Starts a drain; returns False if one has begun already."""
         return self.state in (LifecycleState.STARTING, LifecycleState.SERVING) and self._enter(
             LifecycleState.DRAINING, now
         )
 
     def resume_serving(self, now: float) -> bool:
-        """Back in service; false if the process is shutting down, as it then stays out."""
+        """Ends a drain; returns False if the process is shutting down, which cannot be undone."""
         if self.state in (LifecycleState.DRAINING, LifecycleState.OUT_OF_SERVICE):
             self._enter(LifecycleState.SERVING, now)
         return self.state != LifecycleState.SHUTTING_DOWN
 
     def start_shutdown(self, now: float) -> None:
-        """The process ends."""
+        """Starts the shutdown, which is final."""
         self._enter(LifecycleState.SHUTTING_DOWN, now)
 
     def finish_drain(self, now: float, empty: bool) -> bool:
-        """Ends a drain if no request and no client is left; true when that is now."""
+        """Completes the drain if no request and no client is left; returns whether it did."""
         return (
             self.state == LifecycleState.DRAINING
             and empty
@@ -63,13 +63,13 @@
         )
 
     def is_serving(self) -> bool:
-        """Whether health checks are answered in the affirmative."""
+        """Whether the process is in service, as its health check reports."""
         return self.state == LifecycleState.SERVING
 
     def is_leaving(self) -> bool:
-        """Whether every answer is the last on its connection."""
+        """Whether each response closes its connection."""
         return self.state in (LifecycleState.DRAINING, LifecycleState.OUT_OF_SERVICE)
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Whether clients had the time to take another dispatcher with their next request."""
+        """Whether the migration period is over, so that idle connections are closed."""
         return self.is_leaving() and now - self.entered_at > CLIENT_MIGRATION_PERIOD
--- a/crankfold/service/maintenance/__init__.py
+++ b/crankfold/service/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""This dispatcher's part in the maintenance of machines."""
+"""Maintenance of machines at one dispatcher: reports, commands and admin calls."""
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -1,9 +1,8 @@
-"""Answers operators' calls about maintenance: what there is, what a job would do, a machine's next step.
+"""The admin API of maintenance: status, forecast of a job, transitions of machines by operators.
 
-The keys of calls and answers are older than the names in the program.
+The JSON keys of calls and answers differ from the names in the code; they are mapped in this module.
 """
 
-import time
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
@@ -23,13 +22,14 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
-from crankfold.service.maintenance.machine_inventory import TICKS_PER_SECOND
+from crankfold.service.wall_clock import wall_clock_ms
+from crankfold.time_units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
     from crankfold.service.maintenance.agent import MaintenanceAgent
 
-PROPOSE_TIMEOUT = 10.0  # seconds
-RESTORE_LOCALLY = "here"  # the step that concerns this dispatcher alone
+PROPOSE_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
+RESTORE_LOCALLY = "here"  # the step that affects this dispatcher only
 OPERATOR_TRANSITIONS = {
     "begin": MaintenancePhase.IN_WORK,
     "done": MaintenancePhase.WORK_DONE,
@@ -45,9 +45,9 @@
 
 
 class TransitionRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """What an operator says of a machine."""
+    """The call for a transition of a machine."""
 
-    call: str  # identifies the call; the same one has one effect, however often it is made
+    call: str  # idempotency key of the call
     machine_id: str = field(name="machine")
     step: str
     drain_number: int = field(name="number", default=0)
@@ -56,28 +56,28 @@
 
 
 class ForecastRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A job that is not published yet."""
+    """The call for the forecast of a job that is not published."""
 
     name: str
     job: dict[str, Any] = field(name="work")
 
 
 class TransitionResult(NamedTuple):
-    """What became of an operator's step."""
+    """The outcome of a transition that an operator requested."""
 
     accepted: bool
-    reason: str = ""  # why not
-    outcome_known: bool = True  # false if the step may yet be accepted
+    reason: str = ""  # of a rejection
+    outcome_known: bool = True  # False if the transition may still be accepted
 
 
 class MaintenanceAdmin:
-    """The operators' calls about maintenance at one dispatcher."""
+    """Carries out the admin calls about maintenance at one dispatcher."""
 
     def __init__(self, agent: "MaintenanceAgent") -> None:
         self.agent = agent
 
     def describe(self) -> dict[str, Any]:
-        """The jobs, the machines in maintenance, what they wait for and the transitions so far."""
+        """Returns the jobs, the machines in maintenance, the wait reasons and the transitions."""
         agent = self.agent
         state = agent.state
         member = agent.cluster_node.consensus
@@ -127,10 +127,10 @@
         }
 
     def forecast(self, body: bytes) -> dict[str, Any]:
-        """What would come about if this job were published now. Changes nothing.
+        """Returns the departures of machines if this job were published now; changes nothing.
 
         Raises:
-            msgspec.DecodeError: if the body is no `ForecastRequest`.
+            msgspec.DecodeError: The body is not a `ForecastRequest`.
         """
         request = msgspec.json.decode(body, type=ForecastRequest)
         agent = self.agent
@@ -159,16 +159,16 @@
             machines=machines,
             out_for={machine_id: machine.job for machine_id, machine in agent.state.machines.items()},
             completed=agent.state.completed_pairs(),
-            now_ms=time.time_ns() // 1_000_000,
+            now_ms=wall_clock_ms(),
             drain_seconds=drain_ticks / TICKS_PER_SECOND,
             warm_up_seconds=agent.request_handler.config.slow_start_duration / TICKS_PER_SECOND,
         )
 
     async def request_transition(self, body: bytes) -> TransitionResult:
-        """Proposes a step that an operator calls for.
+        """Proposes the transition that an operator requests.
 
         Raises:
-            msgspec.DecodeError: if the body is no `TransitionRequest`.
+            msgspec.DecodeError: The body is not a `TransitionRequest`.
         """
         request = msgspec.json.decode(body, type=TransitionRequest)
         if request.step == RESTORE_LOCALLY:
@@ -192,7 +192,7 @@
         )
 
     def _objection(self, machine_id: str, machine: MachineInMaintenance, phase: MaintenancePhase) -> str:
-        """Why an operator may not call for that step, though it would follow; empty if he may."""
+        """Returns why an operator may not request a transition that the state permits; empty if allowed."""
         job = self.agent.jobs().get(machine.job)
         if (
             phase in (MaintenancePhase.IN_WORK, MaintenancePhase.WORK_DONE)
@@ -207,7 +207,7 @@
         return ""
 
     def _restore_locally(self, machine_id: str) -> TransitionResult:
-        """While it is isolated nobody can tell this dispatcher that nothing is done on the machine."""
+        """Restores a machine at this dispatcher only, which is isolated and cannot propose a transition."""
         if machine_id not in self.agent.state.out_of_rotation():
             return _not_out(machine_id)
         if self.agent.cluster_node.has_lease():
@@ -224,7 +224,7 @@
         by=request.author or "an operator",
         incarnation=0,
         reason=request.reason,
-        at_ms=time.time_ns() // 1_000_000,
+        at_ms=wall_clock_ms(),
         drain_number=request.drain_number or None,
     )
 
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -1,10 +1,9 @@
-"""One dispatcher's part in the maintenance of machines: it reports what it sees, and decides if it leads.
+"""Maintenance at one dispatcher: reports its observations, and proposes transitions while it is the leader.
 
-What is decided is in `crankfold/maintenance/`. Not imported before there is a maintenance job.
+The decisions are in `crankfold/maintenance/`. Imported only once there is a maintenance job.
 """
 
 import logging
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -25,22 +24,23 @@
 from crankfold.service.maintenance.commands import CommandExecutor
 from crankfold.service.maintenance.machine_inventory import (
     DISPATCHER_PREFIX,
-    TICKS_PER_SECOND,
     MachineInventory,
     dispatcher_id,
     dispatcher_machines,
 )
 from crankfold.service.maintenance.observations import MaintenanceObservations
 from crankfold.service.requests.handler import RequestHandler
+from crankfold.service.wall_clock import wall_clock_ms
+from crankfold.time_units import TICKS_PER_SECOND
 
 logger = logging.getLogger(__name__)
 
-MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # an older list is not relied on
+MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # no machine is taken out by an older list
 AREA_OF_SCOPE = {DeduplicationScope.ZONE: Area.ZONE, DeduplicationScope.CELL: Area.CELL}
 
 
 class MaintenanceAgent:
-    """Joins the decisions on maintenance to the requests, the cluster node and the commands here."""
+    """Connects the maintenance decisions with requests, the cluster node and commands at this dispatcher."""
 
     def __init__(
         self,
@@ -52,10 +52,15 @@
         endpoint_list_age: Callable[[], int],
         machines_out_changed: Callable[[], None],
     ) -> None:
-        """Begins with nothing observed. Over 30 lines: one for each attribute.
+        """Creates the parts.
 
-        `endpoint_list_age` gives the ticks since discovery answered last; `machines_out_changed` is called
-        when `machines_out` may give others though the cluster agreed on nothing new.
+        Args:
+            request_handler: Of this process.
+            admin_service: Drains this process for a job on dispatchers.
+            cluster_node: Has the replicated state, and takes proposals.
+            metrics: Counts events.
+            endpoint_list_age: Gives the ticks since the last answer of discovery.
+            machines_out_changed: Called when `machines_out` changes without a change of the replicated state.
         """
         self.request_handler = request_handler
         self.admin_service = admin_service
@@ -68,35 +73,35 @@
         self.observations = MaintenanceObservations(request_handler, metrics.counters)
         self.commands = CommandExecutor(cluster_node, request_handler.backends)
         self.admin = MaintenanceAdmin(self)
-        self.out_of_service = False  # for a job about dispatchers
-        self.dispatcher_zones: dict[str, str] = {}  # as the members reported last
-        self.restored_locally: set[str] = set()  # machines that an operator put back at this dispatcher alone
+        self.out_of_service = False  # whether a job on dispatchers drains this process
+        self.dispatcher_zones: dict[str, str] = {}  # by dispatcher name, as last reported
+        self.restored_locally: set[str] = set()  # machine ids
         self._jobs: dict[str, specification.JobSpecification] = {}
         self._jobs_version = -1
 
     @property
     def state(self) -> MaintenanceState:
-        """What the cluster agreed on, as far as it is known here."""
+        """The replicated state of maintenance that this member has applied."""
         return self.cluster_node.consensus.documents.replicated.maintenance
 
     def jobs(self) -> dict[str, specification.JobSpecification]:
-        """The newest version of the jobs, by name."""
+        """Returns the newest version of the jobs, by name."""
         document = self.cluster_node.consensus.documents.document(MAINTENANCE)
         if document.latest_number() != self._jobs_version:
             self._jobs_version = document.latest_number()
             try:
                 self._jobs = specification.parse_jobs(document.versions[-1].text) if document.versions else {}
-            except ValueError as error:  # accepted by a majority of another version of the program
+            except ValueError as error:  # validated by members with another program version
                 logger.warning("can't be read here: %s", error, extra={"category": "maintenance"})
                 self._jobs = {}
         return self._jobs
 
     def machines(self) -> list[Machine]:
-        """The backends as machines."""
+        """Returns the backends as machines."""
         return self.inventory.machines(self.state)
 
     def dispatchers(self, member: Voter, now: int) -> list[Machine]:
-        """The members of the cluster as machines; `now` is in ticks of the boot clock."""
+        """Returns the members of the cluster as machines; `now` is in ticks of the boot clock."""
         return dispatcher_machines(member, now, self.dispatcher_zones)
 
     def machines_out(self) -> set[str]:
@@ -104,7 +109,7 @@
         return self.state.out_of_rotation() - self.restored_locally
 
     def restore_locally(self, machine_id: str) -> None:
-        """Sends requests to a machine again, at this dispatcher alone, until it has a lease."""
+        """Restores a machine at this dispatcher only, until this dispatcher holds a lease again."""
         self.restored_locally.add(machine_id)
         self.metrics.increment("machines-restored-locally")
         logger.info(
@@ -113,28 +118,28 @@
         self.machines_out_changed()
 
     def close(self) -> None:
-        """Ends the commands that run here."""
+        """Kills the commands of this dispatcher."""
         self.commands.close()
 
-    # --- what happens here ---
+    # --- events of attempts ---
 
     def attempt_abandoned(self, backend_id: str, request_id: str) -> None:
-        """An attempt was given up, and the backend may still execute it."""
+        """Records that an attempt was abandoned; the backend may still execute it."""
         self.observations.attempt_abandoned(backend_id, request_id)
 
     def abandoned_attempt_finished(self, request_id: str, backend_id: str) -> None:
-        """The backend told the end of an attempt that was given up."""
+        """Records that the backend confirmed the end of an abandoned attempt."""
         self.observations.abandoned_attempt_finished(request_id, backend_id)
 
     def attempt_finished(self, backend: int, outcome: Outcome) -> None:
-        """An attempt on the backend with that index has ended."""
+        """Records the outcome of an attempt at the backend with that index."""
         backend_id = self.request_handler.backends.backend_ids.names[backend]
         self.observations.attempt_finished(backend_id, outcome)
 
-    # --- what the cluster agreed on ---
+    # --- the replicated state ---
 
     def state_changed(self) -> None:
-        """Goes by the state as it is now: this dispatcher's own service, counts, commands that are due."""
+        """Applies the replicated state: drains or resumes this process, starts the commands that are due."""
         machines = self.state.machines
         out_of_rotation = self.state.out_of_rotation()
         self.observations.state_changed(
@@ -154,11 +159,11 @@
         self.commands.start_due(self.state, self.jobs())
 
     def build_report(self) -> MaintenanceReport | None:
-        """What the cluster is told with each request for a lease; None while there is no maintenance."""
+        """Returns the report that goes with each lease request; None while there is no maintenance."""
         if not self.jobs() and not self.state.machines:
             return None
         if self.restored_locally and self.cluster_node.has_lease():
-            self.restored_locally.clear()  # from now on what the cluster agreed on counts here too
+            self.restored_locally.clear()  # the replicated state is in force again
             self.machines_out_changed()
         self.commands.start_due(self.state, self.jobs())
         report = MaintenanceReport()
@@ -176,10 +181,13 @@
             report.idle_dispatchers = [name]
         return report
 
-    # --- what is decided, if this dispatcher leads ---
+    # --- as the leader ---
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions to propose at `now`, in ticks of the boot clock; none unless this member leads."""
+        """Returns the transitions to propose; none unless this member is the leader and holds a lease.
+
+        `now` is in ticks of the boot clock.
+        """
         member = self.cluster_node.consensus
         if not isinstance(member, Voter) or (not self.jobs() and not self.state.machines):
             return []
@@ -193,7 +201,7 @@
         ]
 
     def _fleet_view(self, member: Voter, now: int) -> FleetView:
-        """All that a leader knows. Over 30 lines: the list of what that is."""
+        """Returns the inputs of the coordinator's decisions."""
         cluster_report = member.cluster_report(now)
         report = cluster_report.combined
         self.dispatcher_zones |= report.dispatcher_zones
@@ -209,7 +217,7 @@
 
         return FleetView(
             now=now,
-            wall_ms=time.time_ns() // 1_000_000,
+            wall_ms=wall_clock_ms(),
             jobs_version=member.documents.document(MAINTENANCE).latest_number(),
             jobs=dict(self.jobs()),
             state=self.state,
@@ -231,14 +239,14 @@
         )
 
     def _stale_reason(self) -> str:
-        """Why the endpoint list can't be relied on, or ""."""
+        """Returns why the endpoint list is too old for decisions; empty if it is not."""
         age = self.endpoint_list_age()
         if age <= MAX_ENDPOINT_LIST_AGE:
             return ""
         return f"the list was not heard of for {age // TICKS_PER_SECOND} s"
 
     def _deduplication_areas(self) -> list[Area]:
-        """Within what repeats of a request with an idempotency key have to stay."""
+        """Returns the areas in which retries of requests with an idempotency key have to stay."""
         return sorted(
             {
                 AREA_OF_SCOPE[request_class.deduplication_scope]
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -1,11 +1,10 @@
-"""Runs the commands of maintenance jobs that fall to this dispatcher, each in a process group of its own."""
+"""Runs the commands of maintenance jobs that are assigned to this dispatcher."""
 
 import asyncio
 import contextlib
 import logging
 import os
 import signal
-import time
 from collections.abc import Mapping
 from typing import NamedTuple
 
@@ -15,22 +14,23 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, outcome_document
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.maintenance.machine_inventory import DISPATCHER_PREFIX
+from crankfold.service.wall_clock import wall_clock_ms
 
 logger = logging.getLogger(__name__)
 
-PROPOSE_TIMEOUT = 10.0  # seconds
-MAX_ERROR_OUTPUT = 200  # characters of a command's standard error that are told; the last ones
+PROPOSE_TIMEOUT = 10.0  # seconds between proposals of an outcome
+MAX_ERROR_OUTPUT = 200  # last characters of a command's standard error in its outcome
 
 
 class CommandKey(NamedTuple):
-    """One run of a command: a machine, and the number under which it was called drained."""
+    """The identity of one run of a command: the machine and its drain number."""
 
     machine_id: str
     drain_number: int
 
 
 class Command(NamedTuple):
-    """What is to be run, as it was agreed."""
+    """A command to run, as assigned by the cluster."""
 
     key: CommandKey
     job_name: str
@@ -39,14 +39,17 @@
 
 
 class CommandOutcome(NamedTuple):
-    """What became of a command."""
+    """The outcome of a command."""
 
     phase: MaintenancePhase
     reason: str
 
 
 class CommandExecutor:
-    """Starts each command once, and reports its outcome until the cluster has accepted it."""
+    """Starts each assigned command once, and proposes its outcome until the cluster has committed it.
+
+    Each command runs in a process group of its own.
+    """
 
     def __init__(self, cluster_node: ClusterNode, backend_registry: BackendRegistry) -> None:
         self.cluster_node = cluster_node
@@ -55,7 +58,7 @@
         self.processes: dict[CommandKey, asyncio.subprocess.Process] = {}
 
     def start_due(self, state: MaintenanceState, jobs: Mapping[str, JobSpecification]) -> None:
-        """Starts the commands that are agreed to run in this process, while that is known to be so."""
+        """Starts the commands that are assigned to this process, while it holds a lease."""
         member = self.cluster_node.consensus
         for machine_id, machine in state.machines.items():
             key = CommandKey(machine_id, machine.drain_number)
@@ -73,7 +76,7 @@
                 self.tasks[key] = asyncio.get_running_loop().create_task(self._run(command))
 
     def close(self) -> None:
-        """Kills the commands: none may outlive the dispatcher that would tell what became of it."""
+        """Kills the commands, as no process would report their outcomes."""
         for process in self.processes.values():
             _kill_process_group(process)
         for task in self.tasks.values():
@@ -97,20 +100,20 @@
                 drain_number=key.drain_number,
                 by=self.cluster_node.consensus.name,
                 reason=outcome.reason,
-                at_ms=time.time_ns() // 1_000_000,
+                at_ms=wall_clock_ms(),
             )
         )
         call = f"{key.machine_id} {key.drain_number} {command.incarnation}"
-        while True:  # until it is known to be committed, or to be void
+        while True:  # until the proposal is known to be committed or rejected
             response = await self.cluster_node.propose("step", {"steps": [transition]}, call, PROPOSE_TIMEOUT)
             if response.accepted or response.log_index:
                 return
 
     async def _execute(self, command: Command) -> CommandOutcome:
-        """Runs the command to its end or the end of its time.
+        """Runs a command to its end, or kills it when its time is over.
 
         Raises:
-            OSError: if it cannot be started.
+            OSError: The command cannot be started.
         """
         process = await asyncio.create_subprocess_exec(
             *command.job.command,
@@ -137,7 +140,7 @@
         return CommandOutcome(MaintenancePhase.WORK_FAILED, reason)
 
     def _environment(self, command: Command) -> dict[str, str]:
-        """What a command is told of its machine."""
+        """Returns the environment variables that describe the machine to its command."""
         machine_id, drain_number = command.key
         backend = self.backend_registry.backend_ids.find(machine_id)
         address = self.backend_registry.records[backend].address if backend >= 0 else None
--- a/crankfold/service/maintenance/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -1,4 +1,4 @@
-"""Which machines there are for maintenance: the backends listed here, and the members of the cluster."""
+"""The machines that maintenance jobs may cover: the listed backends and the members of the cluster."""
 
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.consensus.leases import LeaseHolderState
@@ -8,29 +8,27 @@
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.routing.interface import EndpointState
 from crankfold.service.backends.registry import BackendRecord, BackendRegistry
+from crankfold.time_units import TICKS_PER_SECOND
 
-TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
-MISSING_MACHINE_PERIOD = (
-    600 * TICKS_PER_SECOND
-)  # so long a machine that is not listed any more counts as lost
-MAX_LOG_LAG = 50  # entries by which a dispatcher may be behind and still counts as available
-DISPATCHER_PREFIX = "@"  # begins the machine id of a dispatcher; no backend's does
+MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # after it a machine that is not listed is removed
+MAX_LOG_LAG = 50  # log entries by which an available dispatcher may lag
+DISPATCHER_PREFIX = "@"  # of the machine ids of dispatchers; no backend id begins with it
 
 
 def dispatcher_id(name: str) -> str:
-    """The machine id of the dispatcher of that name."""
+    """Returns the machine id of the dispatcher of that name."""
     return DISPATCHER_PREFIX + name
 
 
 class MachineInventory:
-    """Backends as machines, with those that were listed until lately."""
+    """The backends as machines, with those that are missing in the endpoint list for a short time."""
 
     def __init__(self, backend_registry: BackendRegistry) -> None:
         self.backend_registry = backend_registry
         self.missing_since: dict[str, int] = {}  # ticks of the boot clock, by machine id
 
     def machines(self, state: MaintenanceState) -> list[Machine]:
-        """What is listed, and for a while what is not any more, unless another machine came in its place."""
+        """Returns the listed machines and the missing ones that were not replaced."""
         machines = []
         for backend, record in enumerate(self.backend_registry.records):
             machine_id = self.backend_registry.backend_ids.names[backend]
@@ -66,7 +64,7 @@
         return now - self.missing_since.setdefault(machine_id, now) > MISSING_MACHINE_PERIOD
 
     def _is_drained_manually(self, machine_id: str, state: MaintenanceState) -> bool:
-        """By an operator's call or by a document of the cluster, not for a maintenance job."""
+        """Whether a manual drain of this dispatcher or of the cluster is in force, not a maintenance job."""
         registry = self.backend_registry
         if machine_id in registry.manual_drains.drained_since:
             return True
@@ -74,9 +72,14 @@
 
 
 def dispatcher_machines(member: Voter, now: int, zones: dict[str, str]) -> list[Machine]:
-    """The members of the cluster as machines, as a voter knows them at `now`, in ticks of the boot clock.
+    """Returns the members of the cluster as machines, as a voter knows them.
 
-    `zones` are by the name of a dispatcher. The start of such a machine is the incarnation of the process.
+    The start of such a machine is the incarnation of its process.
+
+    Args:
+        member: The voter.
+        now: Ticks of the boot clock.
+        zones: By the name of a dispatcher.
     """
     statuses = [(member.name, member.incarnation, member.last_applied, True)]
     for holder in [*member.leases.statuses(now), *member.remote_lease_holders.all()]:
--- a/crankfold/service/maintenance/observations.py
+++ b/crankfold/service/maintenance/observations.py
@@ -1,4 +1,4 @@
-"""What a dispatcher sees of maintenance: its attempts on the machines, and how much it accepts and sheds."""
+"""Observations for maintenance reports: attempts at the machines, admitted and shed requests."""
 
 import time
 from collections import Counter, deque
@@ -16,9 +16,9 @@
 )
 from crankfold.service.requests.table import Disposition
 
-LOAD_WINDOW = 5.0  # seconds over which accepted and shed requests are counted
-MAX_UNCONFIRMED = 1000  # request ids kept for each machine
-MAX_UNCONFIRMED_REPORTED = 5
+LOAD_WINDOW = 5.0  # seconds; the period of the reported admitted and shed requests
+MAX_UNCONFIRMED = 1000  # request ids for each machine; the oldest are dropped
+MAX_UNCONFIRMED_REPORTED = 5  # request ids for each machine, the newest
 FAILURES = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET, Outcome.UNKNOWN)
 RESPONSES = (Outcome.COMPLETED, *FAILURES)
 SHED_BY_ROUTING_COUNTER = Disposition.SHED.counter
@@ -31,7 +31,7 @@
 
 
 class LoadSample(NamedTuple):
-    """Requests accepted and shed since the process started."""
+    """The numbers of requests accepted and shed since the start of the process."""
 
     time: float  # seconds of the monotonic clock
     accepted: int
@@ -39,7 +39,7 @@
 
 
 class ResponseCount:
-    """Attempts on a machine that is back, and how many of them failed."""
+    """The attempts at a machine since its return, and those of them that failed."""
 
     def __init__(self) -> None:
         self.total = 0
@@ -47,37 +47,37 @@
 
 
 class MaintenanceObservations:
-    """Counts and remembers what a report to the cluster tells of this dispatcher."""
+    """Collects the contents of the maintenance reports of this dispatcher."""
 
     def __init__(self, request_handler: RequestHandler, counters: Counter[str]) -> None:
         self.request_handler = request_handler
         self.counters = counters
-        # By machine, ids of requests whose attempt was abandoned and may still be executed there; in order.
+        # By machine, the ids of requests whose abandoned attempts it may still execute, in order.
         self.unconfirmed: dict[str, dict[str, None]] = {}
         self.response_counts: dict[str, ResponseCount] = {}
-        self.returned_machines: dict[str, int] = {}  # the index of the transition by which each came back
+        self.returned_machines: dict[str, int] = {}  # machine id to the log index of its return
         self.load_samples: deque[LoadSample] = deque()
 
     def attempt_abandoned(self, machine_id: str, request_id: str) -> None:
-        """An attempt was given up, and the machine may still execute it."""
+        """Records that an attempt was abandoned; the machine may still execute it."""
         request_ids = self.unconfirmed.setdefault(machine_id, {})
         request_ids[request_id] = None
         if len(request_ids) > MAX_UNCONFIRMED:
             del request_ids[next(iter(request_ids))]
 
     def abandoned_attempt_finished(self, request_id: str, machine_id: str) -> None:
-        """The machine told the end of an attempt that was given up."""
+        """Records that the machine confirmed the end of an abandoned attempt."""
         self.unconfirmed.get(machine_id, {}).pop(request_id, None)
 
     def attempt_finished(self, machine_id: str, outcome: Outcome) -> None:
-        """Counts the outcome if the machine is one that came back."""
+        """Counts the outcome of an attempt at a machine that has returned."""
         if machine_id in self.returned_machines:
             count = self.response_counts.setdefault(machine_id, ResponseCount())
             count.total += outcome in RESPONSES
             count.failed += outcome in FAILURES
 
     def state_changed(self, returned_machines: dict[str, int]) -> None:
-        """Counts anew for each machine that came back by another transition than the one known so far."""
+        """Resets the counts of machines that have returned by another transition than the known one."""
         for machine_id, index in self.returned_machines.items():
             if returned_machines.get(machine_id) != index:
                 self.response_counts.pop(machine_id, None)
@@ -86,7 +86,7 @@
             del self.unconfirmed[machine_id]
 
     def fill_report(self, report: MaintenanceReport, machines_out: Collection[str]) -> None:
-        """Sets what this dispatcher saw: on the machines that are out, on those that are back, and in all."""
+        """Sets the observations on machines that are out, on returned machines, and in total."""
         names = self.request_handler.backends.backend_ids.names
         for request in self.request_handler.request_table.requests.values():
             report.open_requests += request.is_open
--- a/crankfold/service/reload.py
+++ b/crankfold/service/reload.py
@@ -1,4 +1,4 @@
-"""Applies a changed configuration while the process serves: by SIGHUP, or by what the cluster agreed on."""
+"""Applies a changed configuration at run time: from the file after SIGHUP, or from the cluster."""
 
 import logging
 from collections.abc import Callable
@@ -19,32 +19,33 @@
 )
 from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.socket_budget import SocketBudget
+from crankfold.time_units import TICKS_PER_SECOND
 
 logger = logging.getLogger(__name__)
 
 
 class ConfigApplier:
-    """Puts other routing and service configurations in force in a running process."""
+    """Puts other routing and service configurations in force at run time."""
 
     def __init__(
         self, config: ServiceConfig, request_handler: RequestHandler, connection_limiter: ConnectionLimiter
     ) -> None:
         self.request_handler = request_handler
         self.connection_limiter = connection_limiter
-        self.longest_deadline = config.longest_deadline / 10_000
-        """Seconds; the longest of the request classes in force, by which the platform ends a process."""
+        self.longest_deadline = config.longest_deadline / TICKS_PER_SECOND
+        """Seconds; the longest of the request classes in force, which limits a drain."""
 
     def apply(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """Requests in hand keep the request class under which they were received."""
+        """Puts these configurations in force; requests in hand keep their request class."""
         self.request_handler.config_changed(routing_config, config)
         timeouts = connection_timeouts(config)
         self.connection_limiter.connect_timeout = timeouts.connect
         self.connection_limiter.idle_timeout = timeouts.idle
-        self.longest_deadline = config.longest_deadline / 10_000
+        self.longest_deadline = config.longest_deadline / TICKS_PER_SECOND
 
 
 class ConfigReloader:
-    """Reads the configuration file again and applies all of it that does not need a restart, or nothing."""
+    """Reloads the configuration file: applies what needs no restart, or nothing if it is not valid."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         self._has_admin_server = bool(document.get("admin_addr"))
 
     def reload(self) -> None:
-        """Requests, connections and what is known of backends outlive it. Logs what became of it."""
+        """Reloads the file and logs the result; requests, connections and backends are kept."""
         try:
             document = self.read_document()
             parsed = parse_changed_document(document, self.document)
@@ -78,7 +79,7 @@
             socket_limits = divide_socket_limit(document, self._has_admin_server)
         except ConfigError as error:
             self.metrics.increment("config-reloads-rejected")
-            # Without a category, so never suppressed: whoever sent the signal has to see what was wrong.
+            # Logged without a category, so that the rate limit never suppresses it.
             logger.error("configuration: %s; the old one stays in force", error)
             return
         self.metrics.increment("config-reloads")
@@ -94,7 +95,7 @@
         logger.info("new configuration: discovery at %s:%s%s", host, port, remarks)
 
     def _remarks(self, document: dict[str, Any]) -> str:
-        """What of the document is not in force now, for the log."""
+        """Describes for the log which parts of the document are not in force."""
         pending = settings_needing_restart(document, self.document)
         remarks = f"; {', '.join(pending)} differs and waits for a restart" if pending else ""
         if self.settings_replicated:
@@ -103,5 +104,5 @@
 
 
 def _without_known_endpoints(document: dict[str, Any]) -> dict[str, Any]:
-    """The document less the endpoint list, which is of use only at the start."""
+    """Returns the document without the endpoint list, which is used at the start only."""
     return {name: part for name, part in document.items() if name != "known"}
--- a/crankfold/service/shutdown.py
+++ b/crankfold/service/shutdown.py
@@ -1,4 +1,4 @@
-"""Ends the process: no new connections, then no new requests, then everything is closed."""
+"""The shutdown of the process: drains clients, then closes all parts."""
 
 import asyncio
 import logging
@@ -17,17 +17,17 @@
 
 logger = logging.getLogger(__name__)
 
-LATE_CONNECTION_PERIOD = 0.45  # seconds; connections go on arriving for so long after the order to end
-# The platform ends the process soon after the longest deadline, or after so many seconds if that is less.
+LATE_CONNECTION_PERIOD = 0.45  # seconds; clients may still open connections so long after the signal
+# Seconds. The platform kills the process soon after the longest deadline, which counts as this at most.
 MAX_DRAIN_DURATION = 3.0
-DRAIN_MARGIN = 0.5  # seconds; how soon after that
-IDLE_CLIENT_PERIOD = 0.5  # seconds in which an idle client may use its connection once more after a handover
-FINAL_DRAIN_PERIOD = 1.5  # seconds; the last part of a drain, in which no new request is wanted
+DRAIN_MARGIN = 0.5  # seconds after the longest deadline in which the process has to end
+IDLE_CLIENT_PERIOD = 0.5  # seconds in which an idle client may send one more request after a handover
+FINAL_DRAIN_PERIOD = 1.5  # seconds; the last part of a drain, in which each response closes its connection
 CHECK_INTERVAL = 0.01  # seconds
 
 
 class ShutdownSequence:
-    """Drains and closes the parts of an application."""
+    """Drains and closes the parts of the process."""
 
     def __init__(
         self,
@@ -50,11 +50,13 @@
         self.loop = asyncio.get_running_loop()
 
     async def drain(self, longest_deadline: float) -> None:
-        """Returns once every request is answered, or no more time is left.
+        """Returns when all requests are answered, or when the time for the drain is over.
 
-        `longest_deadline` is in seconds. Clients go on using the connections they have. While another
-        dispatcher restarts these may be all they have: with them closed at once a rolling restart left a
-        second without any dispatcher.
+        Connections stay open until the final period of the drain: during a rolling restart a client may have
+        connections to this dispatcher only.
+
+        Args:
+            longest_deadline: Seconds; the longest of the request classes in force.
         """
         end = self.loop.time() + min(longest_deadline, MAX_DRAIN_DURATION) + DRAIN_MARGIN
         logger.info("draining")
@@ -66,8 +68,7 @@
 
     async def _drain_without_successor(self, end: float) -> None:
         await asyncio.sleep(LATE_CONNECTION_PERIOD)
-        # Not by events: these would have to come from every connection and every request, for one use each.
-        while self.loop.time() < end - FINAL_DRAIN_PERIOD and self.listener.has_connections():  # noqa: ASYNC110 - no event
+        while self.loop.time() < end - FINAL_DRAIN_PERIOD and self.listener.has_connections():  # noqa: ASYNC110 - connections signal no event
             await asyncio.sleep(CHECK_INTERVAL)
         self.listener.closing = True
         self.listener.close_idle(spare_backends=True)
@@ -75,11 +76,11 @@
             self.request_handler.open_request_count() or self.listener.expects_data()
         ):
             await asyncio.sleep(CHECK_INTERVAL)
-            # A backend whose connection is closed sends its callback again later, perhaps after our end.
+            # Backends keep their connections: on a closed one a callback would be retried, possibly too late.
             self.listener.close_idle(spare_backends=True)
 
     async def _drain_to_successor(self, end: float) -> None:
-        """New connections go to the successor; clients move there with the next answer, idle ones soon."""
+        """Moves clients to the successor: with the next response, or when they stay idle."""
         self.listener.closing = True
         close_idle_at = self.loop.time() + IDLE_CLIENT_PERIOD
         while self.loop.time() < end and (
@@ -90,7 +91,7 @@
             await asyncio.sleep(CHECK_INTERVAL)
 
     async def close(self) -> None:
-        """Answers what is still open and closes every connection, without waiting for anybody."""
+        """Aborts the open requests and closes all connections."""
         self.request_handler.answer_all_open()
         ignore_signals_at_end(self.loop)
         self.discovery_watcher.stop()
--- a/crankfold/service/socket_budget.py
+++ b/crankfold/service/socket_budget.py
@@ -1,16 +1,18 @@
-"""Keeps the sockets of this process, and of the one that it replaces or is replaced by, under the limit."""
+"""Limits the sockets of this process together with those of its predecessor or successor."""
 
 from crankfold.network.connection_pool import ConnectionLimiter
 from crankfold.network.listener import Listener
 from crankfold.service.config_file import SocketLimits
 
 MIN_BACKEND_CONNECTIONS = 4
+MIN_BACKEND_DIVISOR = 4  # during a handover a process keeps at least a quarter of its backend connections
+MIN_ACCEPTED_DIVISOR = 8  # and an eighth of its accepted ones, which is less than the spare sockets
 
 
 class SocketBudget:
-    """Sets how many connections the listener and the backend pools may have open.
+    """Sets the connection limits of the listener and of the backend pools.
 
-    While one process replaces another both stay under the limits that one process has alone.
+    During a handover both processes together stay within the limits of a single process.
     """
 
     def __init__(
@@ -24,19 +26,19 @@
         self._other_backends = 0
 
     def change_limits(self, limits: SocketLimits) -> None:
-        """Puts other limits in force; what the other process holds still counts."""
+        """Puts other limits in force; the connections of the other process still count."""
         self.limits = limits
         self._apply()
 
     def reserve(self, client_connections: int, backend_connections: int) -> None:
-        """Leaves room for what the predecessor holds; with zeros all is for this process."""
+        """Reserves sockets for the connections of the predecessor; zeros end the reservation."""
         self._yielded = False
         self._other_clients = client_connections
         self._other_backends = backend_connections
         self._apply()
 
     def yield_to_successor(self) -> None:
-        """Keeps the least with which this process can finish its requests."""
+        """Reduces the backend connections to the minimum for finishing the requests in hand."""
         self._yielded = True
         self._other_clients = 0
         self._other_backends = 0
@@ -44,11 +46,11 @@
 
     def _apply(self) -> None:
         for_backends, for_accepted = self.limits
-        least = max(for_backends // 4, MIN_BACKEND_CONNECTIONS)
+        least = max(for_backends // MIN_BACKEND_DIVISOR, MIN_BACKEND_CONNECTIONS)
         if self._yielded:
-            # Clients as before: nobody new comes, and who was just accepted must not push another out.
+            # The limit of accepted connections stays: no new ones come, and a lower one would evict clients.
             self.connection_limiter.max_connections = least
         else:
             self.connection_limiter.max_connections = max(for_backends - self._other_backends, least)
-            # Never nothing: an eighth is less than what is kept free on either side.
-            self.listener.max_connections = max(for_accepted - self._other_clients, for_accepted // 8)
+            least_accepted = for_accepted // MIN_ACCEPTED_DIVISOR
+            self.listener.max_connections = max(for_accepted - self._other_clients, least_accepted)
