--- a/crankfold/cli/fleet.py
+++ b/crankfold/cli/fleet.py
@@ -11,7 +11,8 @@
 from crankfold.cli.admin_client import EXIT_UNREACHABLE, RefusedError, call_admin
 from crankfold.cli.options import admin_option, json_option
 
-QUIET_STATES = ("there", "left")  # of a follower: nothing is said of when it was heard last
+QUIET_STATES = ("there", "left")  # of a follower; in others its last heartbeat is shown
+MILLISECONDS_PER_SECOND = 1000
 
 
 class DocumentVersions(Struct):
@@ -54,9 +55,9 @@
 @json_option
 @click.pass_context
 def fleet(context: click.Context, address: str, as_json: bool) -> None:
-    """Members, versions, leader, who is behind and who is cut off, as one dispatcher sees them.
+    """Members, versions, leader, lagging and isolated members, as one dispatcher sees them.
 
-    Exit: 0 if that dispatcher acts on the agreed configuration, 3 if not, or if it can't be reached.
+    Exit: 0 if that dispatcher is active, 3 if it is inactive or can't be reached.
     """
     if context.invoked_subcommand is None:
         _show_cluster(address, as_json)
@@ -68,7 +69,7 @@
 @click.option("--remove", default="", metavar="NAME")
 @click.pass_obj
 def change_voters(address: str, add: str, remove: str) -> None:
-    """Add a voter or remove one, one at a time. Exit: 0 done, 1 refused, 3 nobody answers."""
+    """Add a voter or remove one, one at a time. Exit: 0 done, 1 rejected, 3 no answer."""
     if bool(add) == bool(remove) or (add and "=" not in add):
         raise click.UsageError("one of --add NAME=HOST:PORT and --remove NAME")
     name, _, voter_address = add.partition("=")
@@ -79,7 +80,7 @@
     }
     response = call_admin(address, "agreed/voters", request)
     if not response.content["well"]:
-        raise RefusedError(f"turned down: {response.reason}")
+        raise RefusedError(f"rejected: {response.reason}")
     click.echo(f"voters: {', '.join(sorted(response.content['voters']))}")
 
 
@@ -94,26 +95,35 @@
         sys.exit(EXIT_UNREACHABLE)
 
 
+def _describe_activity(view: ClusterView) -> str:
+    if view.acts:
+        return f"active, lease expires in {view.lease_ms} ms"
+    return f"inactive: {view.inactive_reason}"
+
+
 def _describe_cluster(view: ClusterView) -> list[str]:
-    activity = f"acts, lease {view.lease_ms} ms" if view.acts else f"does not act: {view.inactive_reason}"
     term = "" if view.term is None else f", term {view.term}"
-    lines = [f"{view.name}: {activity}", f"leader {view.leader or 'unknown'}{term}"]
+    lines = [f"{view.name}: {_describe_activity(view)}", f"leader {view.leader or 'unknown'}{term}"]
     for document, version in view.versions.items():
-        pending = f", {version.newest} on its way" if version.newest > version.active else ""
-        lines.append(f"{document}: version {version.active} counts{pending}")
+        pending = f", version {version.newest} is pending" if version.newest > version.active else ""
+        lines.append(f"{document}: version {version.active} is active{pending}")
     for voter, voter_address in sorted(view.voters.items()):
-        lag = f", {view.lag[voter]} behind" if voter in view.lag else ""
-        lease = f", lease {view.voter_lease_ms[voter]} ms" if voter in view.voter_lease_ms else ""
+        lag = f", {_describe_lag(view.lag[voter])}" if voter in view.lag else ""
+        lease = f", lease expires in {view.voter_lease_ms[voter]} ms" if voter in view.voter_lease_ms else ""
         lines.append(f"voter {voter} {voter_address}{lag}{lease}")
     return lines + [_describe_follower(follower) for follower in view.members]
 
 
+def _describe_lag(entries: int) -> str:
+    return f"{entries} log {'entry' if entries == 1 else 'entries'} behind"
+
+
 def _describe_follower(follower: FollowerView) -> str:
     silence = ""
     if follower.state not in QUIET_STATES and follower.silent_ms is not None:
-        silence = f", not heard for {follower.silent_ms / 1000:.1f} s"
+        silence = f", last heartbeat {follower.silent_ms / MILLISECONDS_PER_SECOND:.1f} s ago"
     return (
         f"follower {follower.name} at {follower.voter}: {follower.state}{silence}, joined "
-        f"{follower.lease_held_seconds} s ago, {follower.lag} behind, "
+        f"{follower.lease_held_seconds} s ago, {_describe_lag(follower.lag)}, "
         f"incarnation {follower.incarnation:x}"
     )
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -96,7 +96,7 @@
     name, job = parse_job_file(file.read())
     response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
     if response.status != HTTP_OK:
-        raise RefusedError(f"turned down: {response.content['text']}")
+        raise RefusedError(f"rejected: {response.content['text']}")
     if as_json:
         click.echo(format_json(response.content))
         return
@@ -151,7 +151,7 @@
     content = fetch_maintenance(address)
     jobs = content["works"]
     if name not in jobs:
-        raise RefusedError(f"no work {name!r}; there are {', '.join(jobs) or 'none'}")
+        raise RefusedError(f"no job {name!r}; jobs: {', '.join(jobs) or 'none'}")
     if as_json:
         machines = {
             machine_id: machine
@@ -188,7 +188,7 @@
         raise click.UsageError(f"no TOML: {error}") from None
     name = job.pop("name", "")
     if not isinstance(name, str) or not name:
-        raise click.UsageError("name: missing; what the work is called")
+        raise click.UsageError("name: missing; the name of the job")
     return name, job
 
 
@@ -199,14 +199,14 @@
     lines = [f"{name}: {job.state}{halted}{reason}"]
     for machine_id, machine in sorted(view.machines.items()):
         if machine.job == name:
-            number = f" under {machine.number}" if machine.number else ""
+            number = f", drain number {machine.number}" if machine.number else ""
             cause = f", {machine.reason}" if machine.reason else ""
-            local = " (back here by hand)" if machine_id in view.restored_locally else ""
+            local = " (restored at this dispatcher only)" if machine_id in view.restored_locally else ""
             lines.append(f"  {machine_id}: {machine.state}{number}{cause}{local}")
     if not view.leads:
-        lines.append(f"  what is waited for is known at the door of {view.leader or 'a voter, who leads'}")
+        lines.append(f"  wait reasons are known at the leader only, which is {view.leader or 'unknown here'}")
     lines += [
-        f"  {wait.machine or 'all others'} waits: {wait.reason}" for wait in view.waits if wait.job == name
+        f"  {wait.machine or 'all others'} waiting: {wait.reason}" for wait in view.waits if wait.job == name
     ]
     lines += [f"  {machine_id}: done, {outcome}" for machine_id, outcome in sorted(job.done.items())]
     return lines
@@ -218,9 +218,9 @@
     newest = view.find(view.newest)
     jobs: dict[str, Any] = newest.content["works"] if newest else {}
     if change.is_new and change.name in jobs:
-        raise RefusedError(f"turned down: there is a work {change.name!r} already")
+        raise RefusedError(f"rejected: the job {change.name!r} exists already")
     if not change.is_new and change.name not in jobs:
-        raise RefusedError(f"turned down: no work {change.name!r}; there are {', '.join(jobs) or 'none'}")
+        raise RefusedError(f"rejected: no job {change.name!r}; jobs: {', '.join(jobs) or 'none'}")
     if change.fields is None:
         del jobs[change.name]
     else:
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -91,7 +91,7 @@
         click.echo(format_json(raw))
         return
     if not raw:
-        raise RefusedError(f"{machine} was not out for any work that is remembered")
+        raise RefusedError(f"{machine} has no stored history")
     previous_ms = 0
     for step in msgspec.convert(raw, list[StepView]):
         moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / 1000))
@@ -119,7 +119,9 @@
     try:
         response = call_admin(address, MACHINES_PATH, request, wait_seconds=STEP_WAIT)
     except UnreachableError as error:
-        raise UnreachableError(f"{error}; --call {call_id} finds out what became of it") from None
+        raise UnreachableError(
+            f"{error}; the outcome is unknown, repeat the command with --call {call_id} to learn it"
+        ) from None
     content = response.content
     if as_json:
         click.echo(format_json({**content, "call": call_id}))
@@ -131,5 +133,5 @@
     if response.status == HTTP_NO_OUTCOME:
         raise UnreachableError(f"{content['text']} (--call {call_id})")
     if not content["well"]:
-        raise RefusedError(f"turned down: {content['text']}")
+        raise RefusedError(f"rejected: {content['text']}")
     click.echo(f"{request['machine']}: {request['step']}")
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -1,4 +1,4 @@
-"""`crankfold settings`: the documents that all dispatchers agree on, with their versions."""
+"""`crankfold settings`: the replicated documents with their versions."""
 
 import difflib
 import json
@@ -53,18 +53,18 @@
 
 
 class PublishResponse(Struct):
-    """What a dispatcher answers to a publish."""
+    """The answer of a dispatcher to a publish."""
 
     accepted: bool = field(name="well", default=False)
     reason: str = field(name="text", default="")
     number: int = 0
     active: bool = field(name="counts", default=True)
-    lag: list[str] = []  # who does not act on it yet, and why
+    lag: list[str] = []  # members that have not applied it yet, and why
 
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """A new version of a document, as an operator asks for it."""
+    """A new version of a document that an operator publishes."""
 
     document: str
     content: dict[str, Any]
@@ -72,7 +72,7 @@
     reason: str
     author: str
     wait_seconds: float = 0.0
-    call_id: str = ""  # drawn if empty
+    call_id: str = ""  # random if empty
 
     def to_request(self, call_id: str) -> dict[str, Any]:
         """The call of the admin server."""
@@ -88,10 +88,10 @@
 
 @click.group()
 def settings() -> None:
-    """Show and publish the documents that all dispatchers agree on.
+    """Show and publish the replicated documents.
 
-    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or nobody answers; 4 published, but not every
-    dispatcher acts on it yet.
+    Exit: 0 done; 1 rejected; 2 unusable call; 3 no outcome or no answer; 4 published, but not applied by
+    every dispatcher yet.
     """
 
 
@@ -105,7 +105,7 @@
     "minimum",
     type=int,
     default=0,
-    help="Not older than this version, which you know of from elsewhere; waits for it.",
+    help="Waits until the dispatcher has this version.",
 )
 def show_version(address: str, as_json: bool, document: str, number: int, minimum: int) -> None:
     """Print a version's content, as JSON that can be published again."""
@@ -124,9 +124,9 @@
         return
     click.echo(format_json(version.content))
     if version.number == view.active:
-        state = "counts"
+        state = "active"
     else:
-        state = "on its way" if version.number > view.active else "an earlier one"
+        state = "pending" if version.number > view.active else "superseded"
     click.echo(f"version {version.number} of {document}, {state}", err=True)
 
 
@@ -135,7 +135,7 @@
 @json_option
 @document_option
 def show_history(address: str, as_json: bool, document: str) -> None:
-    """List who published what, when and why."""
+    """List the versions with author and reason."""
     raw = _fetch_raw(address, document)
     if as_json:
         click.echo(format_json(raw["versions"]))
@@ -143,7 +143,7 @@
     view = msgspec.convert(raw, DocumentView)
     for version in sorted(view.versions, key=lambda version: version.number, reverse=True):
         marker = "*" if version.number == view.active else " "
-        author = version.author or "nobody"
+        author = version.author or "unknown"
         click.echo(f"{marker}{version.number} from {version.made_from} by {author}: {version.reason}")
 
 
@@ -161,7 +161,7 @@
     for number in (one, other):
         version = view.find(number)
         if version is None:
-            raise UnreachableError(f"{document} has no version {number}, or none that is kept")
+            raise UnreachableError(f"{document} has no version {number}, or no longer stores it")
         versions.append(version)
     for line in _diff_lines(versions[0], versions[1]):
         click.echo(line)
@@ -201,7 +201,7 @@
     view = fetch_document(address, document)
     version = view.find(number)
     if version is None:
-        raise UnreachableError(f"no version {number} of {document} is kept")
+        raise UnreachableError(f"no version {number} of {document} is stored")
     copied = Publication(document=document, content=version.content, made_from=view.newest, **publication)
     publish(address, copied, as_json)
 
@@ -216,11 +216,11 @@
 
 
 def publish(address: str, publication: Publication, as_json: bool) -> None:
-    """Publish a version, print what became of it, and end the command if it does not count everywhere.
+    """Publish a version, print the outcome, and end the command unless all dispatchers have applied it.
 
     Raises:
-        UnreachableError: the outcome is not known; the text has the identifier to ask again with.
-        SystemExit: the dispatcher refused it, or not every dispatcher acts on it yet.
+        UnreachableError: The outcome is unknown; the text has the identifier of the call, to repeat it.
+        SystemExit: The dispatcher rejected it, or not every dispatcher has applied it yet.
     """
     call_id = publication.call_id or secrets.token_hex(8)
     request = publication.to_request(call_id)
@@ -229,7 +229,7 @@
         response = call_admin(address, path, request, wait_seconds=publication.wait_seconds)
     except UnreachableError as error:
         raise UnreachableError(
-            f"{error}; once somebody is there, --call {call_id} finds out what became of it"
+            f"{error}; the outcome is unknown, repeat the command with --call {call_id} to learn it"
         ) from None
     if as_json:
         click.echo(format_json({**response.content, "call": call_id}))
@@ -244,9 +244,9 @@
 
 
 def _refuse(address: str, publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
-    """End the command; where another version came first, show what differs between the two."""
+    """End the command; after a conflicting version, show the difference to it."""
     if not as_json:
-        click.echo(f"crankfold: turned down: {outcome.reason}", err=True)
+        click.echo(f"crankfold: rejected: {outcome.reason}", err=True)
         if outcome.number:
             view = fetch_document(address, publication.document)
             before = view.find(publication.made_from)
@@ -257,19 +257,25 @@
 
 
 def _report_published(publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
-    all_act = outcome.active and not outcome.lag
+    applied_by_all = outcome.active and not outcome.lag
     if not as_json:
         if not publication.wait_seconds:
             state = ""
-        elif all_act:
-            state = ", all act on it"
+        elif applied_by_all:
+            state = ", applied by all dispatchers"
         else:
-            state = f", not by all: {'; '.join(outcome.lag)}" if outcome.lag else ", does not count yet"
+            state = _describe_unapplied(outcome)
         click.echo(f"version {outcome.number} of {publication.document}{state}")
-    if not all_act:
+    if not applied_by_all:
         sys.exit(EXIT_NOT_APPLIED)
 
 
+def _describe_unapplied(outcome: PublishResponse) -> str:
+    if outcome.lag:
+        return f", not applied yet by {'; '.join(outcome.lag)}"
+    return ", not active yet"
+
+
 def _fetch_raw(address: str, document: str, minimum: int = 0) -> dict[str, Any]:
     return call_admin(address, f"agreed/{document}?least={minimum}").require_ok()
 
