--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -3,7 +3,7 @@
 The JSON keys of calls and answers differ from the names in the code; they are mapped in this module.
 """
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 from msgspec import Struct, field
@@ -22,12 +22,10 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
+from crankfold.service.maintenance.interface import MaintenanceStatus
 from crankfold.service.wall_clock import wall_clock_ms
 from crankfold.time_units import TICKS_PER_SECOND
 
-if TYPE_CHECKING:
-    from crankfold.service.maintenance.agent import MaintenanceAgent
-
 PROPOSE_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
 RESTORE_LOCALLY = "here"  # the step that affects this dispatcher only
 OPERATOR_TRANSITIONS = {
@@ -73,7 +71,7 @@
 class MaintenanceAdmin:
     """Carries out the admin calls about maintenance at one dispatcher."""
 
-    def __init__(self, agent: "MaintenanceAgent") -> None:
+    def __init__(self, agent: MaintenanceStatus) -> None:
         self.agent = agent
 
     def describe(self) -> dict[str, Any]:
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -4,11 +4,13 @@
 """
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Collection
+from functools import partial
 from typing import Any
 
 from crankfold.cluster.node import ClusterNode
 from crankfold.consensus.conservative_merge import MAINTENANCE
+from crankfold.consensus.maintenance_reports import ClusterReport
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.voter import Voter
 from crankfold.maintenance import specification
@@ -40,7 +42,16 @@
 
 
 class MaintenanceAgent:
-    """Connects the maintenance decisions with requests, the cluster node and commands at this dispatcher."""
+    """Connects the maintenance decisions with requests, the cluster node and commands at this dispatcher.
+
+    Args:
+        request_handler: Of this process.
+        admin_service: Drains this process for a job on dispatchers.
+        cluster_node: Has the replicated state, and takes proposals.
+        metrics: Counts events.
+        endpoint_list_age: Gives the ticks since the last answer of discovery.
+        machines_out_changed: Called when `machines_out` changes without a change of the replicated state.
+    """
 
     def __init__(
         self,
@@ -52,16 +63,6 @@
         endpoint_list_age: Callable[[], int],
         machines_out_changed: Callable[[], None],
     ) -> None:
-        """Creates the parts.
-
-        Args:
-            request_handler: Of this process.
-            admin_service: Drains this process for a job on dispatchers.
-            cluster_node: Has the replicated state, and takes proposals.
-            metrics: Counts events.
-            endpoint_list_age: Gives the ticks since the last answer of discovery.
-            machines_out_changed: Called when `machines_out` changes without a change of the replicated state.
-        """
         self.request_handler = request_handler
         self.admin_service = admin_service
         self.cluster_node = cluster_node
@@ -207,14 +208,6 @@
         self.dispatcher_zones |= report.dispatcher_zones
         dispatchers = self.dispatchers(member, now)
         available = {machine.machine_id for machine in dispatchers if machine.available}
-
-        def blocking_holders(machine_id: str, index: int) -> str:
-            if not is_dispatcher_id(machine_id):
-                return cluster_report.blocking_reason(machine_id, index)
-            name = machine_id.removeprefix(DISPATCHER_PREFIX)
-            is_there = name == member.name or machine_id in available
-            return "it has units in hand" if is_there and name not in report.idle_dispatchers else ""
-
         return FleetView(
             now=now,
             wall_ms=wall_clock_ms(),
@@ -225,7 +218,7 @@
             dispatchers=dispatchers,
             voter_count=len(member.raft.voters),
             stale_reason=self._stale_reason(),
-            blocking_holders=blocking_holders,
+            blocking_holders=partial(_blocking_reason, member.name, cluster_report, available),
             unresolved_requests=report.unresolved,
             answers=report.response_counts,
             unavailable=report.unavailable,
@@ -255,3 +248,27 @@
                 and request_class.deduplication_scope in AREA_OF_SCOPE
             }
         )
+
+
+def _blocking_reason(
+    own_name: str,
+    cluster_report: ClusterReport,
+    available_dispatchers: Collection[str],
+    machine_id: str,
+    index: int,
+) -> str:
+    """Returns why a machine that is out may still have requests; empty if it has none.
+
+    Args:
+        own_name: The name of this dispatcher.
+        cluster_report: The reports of all dispatchers.
+        available_dispatchers: Machine ids of dispatchers that hold a lease.
+        machine_id: A backend or a dispatcher.
+        index: The log index of the transition that took the machine out.
+    """
+    if not is_dispatcher_id(machine_id):
+        return cluster_report.blocking_reason(machine_id, index)
+    name = machine_id.removeprefix(DISPATCHER_PREFIX)
+    is_running = name == own_name or machine_id in available_dispatchers
+    has_requests = name not in cluster_report.combined.idle_dispatchers
+    return "it has units in hand" if is_running and has_requests else ""
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -1,6 +1,5 @@
 """Requests: admits or rejects what clients send, and connects the sockets to the router."""
 
-import asyncio
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from functools import partial
@@ -87,7 +86,6 @@
     ) -> None:
         self.config = config
         self.timers = timers
-        self.clock = timers.clock
         self.metrics = metrics
         self.backends = backends
         self.lifecycle = lifecycle
@@ -95,7 +93,6 @@
         self.other_processes = other_processes
         self.poll_endpoints = poll_endpoints
         self.closed = False  # the process ends: new requests are shed
-        self.call_soon = asyncio.get_running_loop().call_soon
         self.request_classes = RequestClassTable(config.request_classes.names, routing_config.request_classes)
         self.request_table = RequestTable(self.request_classes, cluster)
         self.load_reports = LoadReportStore(timers.clock)
@@ -111,7 +108,7 @@
             self.backends,
             self.load_reports,
             cluster=self.cluster,
-            clock=self.clock,
+            clock=self.timers.clock,
             metrics=self.metrics,
             cancellation_allowed=cancellation_allowed,
         )
@@ -127,6 +124,10 @@
             metrics=self.metrics,
         )
 
+    def _now(self) -> int:
+        """Returns the present time in ticks."""
+        return self.timers.clock.now()
+
     # --- events for the router ---
 
     def notify_routing(
@@ -143,7 +144,7 @@
             request_number: The request of the event, -1 if there is none.
         """
         try:
-            event(self.clock.now(), *arguments)
+            event(self._now(), *arguments)
         except Exception as error:
             self.metrics.record_exception(error)
             request = self.request_table.requests.get(request_number)
@@ -156,7 +157,7 @@
         """Fails a request for which the router raised an exception, and removes it from the router."""
         self.respond(request, Disposition.FAILED)
         try:
-            self.routing.client_disconnected(self.clock.now(), request.number)
+            self.routing.client_disconnected(self._now(), request.number)
         except Exception as error:
             self.metrics.record_exception(error)
 
@@ -189,7 +190,7 @@
         timeout = max(request.timeout - TRANSIT_ALLOWANCE, 0)
         class_index = self.request_classes.find(setting_text(request.request_class))
         admitted = self.request_table.add(
-            class_index, request.request_id, client, self.clock.now() + timeout, request.http
+            class_index, request.request_id, client, self._now() + timeout, request.http
         )
         admitted.quota_limits = quota_limits
         admitted.deadline_timer = self.timers.call_after(timeout, partial(self._on_deadline, admitted))
@@ -312,10 +313,10 @@
         """Sends the final response of an open request."""
         self.request_table.close(request)
         self.metrics.increment(disposition.counter)
-        if self.clock.now() > request.deadline:
+        if self._now() > request.deadline:
             self.metrics.increment("responses-after-deadline")
         request.client.respond(disposition.status, headers, body)
-        self.call_soon(self.request_table.discard, request)
+        self.timers.loop.call_soon(self.request_table.discard, request)
 
     def set_timer(self, delay: int, token: int) -> None:
         """Schedules `RoutingEvents.timer_fired` after `delay` ticks."""
