--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -32,14 +32,15 @@
 )
 from crankfold.service.lifecycle import Lifecycle
 from crankfold.service.reload import ConfigApplier, ConfigReloader
-from crankfold.service.requests.collaborators import NoCluster, NoOtherProcess
+from crankfold.service.requests.collaborators import NoCluster, NoOtherProcess, OtherProcesses
 from crankfold.service.requests.handler import RequestHandler
+from crankfold.service.serving_parts import ServingParts
 from crankfold.service.shutdown import ShutdownSequence
 from crankfold.service.socket_budget import SocketBudget
 from crankfold.time_units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
-    from crankfold.service.cluster.replicated_config import ReplicatedConfig
+    from crankfold.service.cluster.membership import ClusterMembership
     from crankfold.service.handover.handover import Handover
 
 logger = logging.getLogger(__name__)
@@ -69,29 +70,58 @@
         Raises:
             ConfigError: The document is not valid.
         """
-        # Over 30 lines: the list of the parts, in the order in which they need one another.
         routing_config, config, seed = _parse_document(document)
         self.metrics = Metrics()
         self.timers = Timers(Clock(), self.metrics)
         self.listen_address = parse_address(document["listen"], "listen")
-        self.admin_address = (
-            parse_address(document["admin_addr"], "admin_addr") if document.get("admin_addr") else None
-        )
+        self.admin_address = _admin_address(document)
         self.polls_discovery = routing_config.discovery_by_poll
         self.known_endpoints = document.get("known")
         self.discovery_answered = asyncio.Event()
         self.shutdown_requested = asyncio.Event()
         self.fatal_error: BaseException | None = None
+        self.lifecycle = Lifecycle()
+        self._build_request_path(document, handover_directory, routing_config, config, seed)
+        self._build_control_path(document, read_document, config)
+
+    def _build_request_path(
+        self,
+        document: dict[str, Any],
+        handover_directory: str,
+        routing_config: RoutingConfig,
+        config: ServiceConfig,
+        seed: int,
+    ) -> None:
+        """Builds the parts through which requests pass, from the listener to the backends."""
         limits = divide_socket_limit(document, self.admin_address is not None)
         timeouts = connection_timeouts(config)
         self.connection_limiter = ConnectionLimiter(
             limits.backend_connections, timeouts.connect, timeouts.idle, self.metrics
         )
         self.backend_registry = BackendRegistry(config, self.timers, self.connection_limiter)
-        self.handover = self._build_handover(document, handover_directory)
-        self.replicated_config = self._build_replicated_config(document)
-        self.lifecycle = Lifecycle()
-        self.request_handler = RequestHandler(
+        self.cluster = self._build_cluster(document)
+
+        def build_serving_parts(other_processes: OtherProcesses) -> ServingParts:
+            request_handler = self._build_request_handler(routing_config, config, seed, other_processes)
+            listener = Listener(
+                request_handler, self.metrics, config.report_fields, limits.accepted_connections
+            )
+            return ServingParts(
+                request_handler, listener, SocketBudget(limits, listener, self.connection_limiter)
+            )
+
+        self.handover = self._build_handover(document, handover_directory, build_serving_parts)
+        parts = self.handover.serving_parts if self.handover else build_serving_parts(NoOtherProcess())
+        self.request_handler, self.listener, self.socket_budget = parts
+
+    def _build_request_handler(
+        self,
+        routing_config: RoutingConfig,
+        config: ServiceConfig,
+        seed: int,
+        other_processes: OtherProcesses,
+    ) -> RequestHandler:
+        return RequestHandler(
             routing_config,
             config,
             seed=seed,
@@ -99,39 +129,17 @@
             metrics=self.metrics,
             backends=self.backend_registry,
             lifecycle=self.lifecycle,
-            cluster=self.replicated_config or NoCluster(),
-            other_processes=self.handover or NoOtherProcess(),
+            cluster=self.cluster or NoCluster(),
+            other_processes=other_processes,
             poll_endpoints=self._start_polling,
         )
-        self.listener = Listener(
-            self.request_handler, self.metrics, config.report_fields, limits.accepted_connections
-        )
-        self.socket_budget = SocketBudget(limits, self.listener, self.connection_limiter)
-        self.config_applier = ConfigApplier(config, self.request_handler, self.connection_limiter)
-        if self.handover:
-            self.handover.attach(self.request_handler, self.listener, self.socket_budget)
-        self._build_control_path(document)
-        self.reloader = ConfigReloader(
-            document,
-            read_document,
-            applier=self.config_applier,
-            socket_budget=self.socket_budget,
-            discovery_watcher=self.discovery_watcher,
-            metrics=self.metrics,
-            polls_discovery=self.polls_discovery,
-            settings_replicated=self.replicated_config is not None,
-        )
-        self.shutdown = ShutdownSequence(
-            lifecycle=self.lifecycle,
-            request_handler=self.request_handler,
-            listener=self.listener,
-            admin_server=self.admin_server,
-            discovery_watcher=self.discovery_watcher,
-            handover=self.handover,
-            replicated_config=self.replicated_config,
-        )
 
-    def _build_handover(self, document: dict[str, Any], directory: str) -> "Handover | None":
+    def _build_handover(
+        self,
+        document: dict[str, Any],
+        directory: str,
+        build_serving_parts: Callable[[OtherProcesses], ServingParts],
+    ) -> "Handover | None":
         """Enables the handover if there is an admin server, which reports the readiness of a successor."""
         if not self.admin_address or not directory:
             return None
@@ -142,29 +150,52 @@
             str(document.get("name") or ""),
             self.listen_address,
             self.backend_registry,
-            self.metrics,
+            build_serving_parts,
         )
 
-    def _build_replicated_config(self, document: dict[str, Any]) -> "ReplicatedConfig | None":
+    def _build_cluster(self, document: dict[str, Any]) -> "ClusterMembership | None":
         if not document.get("peers"):
             return None
-        from crankfold.service.cluster import replicated_config  # imported only with peers
+        from crankfold.service.cluster.membership import ClusterMembership  # imported only with peers
 
         try:
-            return replicated_config.ReplicatedConfig(
-                document,
-                self.metrics,
-                self.backend_registry,
-                self._apply_config,
-                self._endpoint_list_age,
-            )
+            return ClusterMembership(document, self.metrics)
         except ValueError as error:
             raise ConfigError(str(error)) from None
 
-    def _build_control_path(self, document: dict[str, Any]) -> None:
-        """Builds the discovery watcher, the admin service and the admin server."""
+    def _build_control_path(
+        self, document: dict[str, Any], read_document: Callable[[], dict[str, Any]], config: ServiceConfig
+    ) -> None:
+        """Builds the parts that discovery, operators and signals control."""
+        self.discovery_watcher = self._build_discovery_watcher(document)
+        self.admin_service = AdminService(
+            self.request_handler, self.listener, self.lifecycle, self.handover or NoOtherProcess()
+        )
+        self.admin_server = AdminServer(self.admin_service, self.metrics)
+        self.config_applier = ConfigApplier(config, self.request_handler, self.connection_limiter)
+        self.reloader = ConfigReloader(
+            document,
+            read_document,
+            applier=self.config_applier,
+            socket_budget=self.socket_budget,
+            discovery_watcher=self.discovery_watcher,
+            metrics=self.metrics,
+            polls_discovery=self.polls_discovery,
+            settings_replicated=self.cluster is not None,
+        )
+        self.shutdown = ShutdownSequence(
+            lifecycle=self.lifecycle,
+            request_handler=self.request_handler,
+            listener=self.listener,
+            admin_server=self.admin_server,
+            discovery_watcher=self.discovery_watcher,
+            handover=self.handover,
+            cluster=self.cluster,
+        )
+
+    def _build_discovery_watcher(self, document: dict[str, Any]) -> DiscoveryWatcher:
         host, port = parse_address(document["discovery"], "discovery")
-        self.discovery_watcher = DiscoveryWatcher(
+        return DiscoveryWatcher(
             host,
             port,
             self.backend_registry.register,
@@ -172,14 +203,6 @@
             on_failure=self._discovery_failed,
             metrics=self.metrics,
         )
-        self.admin_service = AdminService(
-            self.request_handler, self.listener, self.lifecycle, self.handover or NoOtherProcess()
-        )
-        self.admin_server = AdminServer(self.admin_service, self.metrics)
-
-    def _apply_config(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """Applies the replicated configuration, which is built before `config_applier`."""
-        self.config_applier.apply(routing_config, config)
 
     # --- events of discovery ---
 
@@ -218,7 +241,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.discovery_answered.wait()
-        await self._open_replicated_config()
+        await self._join_cluster()
         if self.shutdown_requested.is_set():  # no connection is accepted only to be closed
             logger.info("ended by a signal before serving")
             await self._close()
@@ -270,13 +293,14 @@
             with _config_error_at(self.admin_address):
                 self.admin_server.open(*self.admin_address)
 
-    async def _open_replicated_config(self) -> None:
-        if self.replicated_config:
+    async def _join_cluster(self) -> None:
+        if self.cluster:
             try:
-                await self.replicated_config.open(
-                    self.request_handler,
+                await self.cluster.join(
                     self.admin_service,
-                    succeeds=self.handover is not None and self.handover.listening_socket is not None,
+                    self.config_applier,
+                    self._endpoint_list_age,
+                    is_successor=self.handover is not None and self.handover.listening_socket is not None,
                 )
             except (OSError, ValueError) as error:
                 raise ConfigError(f"peers: {error}") from None
@@ -332,6 +356,13 @@
         )
 
 
+def _admin_address(document: dict[str, Any]) -> tuple[str, int] | None:
+    """Returns the address of the admin server; None if there is to be none."""
+    if not document.get("admin_addr"):
+        return None
+    return parse_address(document["admin_addr"], "admin_addr")
+
+
 def _parse_document(document: dict[str, Any]) -> tuple[RoutingConfig, ServiceConfig, int]:
     """Returns both configurations and the seed of the router.
 
--- /dev/null
+++ b/crankfold/service/cluster/membership.py
@@ -0,0 +1,121 @@
+"""The membership of this dispatcher in its cluster, from before it joins until it leaves.
+
+Imported only with peers.
+"""
+
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from msgspec import structs
+
+from crankfold.cluster.config import read_cluster_config
+from crankfold.config import schema
+from crankfold.network.metrics import Metrics
+from crankfold.routing.interface import Outcome
+from crankfold.service.admin_service import AdminService
+from crankfold.service.cluster.event_log import EventLog
+from crankfold.service.cluster.replicated_config import ReplicatedConfig
+from crankfold.service.reload import ConfigApplier
+from crankfold.service.requests.collaborators import ClusterServices, NoCluster, RecordedEvent
+
+
+class _NotJoined(NoCluster):
+    """The services before the cluster is joined: there is no valid configuration yet."""
+
+    def has_valid_config(self) -> bool:
+        """See `ClusterServices`."""
+        return False
+
+
+class ClusterMembership:
+    """Joins the cluster, and passes on the calls of requests and attempts to it as `ClusterServices`.
+
+    Requests need it before the parts are built that the cluster needs in turn; until it has joined, no
+    request is admitted.
+    """
+
+    def __init__(self, document: dict[str, Any], metrics: Metrics) -> None:
+        """Reads the configuration of the cluster and opens the event log.
+
+        Args:
+            document: The configuration file as decoded.
+            metrics: Counts events.
+
+        Raises:
+            ValueError: The document is not valid.
+            OSError: The event log cannot be opened.
+        """
+        self.metrics = metrics
+        self.local_settings: dict[str, Any] = document["settings"]
+        self.cluster_config = read_cluster_config(document["peers"])
+        schema.validate({name: part for name, part in document.items() if name != "peers"})
+        event_log_path = self.cluster_config.event_log_path
+        self.event_log = EventLog(event_log_path) if event_log_path else None
+        self._services: ClusterServices = _NotJoined()
+        self._replicated_config: ReplicatedConfig | None = None
+
+    async def join(
+        self,
+        admin_service: AdminService,
+        config_applier: ConfigApplier,
+        endpoint_list_age: Callable[[], int],
+        *,
+        is_successor: bool,
+    ) -> None:
+        """Joins the cluster, and offers the calls about it at the admin server.
+
+        Args:
+            admin_service: Of this process.
+            config_applier: Puts replicated settings in force.
+            endpoint_list_age: Gives the ticks since the last answer of discovery.
+            is_successor: Whether this process replaces one of the same name that is still a member.
+
+        Raises:
+            ConfigError: The storage folder of a voter cannot be used.
+            OSError: An address cannot be opened.
+        """
+        self._replicated_config = ReplicatedConfig(
+            structs.replace(self.cluster_config, is_successor=is_successor),
+            local_settings=self.local_settings,
+            admin_service=admin_service,
+            config_applier=config_applier,
+            endpoint_list_age=endpoint_list_age,
+            event_log=self.event_log,
+        )
+        self._services = self._replicated_config
+        await self._replicated_config.open()
+
+    async def close(self) -> None:
+        """Leaves the cluster, if it was joined."""
+        if self._replicated_config:
+            await self._replicated_config.close()
+
+    # --- ClusterServices ---
+
+    def has_valid_config(self) -> bool:
+        """See `ClusterServices`."""
+        return self._services.has_valid_config()
+
+    def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
+        """See `ClusterServices`."""
+        return self._services.acquire_quota(request_class, tenant)
+
+    def release_quota(self, limits: Sequence[str]) -> None:
+        """See `ClusterServices`."""
+        self._services.release_quota(limits)
+
+    def record_event(self, event: RecordedEvent, request_id: str, subject: str) -> None:
+        """See `ClusterServices`."""
+        self._services.record_event(event, request_id, subject)
+
+    def attempt_abandoned(self, backend_id: str, request_id: str) -> None:
+        """See `ClusterServices`."""
+        self._services.attempt_abandoned(backend_id, request_id)
+
+    def attempt_finished(self, backend: int, outcome: Outcome) -> None:
+        """See `ClusterServices`."""
+        self._services.attempt_finished(backend, outcome)
+
+    def abandoned_attempt_finished(self, request_id: str, backend_id: str) -> None:
+        """See `ClusterServices`."""
+        self._services.abandoned_attempt_finished(request_id, backend_id)
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -7,13 +7,9 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
-from msgspec import structs
-
-from crankfold.cluster.config import read_cluster_config
+from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
-from crankfold.config import schema
-from crankfold.config.parser import ServiceConfig
 from crankfold.consensus.conservative_merge import (
     DRAINED_BACKENDS,
     EXCLUDED_BACKENDS,
@@ -23,16 +19,15 @@
 )
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.versioned_documents import MACHINES
-from crankfold.network.metrics import Metrics
-from crankfold.routing.interface import Outcome, RoutingConfig
+from crankfold.errors import ConfigError
+from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
-from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.cluster.admin import ClusterAdmin
 from crankfold.service.cluster.document_validation import replicated_settings, validation_error
 from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.config_file import parse_settings
+from crankfold.service.reload import ConfigApplier
 from crankfold.service.requests.collaborators import RecordedEvent
-from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.requests.quotas import Quotas
 
 if TYPE_CHECKING:
@@ -40,73 +35,66 @@
 
 logger = logging.getLogger(__name__)
 
+CONTINUE_WHEN_ISOLATED = "go-on"  # the isolation policy of the configuration
+
 
 class ReplicatedConfig:
-    """Implements `ClusterServices` for requests, and applies changed documents of the cluster."""
+    """Implements `ClusterServices` for requests, and applies changed documents of the cluster.
+
+    Args:
+        cluster_config: How this process takes part in the cluster.
+        local_settings: The settings in the configuration file, which the replicated ones override.
+        admin_service: Of this process.
+        config_applier: Puts replicated settings in force.
+        endpoint_list_age: Gives the ticks since the last answer of discovery.
+        event_log: None unless the configuration names one.
+
+    Raises:
+        ConfigError: The storage folder of a voter cannot be used.
+    """
 
     def __init__(
         self,
-        document: dict[str, Any],
-        metrics: Metrics,
-        backend_registry: BackendRegistry,
-        apply_config: Callable[[RoutingConfig, ServiceConfig], None],
+        cluster_config: ClusterConfig,
+        *,
+        local_settings: dict[str, Any],
+        admin_service: AdminService,
+        config_applier: ConfigApplier,
         endpoint_list_age: Callable[[], int],
+        event_log: EventLog | None,
     ) -> None:
-        """Reads the configuration of the cluster, without joining it.
-
-        Args:
-            document: The configuration file as decoded.
-            metrics: Counts events.
-            backend_registry: Holds the drains of the cluster.
-            apply_config: Puts a configuration in force.
-            endpoint_list_age: Gives the ticks since the last answer of discovery.
-
-        Raises:
-            ValueError: The document is not valid.
-        """
-        self.local_settings: dict[str, Any] = document["settings"]
-        self.metrics = metrics
-        self.backend_registry = backend_registry
-        self.apply_config = apply_config
+        self.local_settings = local_settings
+        self.admin_service = admin_service
+        self.request_handler = admin_service.request_handler
+        self.backend_registry = admin_service.backend_registry
+        self.metrics = admin_service.metrics
+        self.config_applier = config_applier
         self.endpoint_list_age = endpoint_list_age
-        self.cluster_config = read_cluster_config(document["peers"])
-        self.acts_when_isolated = self.cluster_config.isolation_policy == "go-on"
-        schema.validate({name: part for name, part in document.items() if name != "peers"})
-        self.request_handler: RequestHandler
-        self.admin_service: AdminService
-        self.cluster_node: ClusterNode
+        self.event_log = event_log
+        self.acts_when_isolated = cluster_config.isolation_policy == CONTINUE_WHEN_ISOLATED
         self.quotas = Quotas()
         self.maintenance: MaintenanceAgent | None = None  # once there is a maintenance job
         self.effective_settings: dict[str, Any] | None = None
         self.was_isolated = False
-        event_log_path = self.cluster_config.event_log_path
-        self.event_log = EventLog(event_log_path) if event_log_path else None
-
-    async def open(
-        self, request_handler: RequestHandler, admin_service: AdminService, succeeds: bool
-    ) -> None:
-        """Joins the cluster.
+        self.cluster_node = self._build_cluster_node(cluster_config)
 
-        Args:
-            request_handler: Of this process.
-            admin_service: Of this process.
-            succeeds: Whether this process replaces one of the same name that is still a member.
-
-        Raises:
-            OSError: An address cannot be opened.
-            ValueError: The storage folder of a voter cannot be used.
-        """
-        self.request_handler = request_handler
-        self.admin_service = admin_service
+    def _build_cluster_node(self, cluster_config: ClusterConfig) -> ClusterNode:
         try:
-            self.cluster_node = ClusterNode(
-                structs.replace(self.cluster_config, is_successor=succeeds),
+            return ClusterNode(
+                cluster_config,
                 metrics=self.metrics,
                 dispatcher=self,
                 initial_settings=replicated_settings(self.local_settings),
             )
         except StorageError as error:
-            raise ValueError(f"peers: {error}") from None
+            raise ConfigError(f"peers: {error}") from None
+
+    async def open(self) -> None:
+        """Joins the cluster, and offers the calls about it at the admin server.
+
+        Raises:
+            OSError: An address cannot be opened.
+        """
         await self.cluster_node.open()
         # The admin server is open already; calls about the cluster are answered from here on.
         self.admin_service.replicated_config = ClusterAdmin(
@@ -211,7 +199,7 @@
         settings = member.effective_content(SETTINGS)
         if SETTINGS in names and settings is not None and settings != self.effective_settings:
             parsed = parse_settings({**self.local_settings, **settings})
-            self.apply_config(parsed.routing, parsed.service)
+            self.config_applier.apply(parsed.routing, parsed.service)
             self.effective_settings = settings
         replicated = member.documents.replicated
         if member.documents.document(MAINTENANCE).versions or replicated.maintenance.machines:
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -4,11 +4,10 @@
 import logging
 import socket
 import zlib
+from collections.abc import Callable
 from typing import Any
 
 from crankfold.network.handover_channel import SOCKET_SIGNATURE, HandoverChannel, resolve
-from crankfold.network.listener import Listener
-from crankfold.network.metrics import Metrics
 from crankfold.protocol.callbacks import handle_callback, request_id_of
 from crankfold.protocol.handover_messages import (
     FORMAT_VERSION,
@@ -23,9 +22,8 @@
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.handover import transferred_state
 from crankfold.service.handover.state_machine import HandoverRole, HandoverStateMachine
-from crankfold.service.requests.collaborators import CallbackAnswer
-from crankfold.service.requests.handler import RequestHandler
-from crankfold.service.socket_budget import SocketBudget
+from crankfold.service.requests.collaborators import CallbackAnswer, OtherProcesses
+from crankfold.service.serving_parts import ServingParts
 
 logger = logging.getLogger(__name__)
 
@@ -36,7 +34,15 @@
 class Handover:
     """The handover at one process.
 
-    It carries out the actions of the state machine and handles the events of the channel.
+    It carries out the actions of the state machine and handles the events of the channel. The request handler
+    needs it as `OtherProcesses`, so the parts that serve clients are built here.
+
+    Args:
+        directory: Has the handover socket and the record of manual drains.
+        dispatcher_name: Of the configuration; processes of one dispatcher share it.
+        listen_address: Host and port for clients.
+        backend_registry: Of this process.
+        build_serving_parts: Builds the parts that serve clients, given this object; called once.
     """
 
     def __init__(
@@ -45,18 +51,13 @@
         dispatcher_name: str,
         listen_address: tuple[str, int],
         backend_registry: BackendRegistry,
-        metrics: Metrics,
+        build_serving_parts: Callable[[OtherProcesses], ServingParts],
     ) -> None:
-        """Opens nothing. `attach` has to be called before anything else."""
         # The directory may have the socket or the record of another dispatcher that used the same address, so
         # names are compared as well.
         self.dispatcher_name = dispatcher_name
         self.listen_address = listen_address
         self.backend_registry = backend_registry
-        self.metrics = metrics
-        self.request_handler: RequestHandler
-        self.listener: Listener
-        self.socket_budget: SocketBudget
         self.predecessor_request_ids: frozenset[str] = frozenset()
         self.loop = backend_registry.timers.loop
         address_hash = zlib.crc32(f"{listen_address[0]}:{listen_address[1]}".encode())
@@ -67,14 +68,9 @@
         self.retry_takeover = False
         self.inherited_reports: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-
-    def attach(
-        self, request_handler: RequestHandler, listener: Listener, socket_budget: SocketBudget
-    ) -> None:
-        """Gives it the parts of this process that are made after it, as they are given it in turn."""
-        self.request_handler = request_handler
-        self.listener = listener
-        self.socket_budget = socket_budget
+        self.serving_parts = build_serving_parts(self)
+        self.request_handler, self.listener, self.socket_budget = self.serving_parts
+        self.metrics = self.request_handler.metrics
 
     # --- as the successor ---
 
--- a/crankfold/service/shutdown.py
+++ b/crankfold/service/shutdown.py
@@ -12,7 +12,7 @@
 from crankfold.service.requests.handler import RequestHandler
 
 if TYPE_CHECKING:
-    from crankfold.service.cluster.replicated_config import ReplicatedConfig
+    from crankfold.service.cluster.membership import ClusterMembership
     from crankfold.service.handover.handover import Handover
 
 logger = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
         admin_server: AdminServer,
         discovery_watcher: DiscoveryWatcher,
         handover: "Handover | None",
-        replicated_config: "ReplicatedConfig | None",
+        cluster: "ClusterMembership | None",
     ) -> None:
         self.lifecycle = lifecycle
         self.request_handler = request_handler
@@ -46,7 +46,7 @@
         self.admin_server = admin_server
         self.discovery_watcher = discovery_watcher
         self.handover = handover
-        self.replicated_config = replicated_config
+        self.cluster = cluster
         self.loop = asyncio.get_running_loop()
 
     async def drain(self, longest_deadline: float) -> None:
@@ -95,8 +95,8 @@
         self.request_handler.answer_all_open()
         ignore_signals_at_end(self.loop)
         self.discovery_watcher.stop()
-        if self.replicated_config:
-            await self.replicated_config.close()
+        if self.cluster:
+            await self.cluster.close()
         await self.admin_server.close()
         await self.listener.close()
         if self.handover:
