--- a/crankfold/service/admin_service.py
+++ b/crankfold/service/admin_service.py
@@ -1,11 +1,9 @@
 """Carries out the admin calls: readiness, manual drains of backends, the drain of this process."""
 
 import logging
-from collections.abc import Sequence
 
 from crankfold.network.listener import Listener
 from crankfold.protocol.admin_api import ReplicatedConfigAdmin
-from crankfold.routing.interface import Endpoint
 from crankfold.service.backends.registry import UnknownBackendError
 from crankfold.service.lifecycle import Lifecycle
 from crankfold.service.requests.collaborators import OtherProcesses
@@ -64,14 +62,10 @@
             word = "drained" if drained else "restored"
             self.metrics.increment(f"backends-{word}-manually")
             logger.info("backend %s manually: %r", word, backend_id)
-            self.endpoints_changed([endpoint])
+            self.request_handler.effective_endpoints_changed([endpoint])
         await self.other_processes.replicate_manual_drain(backend_id, drained)
         return True
 
-    def endpoints_changed(self, endpoints: Sequence[Endpoint]) -> None:
-        """Reports endpoints whose effective state has changed without a new endpoint list to the router."""
-        self.request_handler.notify_routing(self.request_handler.routing.endpoints_changed, endpoints, False)
-
     def leave_service(self) -> None:
         """Drains this process; a repeated call has no effect."""
         if self.lifecycle.start_drain(self.loop.time()):
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -227,7 +227,7 @@
             drained |= self.maintenance.machines_out()
         endpoints = self.backend_registry.set_cluster_drains(drained)
         if endpoints:
-            self.admin_service.endpoints_changed(endpoints)
+            self.request_handler.effective_endpoints_changed(endpoints)
 
     def quota_usage(self) -> dict[str, int]:
         """Returns the demand for each limit: requests in hand and those rejected since the last call."""
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -18,7 +18,6 @@
     ProcessUsage,
     Welcome,
 )
-from crankfold.routing.interface import Endpoint
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.handover import transferred_state
 from crankfold.service.handover.state_machine import HandoverRole, HandoverStateMachine
@@ -86,29 +85,40 @@
         connection = await self.channel.connect(hello)
         if connection:
             process, listening_socket, welcome = connection
-            if listening_socket and self._can_succeed(welcome, listening_socket):
-                assert isinstance(welcome, Welcome)
+            state = self._state_of_predecessor(welcome, listening_socket)
+            if state is not None:
                 self.listening_socket = listening_socket
                 self.state_machine.predecessor_connected(process)
-                return self._adopt_state(welcome.state)
+                return self._adopt_state(state)
             self._warn("predecessor", "has another format version, address or name; starting alone")
             self.channel.disconnect(process)
             if listening_socket:
                 listening_socket.close()
+        self._adopt_saved_drains()
+        return None
+
+    def _state_of_predecessor(
+        self, welcome: HandoverMessage, listening_socket: socket.socket | None
+    ) -> ProcessState | None:
+        """Returns the state in a welcome; None unless its sender is a process of the same dispatcher."""
+        if not isinstance(welcome, Welcome) or listening_socket is None:
+            return None
+        state = welcome.state
+        if (
+            state.format_version != FORMAT_VERSION
+            or state.dispatcher_name != self.dispatcher_name
+            or listening_socket.getsockname()[:2] != self.listen_address
+        ):
+            return None
+        return state
+
+    def _adopt_saved_drains(self) -> None:
+        """Puts the manual drains in force that an earlier process of the same dispatcher saved."""
         record = self.channel.load_record()
         if record and record.dispatcher_name == self.dispatcher_name:
             transferred_state.adopt_manual_drains(
                 self.request_handler, record.manual_drains, times_known=False
             )
-        return None
-
-    def _can_succeed(self, welcome: HandoverMessage, listening_socket: socket.socket) -> bool:
-        return (
-            isinstance(welcome, Welcome)
-            and welcome.state.format_version == FORMAT_VERSION
-            and welcome.state.dispatcher_name == self.dispatcher_name
-            and listening_socket.getsockname()[:2] == self.listen_address
-        )
 
     def _adopt_state(self, state: ProcessState) -> dict[str, Any] | None:
         self.backend_registry.known_ids.update(state.known_ids)
@@ -256,14 +266,14 @@
         self.metrics.increment("handovers")
         self.listener.pause()
         self.socket_budget.yield_to_successor()
-        self._endpoints_changed(self.backend_registry.reserve_slow_start(True))
+        self.request_handler.effective_endpoints_changed(self.backend_registry.reserve_slow_start(True))
 
     def resume_accepting(self) -> None:
         """Accepts connections again after the successor has ended."""
         logger.info("the successor process has ended; serving again")
         self.metrics.increment("handovers-reverted")
         self.socket_budget.reserve(0, 0)
-        self._endpoints_changed(self.backend_registry.reserve_slow_start(False))
+        self.request_handler.effective_endpoints_changed(self.backend_registry.reserve_slow_start(False))
         task = self.loop.create_task(self._reopen())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -296,16 +306,13 @@
         change = self.backend_registry.drain if drained else self.backend_registry.restore
         endpoint = change(backend_id)
         if endpoint:
-            self._endpoints_changed([endpoint])
+            self.request_handler.effective_endpoints_changed([endpoint])
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
         """Notes the requests in hand at the predecessor and reserves sockets for its connections."""
         self.predecessor_request_ids = frozenset(usage.request_ids)
         self.socket_budget.reserve(usage.accepted_connections, usage.backend_connections)
 
-    def _endpoints_changed(self, endpoints: list[Endpoint]) -> None:
-        self.request_handler.notify_routing(self.request_handler.routing.endpoints_changed, endpoints, False)
-
     @staticmethod
     def _warn(category: str, text: str) -> None:
         logger.warning("%s", text, extra={"category": category})
--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -1,7 +1,7 @@
 """Callbacks: reports of backends on the requests that they execute."""
 
 import asyncio
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from http import HTTPStatus
 
 from crankfold.network.metrics import Metrics
@@ -76,15 +76,8 @@
         """Handles the report that the backend has started to execute the request."""
         found = self._find_attempt(request_id, backend_id)
         if found and not found.attempt.started:
-            request, attempt = found
-            attempt.started = True
-            self.owner.notify_routing(
-                self.owner.routing.attempt_started,
-                request.number,
-                attempt.number,
-                attempt.backend,
-                request_number=request.number,
-            )
+            found.attempt.started = True
+            self._notify_routing(self.owner.routing.attempt_started, found)
 
     def execution_progressed(
         self,
@@ -95,14 +88,7 @@
         """Handles the report that the backend still executes the request."""
         found = self._find_attempt(request_id, backend_id)
         if found:
-            request, attempt = found
-            self.owner.notify_routing(
-                self.owner.routing.attempt_progressed,
-                request.number,
-                attempt.number,
-                attempt.backend,
-                request_number=request.number,
-            )
+            self._notify_routing(self.owner.routing.attempt_progressed, found)
 
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
@@ -127,6 +113,13 @@
             self.owner.respond(request, Disposition.COMPLETED, result)
         self.attempts.end(request, attempt, outcome, report)
 
+    def _notify_routing(self, event: Callable[[int, int, int, int], None], found: ActiveAttempt) -> None:
+        """Calls a method of the router that takes the time, the request, the attempt and the backend."""
+        request, attempt = found
+        self.owner.notify_routing(
+            event, request.number, attempt.number, attempt.backend, request_number=request.number
+        )
+
     def _find_attempt(self, request_id: str, backend_id: str) -> ActiveAttempt | None:
         backend = self.backends.backend_ids.find(backend_id)
         found = self.request_table.find_active_attempt(request_id, backend)
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -360,6 +360,10 @@
         effective = self.backends.update_endpoints(endpoints, snapshot)
         self.notify_routing(self.routing.endpoints_changed, effective, snapshot)
 
+    def effective_endpoints_changed(self, endpoints: Sequence[Endpoint]) -> None:
+        """Reports endpoints to the router whose effective state has changed without a new endpoint list."""
+        self.notify_routing(self.routing.endpoints_changed, endpoints, False)
+
     def discovery_failed(self) -> None:
         """Reports to the router that the poll of the endpoint list has failed."""
         self.notify_routing(self.routing.discovery_failed)
