--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -1,17 +1,15 @@
 """The admin API of the cluster: its members, documents, voters and maintenance.
 
-The JSON keys of calls and answers differ from the names in the code; they are mapped in this module. It is
-imported only with peers.
+Imported only with peers. The JSON keys of calls and answers are in `admin_messages`.
 """
 
 import time
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING
 
 import msgspec
-import orjson
-from msgspec import Struct, field, structs
+from msgspec import structs
 
 from crankfold.cluster.config import parse_address
 from crankfold.cluster.node import ClusterNode
@@ -19,6 +17,18 @@
 from crankfold.consensus.messages import ProposalResponse
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.consensus.voter import Voter
+from crankfold.service.cluster.admin_messages import (
+    AdminAnswer,
+    AppliedPublishOutcome,
+    CallOutcome,
+    DocumentAnswer,
+    ErrorAnswer,
+    MembershipChangeRequest,
+    MembershipOutcome,
+    PublishOutcome,
+    PublishRequest,
+    encode_answer,
+)
 from crankfold.service.wall_clock import wall_clock_ms
 
 if TYPE_CHECKING:
@@ -33,32 +43,6 @@
 FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
 
 
-class AdminAnswer(NamedTuple):
-    """The HTTP status of an answer and its JSON body."""
-
-    status: int
-    body: str
-
-
-class PublishRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """The call that publishes a new version of a document."""
-
-    call: str  # idempotency key of the call
-    made_from: int  # number of the version that the content is based on
-    content: dict[str, Any] = field(name="text")
-    author: str = ""
-    reason: str = ""
-    wait: float = 0.0  # seconds until all dispatchers have applied the version
-
-
-class MembershipChangeRequest(Struct, forbid_unknown_fields=True):
-    """The call that adds voters, by name and address, or removes one; one change at a time."""
-
-    call: str
-    add: dict[str, str] = field(default_factory=dict)
-    remove: str = ""
-
-
 class ClusterAdmin:
     """Carries out the admin calls at a member of a cluster."""
 
@@ -69,7 +53,7 @@
 
     def cluster_status(self) -> AdminAnswer:
         """Returns the status of the cluster as this member sees it."""
-        return _answer(HTTPStatus.OK, self.cluster_node.status())
+        return encode_answer(HTTPStatus.OK, self.cluster_node.status())
 
     async def read_document(self, name: str, minimum_version: int) -> AdminAnswer:
         """Returns a document whose newest version is `minimum_version` or later.
@@ -77,24 +61,24 @@
         Waits `READ_TIMEOUT` for that version; the answer is an error if it does not arrive.
         """
         if name == MACHINES:
-            return _answer(HTTPStatus.OK, self.maintenance().describe())
+            return encode_answer(HTTPStatus.OK, self.maintenance().describe())
         if name not in DOCUMENTS:
-            return _answer(HTTPStatus.NOT_FOUND, {"text": f"there are {', '.join(DOCUMENTS)}"})
+            return encode_answer(HTTPStatus.NOT_FOUND, ErrorAnswer(f"there are {', '.join(DOCUMENTS)}"))
         if not await self.cluster_node.wait_until_known(name, minimum_version, READ_TIMEOUT):
             reason = self.cluster_node.inactive_reason() or "it lags behind"
             text = f"version {minimum_version} of {name} is not known here yet: {reason}"
-            return _answer(HTTPStatus.GATEWAY_TIMEOUT, {"text": text})
+            return encode_answer(HTTPStatus.GATEWAY_TIMEOUT, ErrorAnswer(text))
         document = self.cluster_node.consensus.documents.document(name)
-        return _answer(
+        return encode_answer(
             HTTPStatus.OK,
-            {
-                "doc": name,
-                "counts": document.active_number,
-                "newest": document.latest_number(),
-                "acts": self.cluster_node.has_lease(),
-                "acting": self.cluster_node.consensus.effective_content(name),
-                "versions": [structs.asdict(version) for version in document.versions],
-            },
+            DocumentAnswer(
+                name=name,
+                active_number=document.active_number,
+                newest_number=document.latest_number(),
+                has_lease=self.cluster_node.has_lease(),
+                effective_content=self.cluster_node.consensus.effective_content(name),
+                versions=[structs.asdict(version) for version in document.versions],
+            ),
         )
 
     async def publish(self, name: str, body: bytes) -> AdminAnswer:
@@ -106,10 +90,10 @@
                 return await self._request_transition(body)
             if name == FORECAST:
                 forecast = self.maintenance().forecast(body)
-                return _answer(HTTPStatus.OK if forecast["well"] else HTTPStatus.CONFLICT, forecast)
+                return encode_answer(HTTPStatus.OK if forecast.accepted else HTTPStatus.CONFLICT, forecast)
             return await self._publish_version(name, msgspec.json.decode(body, type=PublishRequest))
         except msgspec.DecodeError as error:
-            return _refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return _rejection(HTTPStatus.BAD_REQUEST, str(error))
 
     async def _change_voters(self, body: bytes) -> AdminAnswer:
         request = msgspec.json.decode(body, type=MembershipChangeRequest)
@@ -117,18 +101,18 @@
             for address in request.add.values():
                 parse_address(address)
         except ValueError as error:
-            return _refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return _rejection(HTTPStatus.BAD_REQUEST, str(error))
         member = self.cluster_node.consensus
         if not isinstance(member, Voter):
-            return _refusal(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
+            return _rejection(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
         response = await self.cluster_node.propose(
             "voters", {"voters": voters}, request.call, PUBLISH_TIMEOUT
         )
-        return _answer(
+        return encode_answer(
             HTTPStatus.OK if response.accepted else HTTPStatus.CONFLICT,
-            {"well": response.accepted, "text": response.reason, "voters": voters},
+            MembershipOutcome(response.accepted, response.reason, voters),
         )
 
     async def _publish_version(self, name: str, request: PublishRequest) -> AdminAnswer:
@@ -145,36 +129,38 @@
             request.call,
             PUBLISH_TIMEOUT,
         )
-        answer: dict[str, Any] = {
-            "well": response.accepted,
-            "text": response.reason,
-            "number": response.version_number,
-        }
+        outcome = PublishOutcome(response.accepted, response.reason, response.version_number)
         if not response.accepted:
-            return _answer(_rejection_status(response), answer)
+            return encode_answer(_rejection_status(response), outcome)
         if request.wait:
-            answer |= await self._wait_until_in_force(
-                name, response.version_number, min(request.wait, MAX_WAIT)
-            )
-        return _answer(HTTPStatus.OK, answer)
+            outcome = await self._wait_until_applied(name, outcome, min(request.wait, MAX_WAIT))
+        return encode_answer(HTTPStatus.OK, outcome)
 
-    async def _wait_until_in_force(self, name: str, number: int, max_wait: float) -> dict[str, Any]:
+    async def _wait_until_applied(
+        self, name: str, outcome: PublishOutcome, max_wait: float
+    ) -> AppliedPublishOutcome:
         """Waits until all dispatchers have applied a version.
 
         Args:
             name: Of the document.
-            number: Of the version.
+            outcome: Of the publish that made the version.
             max_wait: Seconds.
 
         Returns:
-            The part of the answer that says whether the version is active, and which members lag.
+            The outcome with whether the version is active, and which members lag.
         """
         started = time.monotonic()
-        index = await self.cluster_node.wait_until_active(name, number, max_wait)
+        index = await self.cluster_node.wait_until_active(name, outcome.number, max_wait)
         applied_by_all = index > 0 and await self.cluster_node.wait_until_cluster_applied(
             index, max_wait - (time.monotonic() - started)
         )
-        return {"counts": index > 0, "lag": [] if applied_by_all else self._lagging_members()}
+        return AppliedPublishOutcome(
+            outcome.accepted,
+            outcome.reason,
+            outcome.number,
+            is_active=index > 0,
+            lagging_members=[] if applied_by_all else self._lagging_members(),
+        )
 
     def _lagging_members(self) -> list[str]:
         """Describes the members that have not applied all entries that this member has applied."""
@@ -193,7 +179,7 @@
             status = HTTPStatus.OK
         else:
             status = HTTPStatus.CONFLICT if result.outcome_known else HTTPStatus.GATEWAY_TIMEOUT
-        return _answer(status, {"well": result.accepted, "text": result.reason})
+        return encode_answer(status, CallOutcome(result.accepted, result.reason))
 
 
 def _rejection_status(response: ProposalResponse) -> HTTPStatus:
@@ -202,9 +188,5 @@
     return HTTPStatus.CONFLICT if known else HTTPStatus.GATEWAY_TIMEOUT
 
 
-def _refusal(status: HTTPStatus, reason: str) -> AdminAnswer:
-    return _answer(status, {"well": False, "text": reason})
-
-
-def _answer(status: HTTPStatus, content: dict[str, Any]) -> AdminAnswer:
-    return AdminAnswer(int(status), orjson.dumps(content).decode())
+def _rejection(status: HTTPStatus, reason: str) -> AdminAnswer:
+    return encode_answer(status, CallOutcome(False, reason))
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -1,12 +1,9 @@
 """The admin API of maintenance: status, forecast of a job, transitions of machines by operators.
 
-The JSON keys of calls and answers differ from the names in the code; they are mapped in this module.
+The JSON keys of calls and answers are in `admin_messages`.
 """
 
-from typing import Any, NamedTuple
-
 import msgspec
-from msgspec import Struct, field
 
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.consensus.conservative_merge import MAINTENANCE
@@ -22,6 +19,17 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
+from crankfold.service.cluster.admin_messages import CallOutcome
+from crankfold.service.maintenance.admin_messages import (
+    ForecastAnswer,
+    ForecastDeparture,
+    ForecastRequest,
+    JobStatus,
+    MachineWait,
+    MaintenanceOverview,
+    TransitionRequest,
+    TransitionResult,
+)
 from crankfold.service.maintenance.interface import MaintenanceStatus
 from crankfold.service.wall_clock import wall_clock_ms
 from crankfold.time_units import TICKS_PER_SECOND
@@ -42,39 +50,13 @@
 )
 
 
-class TransitionRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """The call for a transition of a machine."""
-
-    call: str  # idempotency key of the call
-    machine_id: str = field(name="machine")
-    step: str
-    drain_number: int = field(name="number", default=0)
-    author: str = ""
-    reason: str = field(name="why", default="")
-
-
-class ForecastRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """The call for the forecast of a job that is not published."""
-
-    name: str
-    job: dict[str, Any] = field(name="work")
-
-
-class TransitionResult(NamedTuple):
-    """The outcome of a transition that an operator requested."""
-
-    accepted: bool
-    reason: str = ""  # of a rejection
-    outcome_known: bool = True  # False if the transition may still be accepted
-
-
 class MaintenanceAdmin:
     """Carries out the admin calls about maintenance at one dispatcher."""
 
     def __init__(self, agent: MaintenanceStatus) -> None:
         self.agent = agent
 
-    def describe(self) -> dict[str, Any]:
+    def describe(self) -> MaintenanceOverview:
         """Returns the jobs, the machines in maintenance, the wait reasons and the transitions."""
         agent = self.agent
         state = agent.state
@@ -82,20 +64,19 @@
         machines = agent.machines()
         if isinstance(member, Voter):
             machines += agent.dispatchers(member, boottime_ticks())
-        return {
-            "works": {name: self._describe_job(name, job, machines) for name, job in agent.jobs().items()},
-            "machines": {machine_id: machine.to_document() for machine_id, machine in state.machines.items()},
-            "steps": [transition.to_document() for transition in state.transitions],
-            "waits": [
-                {"machine": wait.machine_id, "work": wait.job, "why": wait.text}
-                for wait in agent.coordinator.wait_reasons
+        return MaintenanceOverview(
+            jobs={name: self._job_status(name, job, machines) for name, job in agent.jobs().items()},
+            machines={machine_id: machine.to_document() for machine_id, machine in state.machines.items()},
+            transitions=[transition.to_document() for transition in state.transitions],
+            waits=[
+                MachineWait(wait.machine_id, wait.job, wait.text) for wait in agent.coordinator.wait_reasons
             ],
-            "leads": isinstance(member, Voter) and member.is_leader(),
-            "leader": member.raft.leader if isinstance(member, Voter) else "",
-            "here": sorted(agent.restored_locally),
-        }
+            is_leader=isinstance(member, Voter) and member.is_leader(),
+            leader=member.raft.leader if isinstance(member, Voter) else "",
+            restored_locally=sorted(agent.restored_locally),
+        )
 
-    def _describe_job(self, name: str, job: JobSpecification, machines: list[Machine]) -> dict[str, Any]:
+    def _job_status(self, name: str, job: JobSpecification, machines: list[Machine]) -> JobStatus:
         state = self.agent.state
         completed = state.completed.get(name, {})
         target = job.to_job(name)
@@ -111,20 +92,20 @@
             job_state = "stopped by itself"
         elif wanted and not under_way and all(machine_id in completed for machine_id in wanted):
             job_state = "done"
-        return {
-            "why": job.reason,
-            "state": job_state,
-            "halted": state.halted_jobs.get(name, ""),
-            "wanted": len(wanted),
-            "done": completed,
-            "left": [
+        return JobStatus(
+            reason=job.reason,
+            state=job_state,
+            halted=state.halted_jobs.get(name, ""),
+            wanted=len(wanted),
+            done=dict(completed),
+            left=[
                 machine_id
                 for machine_id in wanted
                 if machine_id not in completed and machine_id not in state.machines
             ],
-        }
+        )
 
-    def forecast(self, body: bytes) -> dict[str, Any]:
+    def forecast(self, body: bytes) -> ForecastAnswer | CallOutcome:
         """Returns the departures of machines if this job were published now; changes nothing.
 
         Raises:
@@ -137,14 +118,14 @@
         content = {"works": {**before.get("works", {}), request.name: request.job}}
         error = validation_error(content, before, agent.machines())
         if error:
-            return {"well": False, "text": error}
+            return CallOutcome(False, error)
         jobs = parse_jobs(content)
         target = jobs[request.name].target
         machines = agent.machines()
         if target == Target.DISPATCHERS:
             member = agent.cluster_node.consensus
             if not isinstance(member, Voter):
-                return {"well": False, "text": "ask at the door of a voter"}
+                return CallOutcome(False, "ask at the door of a voter")
             machines = agent.dispatchers(member, boottime_ticks())
         same_target = {name: job for name, job in jobs.items() if job.target == target}
         return _forecast_answer(forecast_job(request.name, self._forecast_inputs(same_target, machines)))
@@ -231,18 +212,18 @@
     return TransitionResult(False, f"{machine_id} is not out for any work, as far as is known here")
 
 
-def _forecast_answer(forecast: Forecast) -> dict[str, Any]:
-    return {
-        "well": True,
-        "turns": [
-            {
-                "begin": departure.begin_seconds,
-                "end": departure.end_seconds,
-                "machine": departure.machine_id,
-                "zone": departure.zone,
-                "why": departure.waited_for,
-            }
+def _forecast_answer(forecast: Forecast) -> ForecastAnswer:
+    return ForecastAnswer(
+        accepted=True,
+        departures=[
+            ForecastDeparture(
+                begin=departure.begin_seconds,
+                end=departure.end_seconds,
+                machine_id=departure.machine_id,
+                zone=departure.zone,
+                waited_for=departure.waited_for,
+            )
             for departure in forecast.departures
         ],
-        "waits": forecast.wait_reasons,
-    }
+        wait_reasons=forecast.wait_reasons,
+    )
--- a/tests/service/maintenance/test_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -3,6 +3,8 @@
 import unittest
 from types import SimpleNamespace
 
+import msgspec
+
 from crankfold.consensus.versioned_documents import Document
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.network.metrics import Metrics
@@ -43,7 +45,7 @@
         self.assertEqual((await agent.admin.request_transition(body % b"b")).accepted, False)  # not out
         self.assertEqual((await agent.admin.request_transition(body % b"a")).accepted, True)
         self.assertEqual(machines_out, [set()])
-        self.assertEqual(agent.admin.describe()["here"], ["a"])
+        self.assertEqual(msgspec.to_builtins(agent.admin.describe())["here"], ["a"])
         has_lease[0] = True
         agent.build_report()
         self.assertEqual(machines_out, [set(), {"a"}])
