--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -25,6 +25,7 @@
 from crankfold.service.admin_service import AdminService
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.config_file import (
+    ConfigDocument,
     connection_timeouts,
     divide_socket_limit,
     parse_address,
@@ -56,8 +57,8 @@
 
     def __init__(
         self,
-        document: dict[str, Any],
-        read_document: Callable[[], dict[str, Any]],
+        document: ConfigDocument,
+        read_document: Callable[[], ConfigDocument],
         handover_directory: str = "",
     ) -> None:
         """Builds all parts without opening a file or a socket.
@@ -86,7 +87,7 @@
 
     def _build_request_path(
         self,
-        document: dict[str, Any],
+        document: ConfigDocument,
         handover_directory: str,
         routing_config: RoutingConfig,
         config: ServiceConfig,
@@ -136,7 +137,7 @@
 
     def _build_handover(
         self,
-        document: dict[str, Any],
+        document: ConfigDocument,
         directory: str,
         build_serving_parts: Callable[[OtherProcesses], ServingParts],
     ) -> "Handover | None":
@@ -153,7 +154,7 @@
             build_serving_parts,
         )
 
-    def _build_cluster(self, document: dict[str, Any]) -> "ClusterMembership | None":
+    def _build_cluster(self, document: ConfigDocument) -> "ClusterMembership | None":
         if not document.get("peers"):
             return None
         from crankfold.service.cluster.membership import ClusterMembership  # imported only with peers
@@ -164,7 +165,7 @@
             raise ConfigError(str(error)) from None
 
     def _build_control_path(
-        self, document: dict[str, Any], read_document: Callable[[], dict[str, Any]], config: ServiceConfig
+        self, document: ConfigDocument, read_document: Callable[[], ConfigDocument], config: ServiceConfig
     ) -> None:
         """Builds the parts that discovery, operators and signals control."""
         self.discovery_watcher = self._build_discovery_watcher(document)
@@ -193,7 +194,7 @@
             cluster=self.cluster,
         )
 
-    def _build_discovery_watcher(self, document: dict[str, Any]) -> DiscoveryWatcher:
+    def _build_discovery_watcher(self, document: ConfigDocument) -> DiscoveryWatcher:
         host, port = parse_address(document["discovery"], "discovery")
         return DiscoveryWatcher(
             host,
@@ -356,14 +357,14 @@
         )
 
 
-def _admin_address(document: dict[str, Any]) -> tuple[str, int] | None:
+def _admin_address(document: ConfigDocument) -> tuple[str, int] | None:
     """Returns the address of the admin server; None if there is to be none."""
     if not document.get("admin_addr"):
         return None
     return parse_address(document["admin_addr"], "admin_addr")
 
 
-def _parse_document(document: dict[str, Any]) -> tuple[RoutingConfig, ServiceConfig, int]:
+def _parse_document(document: ConfigDocument) -> tuple[RoutingConfig, ServiceConfig, int]:
     """Returns both configurations and the seed of the router.
 
     Raises:
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -24,6 +24,7 @@
     SETTINGS,
 )
 from crankfold.maintenance.scheduler import Machine
+from crankfold.service.config_file import Settings
 
 Content = dict[str, Any]
 """The content of a replicated document: the JSON object that an operator published."""
@@ -45,7 +46,7 @@
     reasons: dict[str, str] = field(name="runners", default_factory=dict)  # by backend id
 
 
-def replicated_settings(settings: Content) -> Content:
+def replicated_settings(settings: Settings) -> Content:
     """Returns the replicated part of a dispatcher's settings."""
     return {name: settings[name] for name in RELOADABLE if name in settings}
 
@@ -55,7 +56,7 @@
     content: Content,
     *,
     previous: Content | None,
-    local_settings: Content,
+    local_settings: Settings,
     list_machines: Callable[[], Sequence[Machine]],
 ) -> str:
     """Returns why a new version of a document is not valid, with path, found and allowed; empty if it is.
@@ -90,7 +91,7 @@
     return specification.validation_error(content, previous or {}, list_machines())
 
 
-def _settings_error(content: Content, previous: Content | None, local_settings: Content) -> str:
+def _settings_error(content: Content, previous: Content | None, local_settings: Settings) -> str:
     """Returns the first setting that is not replicated, as an error; empty if there is none.
 
     Raises:
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -19,6 +19,9 @@
 
 logger = logging.getLogger(__name__)
 
+EventLine = dict[str, Any]
+"""One line of the log, with the keys of the file."""
+
 STANDARD_OUTPUT = "-"  # in place of a path
 TRANSITION = "step"  # the kind of the lines for transitions of machines in maintenance
 FILE_MODE = 0o666  # less the umask
@@ -44,7 +47,7 @@
         self, event: RecordedEvent, request_id: str, subject: str, member: Voter | Follower
     ) -> None:
         """Writes an event with the versions of the documents that are in force at `member`."""
-        line: dict[str, Any] = {
+        line: EventLine = {
             "at": _boot_time_ns(),
             "what": event.value,
             "unit": request_id,
@@ -77,7 +80,7 @@
                 )
         self.recorded_index = max(self.recorded_index, member.last_applied)
 
-    def _write(self, line: dict[str, Any]) -> None:
+    def _write(self, line: EventLine) -> None:
         data = orjson.dumps(line) + b"\n"
         if self._line_is_torn:
             data = b"\n" + data
--- a/crankfold/service/cluster/membership.py
+++ b/crankfold/service/cluster/membership.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from msgspec import structs
 
@@ -15,6 +14,7 @@
 from crankfold.service.admin_service import AdminService
 from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.cluster.replicated_config import ReplicatedConfig
+from crankfold.service.config_file import ConfigDocument, Settings
 from crankfold.service.reload import ConfigApplier
 from crankfold.service.requests.collaborators import ClusterServices, NoCluster, RecordedEvent
 
@@ -34,7 +34,7 @@
     request is admitted.
     """
 
-    def __init__(self, document: dict[str, Any], metrics: Metrics) -> None:
+    def __init__(self, document: ConfigDocument, metrics: Metrics) -> None:
         """Reads the configuration of the cluster and opens the event log.
 
         Args:
@@ -46,7 +46,7 @@
             OSError: The event log cannot be opened.
         """
         self.metrics = metrics
-        self.local_settings: dict[str, Any] = document["settings"]
+        self.local_settings: Settings = document["settings"]
         self.cluster_config = read_cluster_config(document["peers"])
         schema.validate({name: part for name, part in document.items() if name != "peers"})
         event_log_path = self.cluster_config.event_log_path
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -23,9 +23,9 @@
 from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
 from crankfold.service.cluster.admin import ClusterAdmin
-from crankfold.service.cluster.document_validation import replicated_settings, validation_error
+from crankfold.service.cluster.document_validation import Content, replicated_settings, validation_error
 from crankfold.service.cluster.event_log import EventLog
-from crankfold.service.config_file import parse_settings
+from crankfold.service.config_file import Settings, parse_settings
 from crankfold.service.reload import ConfigApplier
 from crankfold.service.requests.collaborators import RecordedEvent
 from crankfold.service.requests.quotas import Quotas
@@ -57,7 +57,7 @@
         self,
         cluster_config: ClusterConfig,
         *,
-        local_settings: dict[str, Any],
+        local_settings: Settings,
         admin_service: AdminService,
         config_applier: ConfigApplier,
         endpoint_list_age: Callable[[], int],
@@ -74,7 +74,7 @@
         self.acts_when_isolated = cluster_config.isolation_policy == CONTINUE_WHEN_ISOLATED
         self.quotas = Quotas()
         self.maintenance: MaintenanceAgent | None = None  # once there is a maintenance job
-        self.effective_settings: dict[str, Any] | None = None
+        self.effective_settings: Settings | None = None
         self.was_isolated = False
         self.cluster_node = self._build_cluster_node(cluster_config)
 
@@ -176,7 +176,7 @@
 
     # --- for the cluster node: cluster.node.Dispatcher ---
 
-    def validate_document(self, name: str, content: dict[str, Any]) -> str:
+    def validate_document(self, name: str, content: Content) -> str:
         """Returns why a new version of a document is not valid here; empty if it is valid."""
         previous = None
         if name in (SETTINGS, MAINTENANCE):
--- a/crankfold/service/config_file.py
+++ b/crankfold/service/config_file.py
@@ -1,7 +1,4 @@
-"""Reads the configuration file, and derives the values for a start or a reload.
-
-A document is the JSON object in the file as decoded, with the keys and values of the file.
-"""
+"""Reads the configuration file, and derives the values for a start or a reload."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -21,6 +18,12 @@
 from crankfold.routing.interface import RoutingConfig
 from crankfold.time_units import TICKS_PER_SECOND
 
+ConfigDocument = dict[str, Any]
+"""The JSON object of the configuration file as decoded, with the keys and values of the file."""
+
+Settings = dict[str, Any]
+"""The `settings` of a document."""
+
 DEFAULT_SOCKETS = 1024  # limit of the process if the file has none
 MIN_SOCKETS = 64
 IDLE_TIMEOUT_SHARE = 0.5  # of a backend's idle timeout; no request meets a connection that it closes
@@ -50,7 +53,7 @@
     idle: float
 
 
-def read_config(path: str) -> dict[str, Any]:
+def read_config(path: str) -> ConfigDocument:
     """Returns the document in the file at `path`.
 
     Raises:
@@ -81,7 +84,7 @@
         raise ConfigError(f"{key} is no address: {text!r}") from None
 
 
-def divide_socket_limit(document: dict[str, Any], has_admin_server: bool) -> SocketLimits:
+def divide_socket_limit(document: ConfigDocument, has_admin_server: bool) -> SocketLimits:
     """Divides `limits.sockets` between backends and clients; some stay free for files and discovery.
 
     Raises:
@@ -109,7 +112,7 @@
     )
 
 
-def parse_settings(settings: dict[str, Any]) -> ParsedConfig:
+def parse_settings(settings: Settings) -> ParsedConfig:
     """Returns the configurations that the settings of a document define.
 
     Raises:
@@ -119,7 +122,7 @@
     return ParsedConfig(read_routing_config(flat), read_service_config(flat))
 
 
-def parse_changed_document(document: dict[str, Any], running: dict[str, Any]) -> ParsedConfig:
+def parse_changed_document(document: ConfigDocument, running: ConfigDocument) -> ParsedConfig:
     """Returns the configurations of a document that is to replace the running one.
 
     Raises:
@@ -134,7 +137,7 @@
         raise ConfigError(str(error)) from None
 
 
-def settings_needing_restart(document: dict[str, Any], running: dict[str, Any]) -> list[str]:
+def settings_needing_restart(document: ConfigDocument, running: ConfigDocument) -> list[str]:
     """Returns the sorted paths of the differences that a reload does not apply."""
     new_settings = _without_class_specifics(document["settings"])
     old_settings = _without_class_specifics(running["settings"])
@@ -148,7 +151,7 @@
     return sorted(differing)
 
 
-def _without_class_specifics(settings: dict[str, Any]) -> dict[str, Any]:
+def _without_class_specifics(settings: Settings) -> Settings:
     """Returns the settings without specifics of request classes, which a reload applies."""
     specifics = {
         name: value
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -5,7 +5,6 @@
 import socket
 import zlib
 from collections.abc import Callable
-from typing import Any
 
 from crankfold.network.handover_channel import SOCKET_SIGNATURE, HandoverChannel, resolve
 from crankfold.protocol.callbacks import handle_callback, request_id_of
@@ -73,7 +72,7 @@
 
     # --- as the successor ---
 
-    async def connect(self) -> dict[str, Any] | None:
+    async def connect(self) -> transferred_state.EndpointDocument | None:
         """Connects to the predecessor and adopts its state.
 
         Without a predecessor, adopts the saved manual drains.
@@ -120,7 +119,7 @@
                 self.request_handler, record.manual_drains, times_known=False
             )
 
-    def _adopt_state(self, state: ProcessState) -> dict[str, Any] | None:
+    def _adopt_state(self, state: ProcessState) -> transferred_state.EndpointDocument | None:
         self.backend_registry.known_ids.update(state.known_ids)
         transferred_state.adopt_manual_drains(self.request_handler, state.manual_drains)
         self.inherited_reports = transferred_state.inherited_reports(
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -22,6 +22,9 @@
 from crankfold.service.backends.starts import MAX_CLOCK_ERROR
 from crankfold.service.requests.handler import RequestHandler
 
+EndpointDocument = dict[str, Any]
+"""An endpoint list in the JSON form of discovery."""
+
 MAX_REPORT_AGE = 50_000  # ticks; older load reports are not transferred
 
 
@@ -30,7 +33,7 @@
     return DYNAMIC_WEIGHTS if weights_follow_load else STATIC_WEIGHTS
 
 
-def inherited_endpoints(state: ProcessState, weights_follow_load: bool) -> dict[str, Any] | None:
+def inherited_endpoints(state: ProcessState, weights_follow_load: bool) -> EndpointDocument | None:
     """Returns the endpoint list of the predecessor in the JSON form of discovery, None without one.
 
     Weights are reset if the predecessor interprets them differently.
--- a/crankfold/service/reload.py
+++ b/crankfold/service/reload.py
@@ -2,7 +2,6 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from crankfold.config.parser import ServiceConfig
 from crankfold.errors import ConfigError
@@ -11,6 +10,7 @@
 from crankfold.network.metrics import Metrics
 from crankfold.routing.interface import RoutingConfig
 from crankfold.service.config_file import (
+    ConfigDocument,
     connection_timeouts,
     divide_socket_limit,
     parse_address,
@@ -49,8 +49,8 @@
 
     def __init__(
         self,
-        document: dict[str, Any],
-        read_document: Callable[[], dict[str, Any]],
+        document: ConfigDocument,
+        read_document: Callable[[], ConfigDocument],
         *,
         applier: ConfigApplier,
         socket_budget: SocketBudget,
@@ -94,7 +94,7 @@
         self.document = _without_known_endpoints(document)
         logger.info("new configuration: discovery at %s:%s%s", host, port, remarks)
 
-    def _remarks(self, document: dict[str, Any]) -> str:
+    def _remarks(self, document: ConfigDocument) -> str:
         """Describes for the log which parts of the document are not in force."""
         pending = settings_needing_restart(document, self.document)
         remarks = f"; {', '.join(pending)} differs and waits for a restart" if pending else ""
@@ -103,6 +103,6 @@
         return remarks
 
 
-def _without_known_endpoints(document: dict[str, Any]) -> dict[str, Any]:
+def _without_known_endpoints(document: ConfigDocument) -> ConfigDocument:
     """Returns the document without the endpoint list, which is used at the start only."""
     return {name: part for name, part in document.items() if name != "known"}
