--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -281,7 +281,7 @@
                 orjson.dumps(self.known_endpoints), self.backend_registry.register
             )
         except ValueError as error:
-            logger.warning("%s; starting without a list", error, extra={"category": "known"})
+            logger.warning("%s; starting without an endpoint list", error, extra={"category": "known"})
             return
         self.request_handler.endpoints_changed(endpoints, is_snapshot)
         if self.polls_discovery:
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -93,7 +93,11 @@
             try:
                 self._jobs = specification.parse_jobs(document.versions[-1].text) if document.versions else {}
             except ValueError as error:  # validated by members with another program version
-                logger.warning("can't be read here: %s", error, extra={"category": "maintenance"})
+                logger.warning(
+                    "job document not valid for this version of the program: %s",
+                    error,
+                    extra={"category": "maintenance"},
+                )
                 self._jobs = {}
         return self._jobs
 
@@ -114,7 +118,8 @@
         self.restored_locally.add(machine_id)
         self.metrics.increment("machines-restored-locally")
         logger.info(
-            "maintenance: %s restored at this dispatcher alone, while isolated; it may be in work", machine_id
+            "maintenance: %s restored at this dispatcher only, while isolated; work may be in progress",
+            machine_id,
         )
         self.machines_out_changed()
 
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -84,14 +84,16 @@
 
     async def _run(self, command: Command) -> None:
         key = command.key
-        logger.info("maintenance: %s: the command of %s begins under %s", command.job_name, *key)
+        logger.info("maintenance: %s: command for %s started, drain number %s", command.job_name, *key)
         try:
             outcome = await self._execute(command)
         except OSError as error:
             outcome = CommandOutcome(MaintenancePhase.WORK_FAILED, f"could not be run: {error}")
         finally:
             self.processes.pop(key, None)
-        logger.info("maintenance: %s: the command of %s under %s: %s, %s", command.job_name, *key, *outcome)
+        logger.info(
+            "maintenance: %s: command for %s, drain number %s: %s, %s", command.job_name, *key, *outcome
+        )
         transition = outcome_document(
             Transition(
                 machine_id=key.machine_id,
