--- a/crankfold/cli/admin_client.py
+++ b/crankfold/cli/admin_client.py
@@ -12,15 +12,15 @@
 EXIT_DONE = 0
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
-EXIT_NOT_APPLIED = 4  # published, but not every dispatcher acts on it yet
+EXIT_NOT_APPLIED = 4  # published, but not applied by every dispatcher yet
 
 HTTP_OK = 200
-HTTP_NO_OUTCOME = 504  # the dispatcher gave up waiting; what was asked for may still happen
+HTTP_NO_OUTCOME = 504  # the outcome is unknown: the dispatcher timed out before it was known
 RESPONSE_MARGIN = 15.0  # seconds to wait for a response, beyond what the call itself waits for
 
 
 class CommandError(CrankfoldError, click.ClickException):
-    """A command can not do what it was asked to; click prints the text and exits with `exit_code`."""
+    """A command has failed; click prints the text and exits with `exit_code`."""
 
     def show(self, file: IO[Any] | None = None) -> None:
         """Print the text to standard error, or to `file`."""
@@ -28,13 +28,13 @@
 
 
 class UnreachableError(CommandError):
-    """Nobody answers at the address as an admin server should, or the outcome is not known."""
+    """No admin server answers at the address, or the outcome of the call is unknown."""
 
     exit_code = EXIT_UNREACHABLE
 
 
 class RefusedError(CommandError):
-    """The dispatcher understood the call and refuses it."""
+    """The dispatcher rejected the call."""
 
     exit_code = EXIT_REFUSED
 
@@ -48,14 +48,14 @@
 
     @property
     def reason(self) -> str:
-        """What the server says about a call that it did not carry out."""
+        """The reason of the server for a rejected call."""
         return str(self.content.get("text", self.content))
 
     def require_ok(self) -> dict[str, Any]:
         """The content of a successful response.
 
         Raises:
-            UnreachableError: the status is another one.
+            UnreachableError: The status is another one.
         """
         if self.status != HTTP_OK:
             raise UnreachableError(self.reason)
@@ -67,10 +67,10 @@
 ) -> AdminResponse:
     """Send one request to the admin server at `address` (HOST:PORT): a POST if there is a body, else a GET.
 
-    `wait_seconds` is how long the server may take on purpose before it answers.
+    `wait_seconds` is how long the server may wait for an outcome before it answers.
 
     Raises:
-        UnreachableError: nothing came back, or no JSON object.
+        UnreachableError: There is no answer, or it is not a JSON object.
     """
     host, _, port = address.rpartition(":")
     text = b""
--- a/crankfold/cli/fleet.py
+++ b/crankfold/cli/fleet.py
@@ -23,7 +23,7 @@
 
 
 class FollowerView(Struct):
-    """A follower, as the voter that it asks for its lease sees it."""
+    """A follower, as seen by the voter that grants its lease."""
 
     name: str
     state: str
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -1,4 +1,4 @@
-"""`crankfold maintenance`, also called `works`: maintenance jobs on machines, and how far they are."""
+"""`crankfold maintenance`, also called `works`: maintenance jobs on machines, and their progress."""
 
 import tomllib
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 
 class DepartureView(Struct):
-    """When a machine would be taken out, in seconds from now."""
+    """The times at which a machine would be out, in seconds from now."""
 
     begin: float
     end: float
@@ -41,24 +41,24 @@
 
 
 class ForecastView(Struct):
-    """What would come about if a job were submitted now."""
+    """The forecast for a job that is not submitted yet."""
 
     departures: list[DepartureView] = field(name="turns")
     never: dict[str, str] = field(name="waits")  # machine to the reason why it would never go
 
 
 class JobView(Struct):
-    """How far a job is."""
+    """The progress of a job."""
 
     state: str
-    halted: str  # why it stopped by itself, or nothing
+    halted: str  # why it stopped by itself; empty if it has not
     wanted: int  # machines
     done: dict[str, str]  # machine to how it ended
     reason: str = field(name="why")
 
 
 class JobsView(Struct):
-    """All jobs, the machines that are out for them, and what is waited for."""
+    """All jobs, the machines that are out for them, and the wait reasons."""
 
     jobs: dict[str, JobView] = field(name="works")
     machines: dict[str, MachineView]
@@ -81,9 +81,9 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, in an order that the dispatchers decide (docs/maintenance.md).
+    """Maintenance of machines, in an order that the dispatchers decide (docs/maintenance.md).
 
-    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or nobody answers.
+    Exit: 0 done; 1 rejected; 2 unusable call; 3 no outcome or no answer.
     """
 
 
@@ -92,7 +92,7 @@
 @json_option
 @file_argument
 def show_forecast(address: str, as_json: bool, file: BinaryIO) -> None:
-    """The order in which the machines of FILE's job would go, and why they wait. Changes nothing."""
+    """Forecast when the machines of FILE's job would be taken out, and why they wait; changes nothing."""
     name, job = parse_job_file(file.read())
     response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
     if response.status != HTTP_OK:
@@ -126,7 +126,7 @@
 @admin_option
 @json_option
 def list_jobs(address: str, as_json: bool) -> None:
-    """All jobs and how far they are."""
+    """List all jobs with their progress."""
     content = fetch_maintenance(address)
     if as_json:
         shown = ("works", "machines", "waits", "leads", "leader")
@@ -147,7 +147,7 @@
 @json_option
 @click.argument("name")
 def show_job(address: str, as_json: bool, name: str) -> None:
-    """Each machine of a job, and what is waited for."""
+    """Show each machine of a job, and the wait reasons."""
     content = fetch_maintenance(address)
     jobs = content["works"]
     if name not in jobs:
@@ -172,7 +172,7 @@
 @reason_option
 @author_option
 def forget_job(address: str, as_json: bool, name: str, reason: str, author: str) -> None:
-    """Take the job out of the list, with what was done for it."""
+    """Delete the job and its results."""
     _publish_change(address, JobChange(name, None, reason, author), as_json)
 
 
@@ -213,7 +213,7 @@
 
 
 def _publish_change(address: str, change: JobChange, as_json: bool) -> None:
-    """Publish the jobs with the change; it is refused if somebody else changed them meanwhile."""
+    """Publish the jobs with the change; it is rejected if another version was published meanwhile."""
     view = fetch_document(address, DOCUMENT)
     newest = view.find(view.newest)
     jobs: dict[str, Any] = newest.content["works"] if newest else {}
@@ -226,7 +226,7 @@
     else:
         job = {**jobs.get(change.name, {}), **change.fields}
         if not change.is_new:
-            # The dispatchers see by the count that the job was resumed or held once more.
+            # The number differs in each call, so that a repeated hold or go has an effect.
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
@@ -250,7 +250,7 @@
         _publish_change(address, JobChange(name, {"state": state}, reason, author), as_json)
 
 
-_add_state_command("hold", "No further machine of the job goes out; those that are out are finished.")
-_add_state_command("go", "The job goes on, also where it had stopped by itself.")
-_add_state_command("stop", "As hold, and machines on which nothing was begun come back.")
+_add_state_command("hold", "Take out no further machine of the job; those that are out are finished.")
+_add_state_command("go", "Resume the job, also after it stopped by itself.")
+_add_state_command("stop", "Like hold, and machines on which no work has started return to service.")
 add_machine_commands(maintenance)
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -1,4 +1,4 @@
-"""The commands of `crankfold maintenance` on single machines: their history, and steps by operators."""
+"""The commands of `crankfold maintenance` on single machines: history and steps by operators."""
 
 import secrets
 import sys
@@ -21,16 +21,16 @@
 from crankfold.cli.options import admin_option, author_option, call_option, json_option
 
 MACHINES_PATH = "agreed/machines"
-STEP_WAIT = 10.0  # seconds until the dispatchers agreed on a step
-FINAL_STEPS = ("well", "gone", "undone")  # with these a machine's time out is over
+STEP_WAIT = 10.0  # seconds until the outcome of a step is known
+FINAL_STEPS = ("well", "gone", "undone")  # these end the maintenance of a machine
 OPERATOR_STEPS = {
-    "begin": "Work on a machine that is free begins: from now on others do not bring it back.",
-    "done": "Work on a machine is done: it comes back, and is watched.",
-    "unwell": "A machine that is back is not well, or could not be worked on: out with it.",
-    "back": "A machine comes back though nothing was done.",
+    "begin": "Report that work on a drained machine has started, so that it stays out.",
+    "done": "Report that work on a machine is done: it returns to service and is monitored.",
+    "unwell": "Report that a returned machine is unhealthy or that work on it failed: it goes out.",
+    "back": "Return a machine to service without work on it.",
     "here": (
-        "A machine comes back at this dispatcher alone, which is cut off. Nobody can say then that "
-        "nothing is done there."
+        "Return a machine to service at this dispatcher only, which is isolated. Work on the machine may "
+        "be in progress."
     ),
 }
 
@@ -40,12 +40,12 @@
 
     job: str = field(name="work")
     state: str
-    number: int  # under which it was called free; 0 before
+    number: int  # the drain number; 0 before it is drained
     reason: str = field(name="why")
 
 
 class WaitView(Struct):
-    """What a machine of a job waits for; no machine if it holds for all the others."""
+    """Why a machine of a job waits; without a machine, why all others wait."""
 
     machine: str
     job: str = field(name="work")
@@ -53,7 +53,7 @@
 
 
 class StepView(Struct):
-    """A step of a machine that the dispatchers agreed on."""
+    """A committed transition of a machine."""
 
     machine_id: str = field(name="uid")
     job: str = field(name="work")
@@ -85,7 +85,7 @@
 @json_option
 @click.argument("machine")
 def show_machine_history(address: str, as_json: bool, machine: str) -> None:
-    """When a machine was out, for which job, who took each step and how long it lasted."""
+    """Show when a machine was out, for which job, and the author and duration of each step."""
     raw = [step for step in fetch_maintenance(address)["steps"] if step["uid"] == machine]
     if as_json:
         click.echo(format_json(raw))
@@ -106,7 +106,9 @@
     @admin_option
     @json_option
     @click.argument("machine")
-    @click.option("--number", default=0, help="Under which the machine was called free; else refused.")
+    @click.option(
+        "--number", default=0, help="The drain number of the machine; with another one the call is rejected."
+    )
     @click.option("--why", default="", help="For the machine's history.")
     @author_option
     @call_option
--- a/crankfold/cli/options.py
+++ b/crankfold/cli/options.py
@@ -33,11 +33,11 @@
     "wait_seconds",
     type=click.FloatRange(0, 60),
     default=0.0,
-    help="Seconds, until every dispatcher acts on it.",
+    help="Seconds to wait until every dispatcher has applied it.",
 )
 call_option = click.option(
     "--call",
     "call_id",
     default="",
-    help="A call repeated under the same identifier has one effect; drawn at random if not given.",
+    help="Idempotency key: a repeated call with the same key has one effect; random by default.",
 )
