--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Sequence
 from dataclasses import replace
 from functools import partial
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from crankfold.config.interning import Interner
 from crankfold.config.parser import ServiceConfig, setting_text
@@ -17,7 +17,7 @@
     ExchangeResult,
 )
 from crankfold.network.timers import Timers
-from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
+from crankfold.protocol.discovery import DiscoveryEntry
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.service.backends.manual_drains import ManualDrains
 from crankfold.service.backends.starts import BackendStarts
@@ -160,22 +160,20 @@
         record.state = endpoint.state
         return endpoint
 
-    def discovery_entry(self, backend: int) -> dict[str, Any]:
-        """Returns the discovery entry of a backend in the JSON form of discovery."""
+    def discovery_entry(self, backend: int) -> DiscoveryEntry:
+        """Returns the newest discovery entry of a backend."""
         record = self.records[backend]
         endpoint = record.endpoint
-        return encode_entry(
-            DiscoveryEntry(
-                backend_id=self.backend_ids.names[backend],
-                host=record.address.host,
-                port=record.address.port,
-                zone=self.config.zones.names[endpoint.zone],
-                instance_type=self.config.instance_types.names[endpoint.instance_type],
-                cell=endpoint.cell,
-                state=endpoint.state,
-                weight=endpoint.weight,
-                boot_ms=record.address.boot_ms,
-            )
+        return DiscoveryEntry(
+            backend_id=self.backend_ids.names[backend],
+            host=record.address.host,
+            port=record.address.port,
+            zone=self.config.zones.names[endpoint.zone],
+            instance_type=self.config.instance_types.names[endpoint.instance_type],
+            cell=endpoint.cell,
+            state=endpoint.state,
+            weight=endpoint.weight,
+            boot_ms=record.address.boot_ms,
         )
 
     def any_ready(self) -> bool:
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -9,6 +9,7 @@
 from collections.abc import Sequence
 from typing import Any
 
+from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
 from crankfold.protocol.handover_messages import (
     DYNAMIC_WEIGHTS,
     FORMAT_VERSION,
@@ -63,14 +64,6 @@
     routing = request_handler.routing
     names = registry.backend_ids.names
     now = request_handler.timers.clock.now()
-    targets = [
-        registry.discovery_entry(backend)
-        for backend, record in enumerate(registry.records)
-        if record.endpoint.state != EndpointState.REMOVED
-    ]
-    if routing.weights_follow_load:  # the base weight; the part that follows the load is outdated at once
-        for target in targets:
-            target["capacity_hint"] = routing.backend_weight(registry.backend_ids.intern(target["uid"]))
     return ProcessState(
         format_version=FORMAT_VERSION,
         dispatcher_name=dispatcher_name,
@@ -78,7 +71,7 @@
         report_fields=list(request_handler.config.report_fields),
         manual_drains=manual_drain_state(request_handler),
         known_ids=sorted({*names, *registry.known_ids}),
-        endpoints={"rev": 0, "all": True, "targets": targets} if targets else None,
+        endpoints=_transferred_endpoints(request_handler),
         load_reports={
             names[backend]: list(report)
             for backend, report in request_handler.load_reports.received_since(now - MAX_REPORT_AGE).items()
@@ -86,6 +79,26 @@
     )
 
 
+def _transferred_endpoints(request_handler: RequestHandler) -> EndpointDocument | None:
+    """Returns the endpoint list in the JSON form of discovery; None without a listed backend."""
+    registry = request_handler.backends
+    targets = [
+        encode_entry(_transferred_entry(request_handler, backend))
+        for backend, record in enumerate(registry.records)
+        if record.endpoint.state != EndpointState.REMOVED
+    ]
+    return {"rev": 0, "all": True, "targets": targets} if targets else None
+
+
+def _transferred_entry(request_handler: RequestHandler, backend: int) -> DiscoveryEntry:
+    entry = request_handler.backends.discovery_entry(backend)
+    routing = request_handler.routing
+    if not routing.weights_follow_load:
+        return entry
+    # The router has the size without the load; a listed weight that follows the load is outdated at once.
+    return entry._replace(weight=routing.backend_weight(backend))
+
+
 def manual_drain_state(request_handler: RequestHandler) -> ManualDrainState:
     """Returns the manual drains of this process, with times by the present wall clock."""
     drains = request_handler.backends.manual_drains
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -24,6 +24,7 @@
 from crankfold.maintenance.specification import JobSpecification, WorkMethod, parse_jobs
 from crankfold.maintenance.state import MachineInMaintenance, MaintenanceState, TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase, Placement
+from crankfold.protocol.discovery import encode_entry
 from crankfold.protocol.handover_messages import HandoverDecoder, Hello, Welcome, encode_message
 from tests.data.write_fixtures import DATA
 from tests.handover_scene import ASKS, ENDS, EVENT, HELLO, TAKE, HandoverScene, ban_file
@@ -420,7 +421,7 @@
             tuple(desk.routing.state.table.backends[2].report), (3.0, 2.5)
         )  # by its last report to the one before
         self.assertEqual(
-            [fleet.discovery_entry(n) for n in range(3)],
+            [encode_entry(fleet.discovery_entry(n)) for n in range(3)],
             [
                 {
                     "uid": uid,
