--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -1,4 +1,4 @@
-"""`crankfold maintenance`, also called `works`: maintenance jobs on machines, and how far they are."""
+"""`crankfold maintenance`, also called `works`: maintenance jobs on machines, and their progress."""
 
 import tomllib
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 
 class DepartureView(Struct):
-    """When a machine would be taken out, in seconds from now."""
+    """The times at which a machine would be out, in seconds from now."""
 
     begin: float
     end: float
@@ -41,24 +41,24 @@
 
 
 class ForecastView(Struct):
-    """What would come about if a job were submitted now."""
+    """The forecast for a job that is not submitted yet."""
 
     departures: list[DepartureView] = field(name="turns")
     never: dict[str, str] = field(name="waits")  # machine to the reason why it would never go
 
 
 class JobView(Struct):
-    """How far a job is."""
+    """The progress of a job."""
 
     state: str
-    halted: str  # why it stopped by itself, or nothing
+    halted: str  # why it stopped by itself; empty if it has not
     wanted: int  # machines
     done: dict[str, str]  # machine to how it ended
     reason: str = field(name="why")
 
 
 class JobsView(Struct):
-    """All jobs, the machines that are out for them, and what is waited for."""
+    """All jobs, the machines that are out for them, and the wait reasons."""
 
     jobs: dict[str, JobView] = field(name="works")
     machines: dict[str, MachineView]
@@ -81,9 +81,9 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, in an order that the dispatchers decide (docs/maintenance.md).
+    """Maintenance of machines, in an order that the dispatchers decide (docs/maintenance.md).
 
-    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or nobody answers.
+    Exit: 0 done; 1 rejected; 2 unusable call; 3 no outcome or no answer.
     """
 
 
@@ -92,11 +92,11 @@
 @json_option
 @file_argument
 def show_forecast(address: str, as_json: bool, file: BinaryIO) -> None:
-    """The order in which the machines of FILE's job would go, and why they wait. Changes nothing."""
+    """Forecast when the machines of FILE's job would be taken out, and why they wait; changes nothing."""
     name, job = parse_job_file(file.read())
     response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
     if response.status != HTTP_OK:
-        raise RefusedError(f"turned down: {response.content['text']}")
+        raise RefusedError(f"rejected: {response.content['text']}")
     if as_json:
         click.echo(format_json(response.content))
         return
@@ -126,7 +126,7 @@
 @admin_option
 @json_option
 def list_jobs(address: str, as_json: bool) -> None:
-    """All jobs and how far they are."""
+    """List all jobs with their progress."""
     content = fetch_maintenance(address)
     if as_json:
         shown = ("works", "machines", "waits", "leads", "leader")
@@ -147,11 +147,11 @@
 @json_option
 @click.argument("name")
 def show_job(address: str, as_json: bool, name: str) -> None:
-    """Each machine of a job, and what is waited for."""
+    """Show each machine of a job, and the wait reasons."""
     content = fetch_maintenance(address)
     jobs = content["works"]
     if name not in jobs:
-        raise RefusedError(f"no work {name!r}; there are {', '.join(jobs) or 'none'}")
+        raise RefusedError(f"no job {name!r}; jobs: {', '.join(jobs) or 'none'}")
     if as_json:
         machines = {
             machine_id: machine
@@ -172,7 +172,7 @@
 @reason_option
 @author_option
 def forget_job(address: str, as_json: bool, name: str, reason: str, author: str) -> None:
-    """Take the job out of the list, with what was done for it."""
+    """Delete the job and its results."""
     _publish_change(address, JobChange(name, None, reason, author), as_json)
 
 
@@ -188,7 +188,7 @@
         raise click.UsageError(f"no TOML: {error}") from None
     name = job.pop("name", "")
     if not isinstance(name, str) or not name:
-        raise click.UsageError("name: missing; what the work is called")
+        raise click.UsageError("name: missing; the name of the job")
     return name, job
 
 
@@ -199,34 +199,34 @@
     lines = [f"{name}: {job.state}{halted}{reason}"]
     for machine_id, machine in sorted(view.machines.items()):
         if machine.job == name:
-            number = f" under {machine.number}" if machine.number else ""
+            number = f", drain number {machine.number}" if machine.number else ""
             cause = f", {machine.reason}" if machine.reason else ""
-            local = " (back here by hand)" if machine_id in view.restored_locally else ""
+            local = " (restored at this dispatcher only)" if machine_id in view.restored_locally else ""
             lines.append(f"  {machine_id}: {machine.state}{number}{cause}{local}")
     if not view.leads:
-        lines.append(f"  what is waited for is known at the door of {view.leader or 'a voter, who leads'}")
+        lines.append(f"  wait reasons are known at the leader only, which is {view.leader or 'unknown here'}")
     lines += [
-        f"  {wait.machine or 'all others'} waits: {wait.reason}" for wait in view.waits if wait.job == name
+        f"  {wait.machine or 'all others'} waiting: {wait.reason}" for wait in view.waits if wait.job == name
     ]
     lines += [f"  {machine_id}: done, {outcome}" for machine_id, outcome in sorted(job.done.items())]
     return lines
 
 
 def _publish_change(address: str, change: JobChange, as_json: bool) -> None:
-    """Publish the jobs with the change; it is refused if somebody else changed them meanwhile."""
+    """Publish the jobs with the change; it is rejected if another version was published meanwhile."""
     view = fetch_document(address, DOCUMENT)
     newest = view.find(view.newest)
     jobs: dict[str, Any] = newest.content["works"] if newest else {}
     if change.is_new and change.name in jobs:
-        raise RefusedError(f"turned down: there is a work {change.name!r} already")
+        raise RefusedError(f"rejected: the job {change.name!r} exists already")
     if not change.is_new and change.name not in jobs:
-        raise RefusedError(f"turned down: no work {change.name!r}; there are {', '.join(jobs) or 'none'}")
+        raise RefusedError(f"rejected: no job {change.name!r}; jobs: {', '.join(jobs) or 'none'}")
     if change.fields is None:
         del jobs[change.name]
     else:
         job = {**jobs.get(change.name, {}), **change.fields}
         if not change.is_new:
-            # The dispatchers see by the count that the job was resumed or held once more.
+            # The number differs in each call, so that a repeated hold or go has an effect.
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
@@ -250,7 +250,7 @@
         _publish_change(address, JobChange(name, {"state": state}, reason, author), as_json)
 
 
-_add_state_command("hold", "No further machine of the job goes out; those that are out are finished.")
-_add_state_command("go", "The job goes on, also where it had stopped by itself.")
-_add_state_command("stop", "As hold, and machines on which nothing was begun come back.")
+_add_state_command("hold", "Take out no further machine of the job; those that are out are finished.")
+_add_state_command("go", "Resume the job, also after it stopped by itself.")
+_add_state_command("stop", "Like hold, and machines on which no work has started return to service.")
 add_machine_commands(maintenance)
--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -1,11 +1,11 @@
-"""One dispatcher process: builds its parts, starts them in order, serves, and hands over to the shutdown."""
+"""The dispatcher process: builds its parts, starts them in order and runs until shutdown."""
 
 import asyncio
 import contextlib
 import logging
 import signal
 import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
@@ -25,6 +25,7 @@
 from crankfold.service.admin_service import AdminService
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.config_file import (
+    ConfigDocument,
     connection_timeouts,
     divide_socket_limit,
     parse_address,
@@ -32,64 +33,96 @@
 )
 from crankfold.service.lifecycle import Lifecycle
 from crankfold.service.reload import ConfigApplier, ConfigReloader
-from crankfold.service.requests.collaborators import NoCluster, NoOtherProcess
+from crankfold.service.requests.collaborators import NoCluster, NoOtherProcess, OtherProcesses
 from crankfold.service.requests.handler import RequestHandler
+from crankfold.service.serving_parts import ServingParts
 from crankfold.service.shutdown import ShutdownSequence
 from crankfold.service.socket_budget import SocketBudget
+from crankfold.time_units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:
-    from crankfold.service.cluster.replicated_config import ReplicatedConfig
+    from crankfold.service.cluster.membership import ClusterMembership
     from crankfold.service.handover.handover import Handover
 
 logger = logging.getLogger(__name__)
 
-# Tenths of a millisecond; whether polled or watched, a change of the endpoint list counts as known after it.
-ENDPOINT_PROPAGATION_DELAY = 60_000
+# Ticks after which every dispatcher is expected to know a change of the endpoint list.
+ENDPOINT_PROPAGATION_DELAY = 6 * TICKS_PER_SECOND
 FIRST_LIST_TIMEOUT = 0.3  # seconds that a start waits for discovery, which may be down
+SEED_BASE = 16  # the configuration has the seed as a hexadecimal number
 
 
 class Application:
-    """Owns every part of the process for its whole life; `run` returns at its end."""
+    """Owns all parts of the process; `run` returns after its shutdown."""
 
     def __init__(
         self,
-        document: dict[str, Any],
-        read_document: Callable[[], dict[str, Any]],
+        document: ConfigDocument,
+        read_document: Callable[[], ConfigDocument],
         handover_directory: str = "",
     ) -> None:
-        """Builds all parts and opens none.
+        """Builds all parts without opening a file or a socket.
 
         Args:
-            document: the configuration file as decoded, with what the command line replaces in it.
-            read_document: gives the document again, as it is on SIGHUP.
-            handover_directory: where processes that replace one another meet; empty if they cannot.
+            document: The configuration file as decoded, with the overrides of the command line.
+            read_document: Reads the document again, for a reload.
+            handover_directory: Has the handover socket and record; empty disables the handover.
 
         Raises:
-            ConfigError: if the document cannot be served from.
+            ConfigError: The document is not valid.
         """
-        # Over 30 lines: the list of the parts, in the order in which they need one another.
         routing_config, config, seed = _parse_document(document)
         self.metrics = Metrics()
         self.timers = Timers(Clock(), self.metrics)
         self.listen_address = parse_address(document["listen"], "listen")
-        self.admin_address = (
-            parse_address(document["admin_addr"], "admin_addr") if document.get("admin_addr") else None
-        )
+        self.admin_address = _admin_address(document)
         self.polls_discovery = routing_config.discovery_by_poll
         self.known_endpoints = document.get("known")
         self.discovery_answered = asyncio.Event()
         self.shutdown_requested = asyncio.Event()
         self.fatal_error: BaseException | None = None
+        self.lifecycle = Lifecycle()
+        self._build_request_path(document, handover_directory, routing_config, config, seed)
+        self._build_control_path(document, read_document, config)
+
+    def _build_request_path(
+        self,
+        document: ConfigDocument,
+        handover_directory: str,
+        routing_config: RoutingConfig,
+        config: ServiceConfig,
+        seed: int,
+    ) -> None:
+        """Builds the parts through which requests pass, from the listener to the backends."""
         limits = divide_socket_limit(document, self.admin_address is not None)
         timeouts = connection_timeouts(config)
         self.connection_limiter = ConnectionLimiter(
             limits.backend_connections, timeouts.connect, timeouts.idle, self.metrics
         )
         self.backend_registry = BackendRegistry(config, self.timers, self.connection_limiter)
-        self.handover = self._build_handover(document, handover_directory)
-        self.replicated_config = self._build_replicated_config(document)
-        self.lifecycle = Lifecycle()
-        self.request_handler = RequestHandler(
+        self.cluster = self._build_cluster(document)
+
+        def build_serving_parts(other_processes: OtherProcesses) -> ServingParts:
+            request_handler = self._build_request_handler(routing_config, config, seed, other_processes)
+            listener = Listener(
+                request_handler, self.metrics, config.report_fields, limits.accepted_connections
+            )
+            return ServingParts(
+                request_handler, listener, SocketBudget(limits, listener, self.connection_limiter)
+            )
+
+        self.handover = self._build_handover(document, handover_directory, build_serving_parts)
+        parts = self.handover.serving_parts if self.handover else build_serving_parts(NoOtherProcess())
+        self.request_handler, self.listener, self.socket_budget = parts
+
+    def _build_request_handler(
+        self,
+        routing_config: RoutingConfig,
+        config: ServiceConfig,
+        seed: int,
+        other_processes: OtherProcesses,
+    ) -> RequestHandler:
+        return RequestHandler(
             routing_config,
             config,
             seed=seed,
@@ -97,18 +130,50 @@
             metrics=self.metrics,
             backends=self.backend_registry,
             lifecycle=self.lifecycle,
-            cluster=self.replicated_config or NoCluster(),
-            other_processes=self.handover or NoOtherProcess(),
+            cluster=self.cluster or NoCluster(),
+            other_processes=other_processes,
             poll_endpoints=self._start_polling,
         )
-        self.listener = Listener(
-            self.request_handler, self.metrics, config.report_fields, limits.accepted_connections
+
+    def _build_handover(
+        self,
+        document: ConfigDocument,
+        directory: str,
+        build_serving_parts: Callable[[OtherProcesses], ServingParts],
+    ) -> "Handover | None":
+        """Enables the handover if there is an admin server, which reports the readiness of a successor."""
+        if not self.admin_address or not directory:
+            return None
+        from crankfold.service.handover.handover import Handover  # imported only with a handover directory
+
+        return Handover(
+            directory,
+            str(document.get("name") or ""),
+            self.listen_address,
+            self.backend_registry,
+            build_serving_parts,
         )
-        self.socket_budget = SocketBudget(limits, self.listener, self.connection_limiter)
+
+    def _build_cluster(self, document: ConfigDocument) -> "ClusterMembership | None":
+        if not document.get("peers"):
+            return None
+        from crankfold.service.cluster.membership import ClusterMembership  # imported only with peers
+
+        try:
+            return ClusterMembership(document, self.metrics)
+        except ValueError as error:
+            raise ConfigError(str(error)) from None
+
+    def _build_control_path(
+        self, document: ConfigDocument, read_document: Callable[[], ConfigDocument], config: ServiceConfig
+    ) -> None:
+        """Builds the parts that discovery, operators and signals control."""
+        self.discovery_watcher = self._build_discovery_watcher(document)
+        self.admin_service = AdminService(
+            self.request_handler, self.listener, self.lifecycle, self.handover or NoOtherProcess()
+        )
+        self.admin_server = AdminServer(self.admin_service, self.metrics)
         self.config_applier = ConfigApplier(config, self.request_handler, self.connection_limiter)
-        if self.handover:
-            self.handover.attach(self.request_handler, self.listener, self.socket_budget)
-        self._build_control_path(document)
         self.reloader = ConfigReloader(
             document,
             read_document,
@@ -117,7 +182,7 @@
             discovery_watcher=self.discovery_watcher,
             metrics=self.metrics,
             polls_discovery=self.polls_discovery,
-            settings_replicated=self.replicated_config is not None,
+            settings_replicated=self.cluster is not None,
         )
         self.shutdown = ShutdownSequence(
             lifecycle=self.lifecycle,
@@ -126,43 +191,12 @@
             admin_server=self.admin_server,
             discovery_watcher=self.discovery_watcher,
             handover=self.handover,
-            replicated_config=self.replicated_config,
-        )
-
-    def _build_handover(self, document: dict[str, Any], directory: str) -> "Handover | None":
-        """Processes replace one another only where operators can ask the new one whether it is ready."""
-        if not self.admin_address or not directory:
-            return None
-        from crankfold.service.handover.handover import Handover  # no other process is met without it
-
-        return Handover(
-            directory,
-            str(document.get("name") or ""),
-            self.listen_address,
-            self.backend_registry,
-            self.metrics,
+            cluster=self.cluster,
         )
 
-    def _build_replicated_config(self, document: dict[str, Any]) -> "ReplicatedConfig | None":
-        if not document.get("peers"):
-            return None
-        from crankfold.service.cluster import replicated_config  # nothing of it is imported without peers
-
-        try:
-            return replicated_config.ReplicatedConfig(
-                document,
-                self.metrics,
-                self.backend_registry,
-                self._apply_config,
-                self._endpoint_list_age,
-            )
-        except ValueError as error:
-            raise ConfigError(str(error)) from None
-
-    def _build_control_path(self, document: dict[str, Any]) -> None:
-        """What discovery and operators reach."""
+    def _build_discovery_watcher(self, document: ConfigDocument) -> DiscoveryWatcher:
         host, port = parse_address(document["discovery"], "discovery")
-        self.discovery_watcher = DiscoveryWatcher(
+        return DiscoveryWatcher(
             host,
             port,
             self.backend_registry.register,
@@ -170,25 +204,17 @@
             on_failure=self._discovery_failed,
             metrics=self.metrics,
         )
-        self.admin_service = AdminService(
-            self.request_handler, self.listener, self.lifecycle, self.handover or NoOtherProcess()
-        )
-        self.admin_server = AdminServer(self.admin_service, self.metrics)
 
-    def _apply_config(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """For the replicated configuration, which is there before what applies a configuration."""
-        self.config_applier.apply(routing_config, config)
-
-    # --- what discovery says ---
+    # --- events of discovery ---
 
     def _endpoint_list_age(self) -> int:
-        """Tenths of a millisecond since discovery answered last; 0 where it is only polled now and then."""
+        """Returns the ticks since the last answer of discovery; 0 where discovery is polled on demand."""
         if self.polls_discovery:
             return 0
-        return int((self.timers.loop.time() - self.discovery_watcher.last_answer_at) * 10_000)
+        return int((self.timers.loop.time() - self.discovery_watcher.last_answer_at) * TICKS_PER_SECOND)
 
     def _start_polling(self) -> None:
-        # Routing asks for a poll while it is constructed, when there is no watcher yet.
+        # The constructor of the router starts a poll before the watcher is built.
         self.timers.loop.call_soon(lambda: self.discovery_watcher.start(False))
 
     def _endpoints_received(self, endpoints: Sequence[Endpoint], is_snapshot: bool) -> None:
@@ -201,23 +227,23 @@
             self.discovery_answered.set()
             self.request_handler.discovery_failed()
 
-    # --- from the start to the end ---
+    # --- start and shutdown ---
 
     async def run(self) -> None:
-        """Serves until a signal asks for the end, then drains.
+        """Serves until SIGTERM or SIGINT, then drains.
 
         Raises:
-            ConfigError: if an address cannot be opened, or the cluster member cannot be started.
+            ConfigError: An address cannot be opened, or the cluster cannot be joined.
         """
         self._install_signal_handlers()
         await self._start_discovery()
         await self._open_admin_server()
-        # Known endpoints may be out of date after a restart; requests would go to backends that are gone.
+        # The known endpoints may be outdated, so the first list of discovery is awaited for a moment.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.discovery_answered.wait()
-        await self._open_replicated_config()
-        if self.shutdown_requested.is_set():  # nobody is to connect only to be sent away
+        await self._join_cluster()
+        if self.shutdown_requested.is_set():  # no connection is accepted only to be closed
             logger.info("ended by a signal before serving")
             await self._close()
             return
@@ -236,10 +262,10 @@
         loop.add_signal_handler(signal.SIGUSR1, self.report_metrics)
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         if take_reload_request():
-            self.reloader.reload()  # the file may have been read before it was changed
+            self.reloader.reload()  # SIGHUP came during the start, maybe after the file was read
 
     async def _start_discovery(self) -> None:
-        """Begins with the endpoints of a predecessor, else of the configuration, where there are some."""
+        """Registers the endpoints of the predecessor or of the configuration, and starts the watcher."""
         if self.handover:
             self.known_endpoints = await self.handover.connect() or self.known_endpoints
         if self.known_endpoints is not None:
@@ -255,11 +281,11 @@
                 orjson.dumps(self.known_endpoints), self.backend_registry.register
             )
         except ValueError as error:
-            logger.warning("%s; starting without a list", error, extra={"category": "known"})
+            logger.warning("%s; starting without an endpoint list", error, extra={"category": "known"})
             return
         self.request_handler.endpoints_changed(endpoints, is_snapshot)
         if self.polls_discovery:
-            # Polled when routing says so; what changed since this revision is a shorter answer than all.
+            # The router starts the polls; discovery then answers with the changes since this revision.
             self.discovery_watcher.revision = revision
             self.discovery_answered.set()
 
@@ -268,13 +294,14 @@
             with _config_error_at(self.admin_address):
                 self.admin_server.open(*self.admin_address)
 
-    async def _open_replicated_config(self) -> None:
-        if self.replicated_config:
+    async def _join_cluster(self) -> None:
+        if self.cluster:
             try:
-                await self.replicated_config.open(
-                    self.request_handler,
+                await self.cluster.join(
                     self.admin_service,
-                    succeeds=self.handover is not None and self.handover.listening_socket is not None,
+                    self.config_applier,
+                    self._endpoint_list_age,
+                    is_successor=self.handover is not None and self.handover.listening_socket is not None,
                 )
             except (OSError, ValueError) as error:
                 raise ConfigError(f"peers: {error}") from None
@@ -294,7 +321,7 @@
             remark = (
                 ""
                 if self.handover
-                else "; no --hand-over or $TMPDIR, so no process can replace this one under load"
+                else "; handover disabled (no --hand-over or $TMPDIR): a restart interrupts the service"
             )
             logger.info("operators at %s:%s%s", self.admin_address[0], self.admin_server.port(), remark)
         self.timers.loop.call_later(SWEEP_INTERVAL, self._run_periodic_tasks)
@@ -311,7 +338,7 @@
         self.report_metrics()
 
     def _unhandled_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Counts and logs, with its place, an error that no handler caught; a debug build ends by it."""
+        """Records an unhandled exception; a debug build shuts down and raises it from `run`."""
         error = context.get("exception") or RuntimeError(context.get("message"))
         self.metrics.record_exception(error)
         if __debug__:
@@ -319,7 +346,7 @@
             self.shutdown_requested.set()
 
     def report_metrics(self) -> None:
-        """Logs the counters and what is open now."""
+        """Logs the counters and the numbers of open requests and connections."""
         self.metrics.log_counters(
             {
                 "open-requests": self.request_handler.open_request_count(),
@@ -330,15 +357,22 @@
         )
 
 
-def _parse_document(document: dict[str, Any]) -> tuple[RoutingConfig, ServiceConfig, int]:
-    """Both configurations and the seed of the routing decisions.
+def _admin_address(document: ConfigDocument) -> tuple[str, int] | None:
+    """Returns the address of the admin server; None if there is to be none."""
+    if not document.get("admin_addr"):
+        return None
+    return parse_address(document["admin_addr"], "admin_addr")
+
+
+def _parse_document(document: ConfigDocument) -> tuple[RoutingConfig, ServiceConfig, int]:
+    """Returns both configurations and the seed of the router.
 
     Raises:
-        ConfigError: naming what is wrong.
+        ConfigError: A setting is not valid; the text names it.
     """
     try:
         parsed = parse_settings(document["settings"])
-        seed = int(str(document.get("seed", "0")), 16)
+        seed = int(str(document.get("seed", "0")), SEED_BASE)
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     routing_config = replace(parsed.routing, change_notice_within=ENDPOINT_PROPAGATION_DELAY)
@@ -346,8 +380,8 @@
 
 
 @contextlib.contextmanager
-def _config_error_at(address: tuple[str, int]) -> Any:
-    """Turns an error of opening that address into a `ConfigError`."""
+def _config_error_at(address: tuple[str, int]) -> Iterator[None]:
+    """Converts an OSError at the opening of that address to a `ConfigError`."""
     try:
         yield
     except OSError as error:
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -1,16 +1,15 @@
-"""Answers operators' calls about the cluster: its members, its documents, its voters, its maintenance.
+"""The admin API of the cluster: its members, documents, voters and maintenance.
 
-The keys of calls and answers are older than the names in the program. Not imported unless there are peers.
+Imported only with peers. The JSON keys of calls and answers are in `admin_messages`.
 """
 
 import time
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING
 
 import msgspec
-import orjson
-from msgspec import Struct, field, structs
+from msgspec import structs
 
 from crankfold.cluster.config import parse_address
 from crankfold.cluster.node import ClusterNode
@@ -18,85 +17,72 @@
 from crankfold.consensus.messages import ProposalResponse
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.consensus.voter import Voter
+from crankfold.service.cluster.admin_messages import (
+    AdminAnswer,
+    AppliedPublishOutcome,
+    CallOutcome,
+    DocumentAnswer,
+    ErrorAnswer,
+    MembershipChangeRequest,
+    MembershipOutcome,
+    PublishOutcome,
+    PublishRequest,
+    encode_answer,
+)
+from crankfold.service.wall_clock import wall_clock_ms
 
 if TYPE_CHECKING:
     from crankfold.service.maintenance.admin import MaintenanceAdmin
 
-PUBLISH_TIMEOUT = 10.0  # seconds
-READ_TIMEOUT = 2.0  # seconds; how long a read waits for the version that the caller knows of
-MAX_WAIT = 60.0  # seconds; the longest that a call may wait until a version is in force everywhere
-MAX_AUTHOR_LENGTH = 200
-MAX_REASON_LENGTH = 2000
-VOTERS = "voters"  # a call for this in place of a document changes the membership
-FORECAST = "plan"  # and for this, asks what a maintenance job would bring about
-
-
-class AdminAnswer(NamedTuple):
-    """The HTTP status of an answer and its JSON text."""
-
-    status: int
-    body: str
-
-
-class PublishRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A new version of a document."""
-
-    call: str  # identifies the call; the same one has one effect, however often it is made
-    made_from: int  # the number of the version from which it was made
-    content: dict[str, Any] = field(name="text")
-    author: str = ""
-    reason: str = ""
-    wait: float = 0.0  # seconds for the version to be in force everywhere
-
-
-class MembershipChangeRequest(Struct, forbid_unknown_fields=True):
-    """Adds voters, by name and address, and removes one; one change at a time."""
-
-    call: str
-    add: dict[str, str] = field(default_factory=dict)
-    remove: str = ""
+PUBLISH_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
+READ_TIMEOUT = 2.0  # seconds that a read waits for the minimum version of its caller
+MAX_WAIT = 60.0  # seconds that a publish waits at most until all dispatchers have applied the version
+MAX_AUTHOR_LENGTH = 200  # characters
+MAX_REASON_LENGTH = 2000  # characters
+VOTERS = "voters"  # in place of the name of a document: changes the membership
+FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
 
 
 class ClusterAdmin:
-    """The operators' calls of a dispatcher that is a member of a cluster."""
+    """Carries out the admin calls at a member of a cluster."""
 
     def __init__(self, cluster_node: ClusterNode, maintenance: Callable[[], "MaintenanceAdmin"]) -> None:
-        """`maintenance` gives the calls about maintenance, which are not imported before the first one."""
+        """`maintenance` gives the admin API of maintenance, whose modules are imported on the first call."""
         self.cluster_node = cluster_node
         self.maintenance = maintenance
 
     def cluster_status(self) -> AdminAnswer:
-        """The cluster as this member sees it."""
-        return _answer(HTTPStatus.OK, self.cluster_node.status())
+        """Returns the status of the cluster as this member sees it."""
+        return encode_answer(HTTPStatus.OK, self.cluster_node.status())
 
     async def read_document(self, name: str, minimum_version: int) -> AdminAnswer:
-        """A document, not older than the version that the caller says to know of.
+        """Returns a document whose newest version is `minimum_version` or later.
 
-        Where that version is not known here in time, the answer says so and gives no content.
+        Waits `READ_TIMEOUT` for that version; the answer is an error if it does not arrive.
         """
         if name == MACHINES:
-            return _answer(HTTPStatus.OK, self.maintenance().describe())
+            return encode_answer(HTTPStatus.OK, self.maintenance().describe())
         if name not in DOCUMENTS:
-            return _answer(HTTPStatus.NOT_FOUND, {"text": f"there are {', '.join(DOCUMENTS)}"})
+            return encode_answer(HTTPStatus.NOT_FOUND, ErrorAnswer(f"there are {', '.join(DOCUMENTS)}"))
         if not await self.cluster_node.wait_until_known(name, minimum_version, READ_TIMEOUT):
             reason = self.cluster_node.inactive_reason() or "it lags behind"
             text = f"version {minimum_version} of {name} is not known here yet: {reason}"
-            return _answer(HTTPStatus.GATEWAY_TIMEOUT, {"text": text})
+            return encode_answer(HTTPStatus.GATEWAY_TIMEOUT, ErrorAnswer(text))
         document = self.cluster_node.consensus.documents.document(name)
-        return _answer(
+        return encode_answer(
             HTTPStatus.OK,
-            {
-                "doc": name,
-                "counts": document.active_number,
-                "newest": document.latest_number(),
-                "acts": self.cluster_node.has_lease(),
-                "acting": self.cluster_node.consensus.effective_content(name),
-                "versions": [structs.asdict(version) for version in document.versions],
-            },
+            DocumentAnswer(
+                name=name,
+                active_number=document.active_number,
+                newest_number=document.latest_number(),
+                has_lease=self.cluster_node.has_lease(),
+                effective_content=self.cluster_node.consensus.effective_content(name),
+                versions=[structs.asdict(version) for version in document.versions],
+            ),
         )
 
     async def publish(self, name: str, body: bytes) -> AdminAnswer:
-        """Proposes what the call brings: a version of a document, other voters, a transition of a machine."""
+        """Proposes a version of a document, a change of the voters or a transition of a machine."""
         try:
             if name == VOTERS:
                 return await self._change_voters(body)
@@ -104,10 +90,10 @@
                 return await self._request_transition(body)
             if name == FORECAST:
                 forecast = self.maintenance().forecast(body)
-                return _answer(HTTPStatus.OK if forecast["well"] else HTTPStatus.CONFLICT, forecast)
+                return encode_answer(HTTPStatus.OK if forecast.accepted else HTTPStatus.CONFLICT, forecast)
             return await self._publish_version(name, msgspec.json.decode(body, type=PublishRequest))
         except msgspec.DecodeError as error:
-            return _refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return _rejection(HTTPStatus.BAD_REQUEST, str(error))
 
     async def _change_voters(self, body: bytes) -> AdminAnswer:
         request = msgspec.json.decode(body, type=MembershipChangeRequest)
@@ -115,18 +101,18 @@
             for address in request.add.values():
                 parse_address(address)
         except ValueError as error:
-            return _refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return _rejection(HTTPStatus.BAD_REQUEST, str(error))
         member = self.cluster_node.consensus
         if not isinstance(member, Voter):
-            return _refusal(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
+            return _rejection(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
         response = await self.cluster_node.propose(
             "voters", {"voters": voters}, request.call, PUBLISH_TIMEOUT
         )
-        return _answer(
+        return encode_answer(
             HTTPStatus.OK if response.accepted else HTTPStatus.CONFLICT,
-            {"well": response.accepted, "text": response.reason, "voters": voters},
+            MembershipOutcome(response.accepted, response.reason, voters),
         )
 
     async def _publish_version(self, name: str, request: PublishRequest) -> AdminAnswer:
@@ -137,36 +123,47 @@
                 "made_from": request.made_from,
                 "author": request.author[:MAX_AUTHOR_LENGTH],
                 "reason": request.reason[:MAX_REASON_LENGTH],
-                "at": time.time_ns() // 1_000_000,
+                "at": wall_clock_ms(),
                 "text": request.content,
             },
             request.call,
             PUBLISH_TIMEOUT,
         )
-        answer: dict[str, Any] = {
-            "well": response.accepted,
-            "text": response.reason,
-            "number": response.version_number,
-        }
+        outcome = PublishOutcome(response.accepted, response.reason, response.version_number)
         if not response.accepted:
-            return _answer(_rejection_status(response), answer)
+            return encode_answer(_rejection_status(response), outcome)
         if request.wait:
-            answer |= await self._wait_until_in_force(
-                name, response.version_number, min(request.wait, MAX_WAIT)
-            )
-        return _answer(HTTPStatus.OK, answer)
+            outcome = await self._wait_until_applied(name, outcome, min(request.wait, MAX_WAIT))
+        return encode_answer(HTTPStatus.OK, outcome)
+
+    async def _wait_until_applied(
+        self, name: str, outcome: PublishOutcome, max_wait: float
+    ) -> AppliedPublishOutcome:
+        """Waits until all dispatchers have applied a version.
+
+        Args:
+            name: Of the document.
+            outcome: Of the publish that made the version.
+            max_wait: Seconds.
 
-    async def _wait_until_in_force(self, name: str, number: int, max_wait: float) -> dict[str, Any]:
-        """Whether a version is active by then, and which members do not act on it yet. Seconds."""
+        Returns:
+            The outcome with whether the version is active, and which members lag.
+        """
         started = time.monotonic()
-        index = await self.cluster_node.wait_until_active(name, number, max_wait)
+        index = await self.cluster_node.wait_until_active(name, outcome.number, max_wait)
         applied_by_all = index > 0 and await self.cluster_node.wait_until_cluster_applied(
             index, max_wait - (time.monotonic() - started)
         )
-        return {"counts": index > 0, "lag": [] if applied_by_all else self._lagging_members()}
+        return AppliedPublishOutcome(
+            outcome.accepted,
+            outcome.reason,
+            outcome.number,
+            is_active=index > 0,
+            lagging_members=[] if applied_by_all else self._lagging_members(),
+        )
 
     def _lagging_members(self) -> list[str]:
-        """Who does not act on all that is known here, as far as this member can tell."""
+        """Describes the members that have not applied all entries that this member has applied."""
         status = self.cluster_node.status()
         lagging = [
             f"{member['name']} at {member['at']}: {member['state']}, {member['lag']} behind"
@@ -182,18 +179,14 @@
             status = HTTPStatus.OK
         else:
             status = HTTPStatus.CONFLICT if result.outcome_known else HTTPStatus.GATEWAY_TIMEOUT
-        return _answer(status, {"well": result.accepted, "text": result.reason})
+        return encode_answer(status, CallOutcome(result.accepted, result.reason))
 
 
 def _rejection_status(response: ProposalResponse) -> HTTPStatus:
-    """Of a version that was not accepted: whether it is known to have been rejected."""
+    """Returns CONFLICT if a version was certainly rejected, GATEWAY_TIMEOUT if its outcome is unknown."""
     known = response.version_number or not response.reason.startswith("no outcome")
     return HTTPStatus.CONFLICT if known else HTTPStatus.GATEWAY_TIMEOUT
 
 
-def _refusal(status: HTTPStatus, reason: str) -> AdminAnswer:
-    return _answer(status, {"well": False, "text": reason})
-
-
-def _answer(status: HTTPStatus, content: dict[str, Any]) -> AdminAnswer:
-    return AdminAnswer(int(status), orjson.dumps(content).decode())
+def _rejection(status: HTTPStatus, reason: str) -> AdminAnswer:
+    return encode_answer(status, CallOutcome(False, reason))
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -1,21 +1,15 @@
-"""Acts on what the cluster agreed on, laid over a dispatcher's own file.
+"""Applies the replicated configuration of the cluster, which overrides the configuration file.
 
-Not imported unless there are peers.
+Imported only with peers.
 """
 
 import logging
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
-from msgspec import structs
-
-from crankfold.cluster.config import read_cluster_config
+from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
-from crankfold.config import schema
-from crankfold.config.parser import (
-    ServiceConfig,
-)
 from crankfold.consensus.conservative_merge import (
     DRAINED_BACKENDS,
     EXCLUDED_BACKENDS,
@@ -25,16 +19,15 @@
 )
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.versioned_documents import MACHINES
-from crankfold.network.metrics import Metrics
-from crankfold.routing.interface import Outcome, RoutingConfig
+from crankfold.errors import ConfigError
+from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
-from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.cluster.admin import ClusterAdmin
-from crankfold.service.cluster.document_validation import replicated_settings, validation_error
+from crankfold.service.cluster.document_validation import Content, replicated_settings, validation_error
 from crankfold.service.cluster.event_log import EventLog
-from crankfold.service.config_file import parse_settings
+from crankfold.service.config_file import Settings, parse_settings
+from crankfold.service.reload import ConfigApplier
 from crankfold.service.requests.collaborators import RecordedEvent
-from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.requests.quotas import Quotas
 
 if TYPE_CHECKING:
@@ -42,70 +35,75 @@
 
 logger = logging.getLogger(__name__)
 
+CONTINUE_WHEN_ISOLATED = "go-on"  # the isolation policy of the configuration
+
 
 class ReplicatedConfig:
-    """What requests and attempts need of the cluster, and what a change of its documents brings about."""
+    """Implements `ClusterServices` for requests, and applies changed documents of the cluster.
+
+    Args:
+        cluster_config: How this process takes part in the cluster.
+        local_settings: The settings in the configuration file, which the replicated ones override.
+        admin_service: Of this process.
+        config_applier: Puts replicated settings in force.
+        endpoint_list_age: Gives the ticks since the last answer of discovery.
+        event_log: None unless the configuration names one.
+
+    Raises:
+        ConfigError: The storage folder of a voter cannot be used.
+    """
 
     def __init__(
         self,
-        document: dict[str, Any],
-        metrics: Metrics,
-        backend_registry: BackendRegistry,
-        apply_config: Callable[[RoutingConfig, ServiceConfig], None],
+        cluster_config: ClusterConfig,
+        *,
+        local_settings: Settings,
+        admin_service: AdminService,
+        config_applier: ConfigApplier,
         endpoint_list_age: Callable[[], int],
+        event_log: EventLog | None,
     ) -> None:
-        """Connects to nobody yet. `endpoint_list_age` gives the ticks since discovery answered last.
-
-        Raises:
-            ValueError: if the document, which is the configuration file as decoded, is not valid.
-        """
-        self.local_settings: dict[str, Any] = document["settings"]
-        self.metrics = metrics
-        self.backend_registry = backend_registry
-        self.apply_config = apply_config
+        self.local_settings = local_settings
+        self.admin_service = admin_service
+        self.request_handler = admin_service.request_handler
+        self.backend_registry = admin_service.backend_registry
+        self.metrics = admin_service.metrics
+        self.config_applier = config_applier
         self.endpoint_list_age = endpoint_list_age
-        self.cluster_config = read_cluster_config(document["peers"])
-        self.acts_when_isolated = self.cluster_config.isolation_policy == "go-on"
-        schema.validate({name: part for name, part in document.items() if name != "peers"})
-        self.request_handler: RequestHandler
-        self.admin_service: AdminService
-        self.cluster_node: ClusterNode
+        self.event_log = event_log
+        self.acts_when_isolated = cluster_config.isolation_policy == CONTINUE_WHEN_ISOLATED
         self.quotas = Quotas()
         self.maintenance: MaintenanceAgent | None = None  # once there is a maintenance job
-        self.effective_settings: dict[str, Any] | None = None
+        self.effective_settings: Settings | None = None
         self.was_isolated = False
-        event_log_path = self.cluster_config.event_log_path
-        self.event_log = EventLog(event_log_path) if event_log_path else None
-
-    async def open(
-        self, request_handler: RequestHandler, admin_service: AdminService, succeeds: bool
-    ) -> None:
-        """Joins the cluster. `succeeds`: this process replaces one of the same name, which is a member still.
+        self.cluster_node = self._build_cluster_node(cluster_config)
 
-        Raises:
-            OSError: if an address cannot be opened.
-            ValueError: if the folder of a voter is of no use.
-        """
-        self.request_handler = request_handler
-        self.admin_service = admin_service
+    def _build_cluster_node(self, cluster_config: ClusterConfig) -> ClusterNode:
         try:
-            self.cluster_node = ClusterNode(
-                structs.replace(self.cluster_config, is_successor=succeeds),
+            return ClusterNode(
+                cluster_config,
                 metrics=self.metrics,
                 dispatcher=self,
                 initial_settings=replicated_settings(self.local_settings),
             )
         except StorageError as error:
-            raise ValueError(f"peers: {error}") from None
+            raise ConfigError(f"peers: {error}") from None
+
+    async def open(self) -> None:
+        """Joins the cluster, and offers the calls about it at the admin server.
+
+        Raises:
+            OSError: An address cannot be opened.
+        """
         await self.cluster_node.open()
-        # Not before: the admin server is open already, and there was nothing to ask for.
+        # The admin server is open already; calls about the cluster are answered from here on.
         self.admin_service.replicated_config = ClusterAdmin(
             self.cluster_node, lambda: self._maintenance_agent().admin
         )
 
     def _maintenance_agent(self) -> "MaintenanceAgent":
         if self.maintenance is None:
-            from crankfold.service.maintenance import agent  # nothing of it before there is a job
+            from crankfold.service.maintenance import agent  # imported only where maintenance is used
 
             self.maintenance = agent.MaintenanceAgent(
                 self.request_handler,
@@ -118,15 +116,19 @@
         return self.maintenance
 
     async def close(self) -> None:
-        """Leaves the cluster and ends the commands of maintenance jobs."""
+        """Leaves the cluster and kills the commands of maintenance jobs."""
         if self.maintenance:
             self.maintenance.close()
         await self.cluster_node.close()
 
-    # --- what requests and attempts need; see ClusterServices ---
+    # --- for requests and attempts: ClusterServices ---
 
     def has_valid_config(self) -> bool:
-        """Whether requests may be received and attempts be sent under the configuration in force."""
+        """Whether requests may be admitted and attempts may be sent under the configuration in force.
+
+        That is while this member holds a lease, or is isolated and configured to continue. Logs the loss of
+        the lease once.
+        """
         if self.effective_settings is None:
             return False
         if self.cluster_node.has_lease():
@@ -137,7 +139,7 @@
             logger.warning(
                 "%s; %s",
                 self.cluster_node.inactive_reason(),
-                "goes on under the last configuration" if self.acts_when_isolated else "sheds new requests",
+                "continues with the last configuration" if self.acts_when_isolated else "sheds new requests",
                 extra={"category": "cluster"},
             )
         if self.acts_when_isolated:
@@ -145,37 +147,37 @@
         return self.acts_when_isolated
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
-        """Counts one more request; None where a limit for the whole cluster is used up."""
+        """See `ClusterServices`."""
         return self.quotas.acquire(request_class, tenant)
 
     def release_quota(self, limits: Sequence[str]) -> None:
-        """Counts a request no longer."""
+        """See `ClusterServices`."""
         self.quotas.release(limits)
 
     def record_event(self, event: RecordedEvent, request_id: str, subject: str) -> None:
-        """Writes an event to the record, if one is kept, with the versions in force."""
+        """See `ClusterServices`."""
         if self.event_log:
             self.event_log.record_event(event, request_id, subject, self.cluster_node.consensus)
 
     def attempt_abandoned(self, backend_id: str, request_id: str) -> None:
-        """An attempt was given up, and the backend may still execute it."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.attempt_abandoned(backend_id, request_id)
 
     def attempt_finished(self, backend: int, outcome: Outcome) -> None:
-        """An attempt on the backend with that index has ended."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.attempt_finished(backend, outcome)
 
     def abandoned_attempt_finished(self, request_id: str, backend_id: str) -> None:
-        """The backend told the end of an attempt that is not waited for."""
+        """See `ClusterServices`."""
         if self.maintenance:
             self.maintenance.abandoned_attempt_finished(request_id, backend_id)
 
-    # --- what the cluster node asks for and tells; see cluster.node.Dispatcher ---
+    # --- for the cluster node: cluster.node.Dispatcher ---
 
-    def validate_document(self, name: str, content: dict[str, Any]) -> str:
-        """Why this dispatcher could not act on that content: path, found and allowed; empty if it could."""
+    def validate_document(self, name: str, content: Content) -> str:
+        """Returns why a new version of a document is not valid here; empty if it is valid."""
         previous = None
         if name in (SETTINGS, MAINTENANCE):
             versions = self.cluster_node.consensus.documents.document(name).versions
@@ -189,12 +191,15 @@
         )
 
     def documents_changed(self, names: set[str]) -> None:
-        """Puts in force what may be acted on by now, before anybody is told that this member knows it."""
+        """Applies the effective content of changed documents.
+
+        The member confirms their versions to the cluster only after this returns.
+        """
         member = self.cluster_node.consensus
         settings = member.effective_content(SETTINGS)
         if SETTINGS in names and settings is not None and settings != self.effective_settings:
             parsed = parse_settings({**self.local_settings, **settings})
-            self.apply_config(parsed.routing, parsed.service)
+            self.config_applier.apply(parsed.routing, parsed.service)
             self.effective_settings = settings
         replicated = member.documents.replicated
         if member.documents.document(MAINTENANCE).versions or replicated.maintenance.machines:
@@ -222,16 +227,19 @@
             drained |= self.maintenance.machines_out()
         endpoints = self.backend_registry.set_cluster_drains(drained)
         if endpoints:
-            self.admin_service.endpoints_changed(endpoints)
+            self.request_handler.effective_endpoints_changed(endpoints)
 
     def quota_usage(self) -> dict[str, int]:
-        """By limit, the requests in hand and those that were rejected for it since the last call."""
+        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
         return self.quotas.collect_usage()
 
     def quiesced_index(self, applied: int) -> int:
-        """Up to which index of the log nothing is done any more by what was in force before.
+        """Returns the log index up to which no request depends on an earlier quota allocation.
 
-        Requests received under a larger quota count against it until they are answered.
+        Requests that were admitted under a larger quota may exceed a new one until they are answered.
+
+        Args:
+            applied: The last applied index, which is the result while no quota is exceeded.
         """
         if self.quotas.within_allocation():
             return applied
@@ -243,9 +251,12 @@
         return min([applied, *(index - 1 for index in pending)])
 
     def maintenance_report(self) -> MaintenanceReport | None:
-        """What this dispatcher knows of machines in maintenance; None while there are none."""
+        """Returns the report of this dispatcher on machines in maintenance; None while there are none."""
         return self.maintenance.build_report() if self.maintenance else None
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions of machines in maintenance to propose at `now`; none unless this member leads."""
+        """Returns the transitions of machines to propose; none unless this member leads.
+
+        `now` is in ticks of the boot clock.
+        """
         return self.maintenance.propose_transitions(now) if self.maintenance else []
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -1,13 +1,9 @@
-"""Answers operators' calls about maintenance: what there is, what a job would do, a machine's next step.
+"""The admin API of maintenance: status, forecast of a job, transitions of machines by operators.
 
-The keys of calls and answers are older than the names in the program.
+The JSON keys of calls and answers are in `admin_messages`.
 """
 
-import time
-from typing import TYPE_CHECKING, Any, NamedTuple
-
 import msgspec
-from msgspec import Struct, field
 
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.consensus.conservative_merge import MAINTENANCE
@@ -23,13 +19,23 @@
 )
 from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, operator_document
+from crankfold.service.cluster.admin_messages import CallOutcome
+from crankfold.service.maintenance.admin_messages import (
+    ForecastAnswer,
+    ForecastDeparture,
+    ForecastRequest,
+    JobStatus,
+    MachineWait,
+    MaintenanceOverview,
+    TransitionRequest,
+    TransitionResult,
+)
+from crankfold.service.maintenance.interface import MaintenanceStatus
+from crankfold.service.wall_clock import wall_clock_ms
 from crankfold.time_units import TICKS_PER_SECOND
 
-if TYPE_CHECKING:
-    from crankfold.service.maintenance.agent import MaintenanceAgent
-
-PROPOSE_TIMEOUT = 10.0  # seconds
-RESTORE_LOCALLY = "here"  # the step that concerns this dispatcher alone
+PROPOSE_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
+RESTORE_LOCALLY = "here"  # the step that affects this dispatcher only
 OPERATOR_TRANSITIONS = {
     "begin": MaintenancePhase.IN_WORK,
     "done": MaintenancePhase.WORK_DONE,
@@ -44,60 +50,33 @@
 )
 
 
-class TransitionRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """What an operator says of a machine."""
-
-    call: str  # identifies the call; the same one has one effect, however often it is made
-    machine_id: str = field(name="machine")
-    step: str
-    drain_number: int = field(name="number", default=0)
-    author: str = ""
-    reason: str = field(name="why", default="")
-
-
-class ForecastRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A job that is not published yet."""
-
-    name: str
-    job: dict[str, Any] = field(name="work")
-
-
-class TransitionResult(NamedTuple):
-    """What became of an operator's step."""
-
-    accepted: bool
-    reason: str = ""  # why not
-    outcome_known: bool = True  # false if the step may yet be accepted
-
-
 class MaintenanceAdmin:
-    """The operators' calls about maintenance at one dispatcher."""
+    """Carries out the admin calls about maintenance at one dispatcher."""
 
-    def __init__(self, agent: "MaintenanceAgent") -> None:
+    def __init__(self, agent: MaintenanceStatus) -> None:
         self.agent = agent
 
-    def describe(self) -> dict[str, Any]:
-        """The jobs, the machines in maintenance, what they wait for and the transitions so far."""
+    def describe(self) -> MaintenanceOverview:
+        """Returns the jobs, the machines in maintenance, the wait reasons and the transitions."""
         agent = self.agent
         state = agent.state
         member = agent.cluster_node.consensus
         machines = agent.machines()
         if isinstance(member, Voter):
             machines += agent.dispatchers(member, boottime_ticks())
-        return {
-            "works": {name: self._describe_job(name, job, machines) for name, job in agent.jobs().items()},
-            "machines": {machine_id: machine.to_document() for machine_id, machine in state.machines.items()},
-            "steps": [transition.to_document() for transition in state.transitions],
-            "waits": [
-                {"machine": wait.machine_id, "work": wait.job, "why": wait.text}
-                for wait in agent.coordinator.wait_reasons
+        return MaintenanceOverview(
+            jobs={name: self._job_status(name, job, machines) for name, job in agent.jobs().items()},
+            machines={machine_id: machine.to_document() for machine_id, machine in state.machines.items()},
+            transitions=[transition.to_document() for transition in state.transitions],
+            waits=[
+                MachineWait(wait.machine_id, wait.job, wait.text) for wait in agent.coordinator.wait_reasons
             ],
-            "leads": isinstance(member, Voter) and member.is_leader(),
-            "leader": member.raft.leader if isinstance(member, Voter) else "",
-            "here": sorted(agent.restored_locally),
-        }
+            is_leader=isinstance(member, Voter) and member.is_leader(),
+            leader=member.raft.leader if isinstance(member, Voter) else "",
+            restored_locally=sorted(agent.restored_locally),
+        )
 
-    def _describe_job(self, name: str, job: JobSpecification, machines: list[Machine]) -> dict[str, Any]:
+    def _job_status(self, name: str, job: JobSpecification, machines: list[Machine]) -> JobStatus:
         state = self.agent.state
         completed = state.completed.get(name, {})
         target = job.to_job(name)
@@ -113,24 +92,24 @@
             job_state = "stopped by itself"
         elif wanted and not under_way and all(machine_id in completed for machine_id in wanted):
             job_state = "done"
-        return {
-            "why": job.reason,
-            "state": job_state,
-            "halted": state.halted_jobs.get(name, ""),
-            "wanted": len(wanted),
-            "done": completed,
-            "left": [
+        return JobStatus(
+            reason=job.reason,
+            state=job_state,
+            halted=state.halted_jobs.get(name, ""),
+            wanted=len(wanted),
+            done=dict(completed),
+            left=[
                 machine_id
                 for machine_id in wanted
                 if machine_id not in completed and machine_id not in state.machines
             ],
-        }
+        )
 
-    def forecast(self, body: bytes) -> dict[str, Any]:
-        """What would come about if this job were published now. Changes nothing.
+    def forecast(self, body: bytes) -> ForecastAnswer | CallOutcome:
+        """Returns the departures of machines if this job were published now; changes nothing.
 
         Raises:
-            msgspec.DecodeError: if the body is no `ForecastRequest`.
+            msgspec.DecodeError: The body is not a `ForecastRequest`.
         """
         request = msgspec.json.decode(body, type=ForecastRequest)
         agent = self.agent
@@ -139,14 +118,14 @@
         content = {"works": {**before.get("works", {}), request.name: request.job}}
         error = validation_error(content, before, agent.machines())
         if error:
-            return {"well": False, "text": error}
+            return CallOutcome(False, error)
         jobs = parse_jobs(content)
         target = jobs[request.name].target
         machines = agent.machines()
         if target == Target.DISPATCHERS:
             member = agent.cluster_node.consensus
             if not isinstance(member, Voter):
-                return {"well": False, "text": "ask at the door of a voter"}
+                return CallOutcome(False, "ask at the door of a voter")
             machines = agent.dispatchers(member, boottime_ticks())
         same_target = {name: job for name, job in jobs.items() if job.target == target}
         return _forecast_answer(forecast_job(request.name, self._forecast_inputs(same_target, machines)))
@@ -159,16 +138,16 @@
             machines=machines,
             out_for={machine_id: machine.job for machine_id, machine in agent.state.machines.items()},
             completed=agent.state.completed_pairs(),
-            now_ms=time.time_ns() // 1_000_000,
+            now_ms=wall_clock_ms(),
             drain_seconds=drain_ticks / TICKS_PER_SECOND,
             warm_up_seconds=agent.request_handler.config.slow_start_duration / TICKS_PER_SECOND,
         )
 
     async def request_transition(self, body: bytes) -> TransitionResult:
-        """Proposes a step that an operator calls for.
+        """Proposes the transition that an operator requests.
 
         Raises:
-            msgspec.DecodeError: if the body is no `TransitionRequest`.
+            msgspec.DecodeError: The body is not a `TransitionRequest`.
         """
         request = msgspec.json.decode(body, type=TransitionRequest)
         if request.step == RESTORE_LOCALLY:
@@ -192,7 +171,7 @@
         )
 
     def _objection(self, machine_id: str, machine: MachineInMaintenance, phase: MaintenancePhase) -> str:
-        """Why an operator may not call for that step, though it would follow; empty if he may."""
+        """Returns why an operator may not request a transition that the state permits; empty if allowed."""
         job = self.agent.jobs().get(machine.job)
         if (
             phase in (MaintenancePhase.IN_WORK, MaintenancePhase.WORK_DONE)
@@ -207,7 +186,7 @@
         return ""
 
     def _restore_locally(self, machine_id: str) -> TransitionResult:
-        """While it is isolated nobody can tell this dispatcher that nothing is done on the machine."""
+        """Restores a machine at this dispatcher only, which is isolated and cannot propose a transition."""
         if machine_id not in self.agent.state.out_of_rotation():
             return _not_out(machine_id)
         if self.agent.cluster_node.has_lease():
@@ -224,7 +203,7 @@
         by=request.author or "an operator",
         incarnation=0,
         reason=request.reason,
-        at_ms=time.time_ns() // 1_000_000,
+        at_ms=wall_clock_ms(),
         drain_number=request.drain_number or None,
     )
 
@@ -233,18 +212,18 @@
     return TransitionResult(False, f"{machine_id} is not out for any work, as far as is known here")
 
 
-def _forecast_answer(forecast: Forecast) -> dict[str, Any]:
-    return {
-        "well": True,
-        "turns": [
-            {
-                "begin": departure.begin_seconds,
-                "end": departure.end_seconds,
-                "machine": departure.machine_id,
-                "zone": departure.zone,
-                "why": departure.waited_for,
-            }
+def _forecast_answer(forecast: Forecast) -> ForecastAnswer:
+    return ForecastAnswer(
+        accepted=True,
+        departures=[
+            ForecastDeparture(
+                begin=departure.begin_seconds,
+                end=departure.end_seconds,
+                machine_id=departure.machine_id,
+                zone=departure.zone,
+                waited_for=departure.waited_for,
+            )
             for departure in forecast.departures
         ],
-        "waits": forecast.wait_reasons,
-    }
+        wait_reasons=forecast.wait_reasons,
+    )
