--- /dev/null
+++ b/crankfold/cluster/log_records.py
@@ -0,0 +1,117 @@
+"""The records of a voter's log file, and how they are framed.
+
+A frame holds the records of one append: the length of its body, the CRC-32 of the body, then the body, a
+MessagePack array of records. One frame is one write and one sync, so a crash tears the last frame at most.
+
+The tags, the order of the fields and their types are the file format; the names are not.
+"""
+
+import zlib
+
+import msgspec
+from msgspec import Struct
+
+from crankfold.consensus.messages import LogEntry, Snapshot
+from crankfold.consensus.raft_state import PersistentState
+from crankfold.errors import CrankfoldError
+
+LENGTH_BYTES = 4
+CHECKSUM_BYTES = 4
+HEADER_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
+UNWRITTEN_BYTE = b"\0"  # what a file system returns for space that is allocated, but not written
+
+
+class LogFormatError(CrankfoldError):
+    """The log file is damaged before its last frame, or another version wrote it; the text says where."""
+
+
+class HardStateRecord(Struct, array_like=True, tag="t"):
+    """A new term or vote."""
+
+    term: int
+    vote: str
+    founding_member: bool = False
+
+
+class EntriesRecord(Struct, array_like=True, tag="e"):
+    """Entries that replace all entries from `first_index` on."""
+
+    first_index: int
+    entries: list[LogEntry]
+
+
+class SnapshotRecord(Struct, array_like=True, tag="k"):
+    """A snapshot that replaces the earlier snapshot and all entries."""
+
+    snapshot: Snapshot
+
+
+Record = HardStateRecord | EntriesRecord | SnapshotRecord
+_decoder = msgspec.msgpack.Decoder(list[Record])
+
+
+def encode_log_frame(records: list[Record]) -> bytes:
+    """Returns the frame of the records."""
+    body = msgspec.msgpack.encode(records)
+    length = len(body).to_bytes(LENGTH_BYTES, "big")
+    return length + zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body
+
+
+def replay(state: PersistentState, data: bytes) -> int:
+    """Applies the frames of a log file to `state`, up to a torn tail.
+
+    Returns:
+        The number of bytes of the complete frames; the torn tail begins there.
+
+    Raises:
+        LogFormatError: A damaged frame stands before the tail, or a body has an unknown form.
+    """
+    start = 0
+    while start < len(data):
+        body_start = start + HEADER_BYTES
+        end = body_start + int.from_bytes(data[start : start + LENGTH_BYTES], "big")
+        body = data[body_start:end]
+        is_complete = body_start < end <= len(data)
+        checksum = int.from_bytes(data[start + LENGTH_BYTES : body_start], "big")
+        if not is_complete or zlib.crc32(body) != checksum:
+            _check_torn_tail(data, start, end)
+            break
+        for record in _decode_body(body, start):
+            apply_record(state, record)
+        start = end
+    return start
+
+
+def _decode_body(body: bytes, start: int) -> list[Record]:
+    try:
+        records: list[Record] = _decoder.decode(body)
+    except msgspec.DecodeError as error:
+        raise LogFormatError(f"at byte {start}: {error}; written by another version?") from None
+    return records
+
+
+def _check_torn_tail(data: bytes, start: int, end: int) -> None:
+    """Raises a LogFormatError if written data follows the incomplete frame from `start` to `end`.
+
+    A crash leaves at most a part of the last frame, or allocated space that was not written.
+    """
+    if data[end:].strip(UNWRITTEN_BYTE):
+        raise LogFormatError(
+            f"damaged at byte {start} of {len(data)}; take this voter out, empty the folder and add it "
+            f"anew, or restore the undamaged file"
+        )
+
+
+def apply_record(state: PersistentState, record: Record) -> None:
+    """Changes `state` as the record says."""
+    match record:
+        case HardStateRecord():
+            state.term = record.term
+            state.vote = record.vote
+            state.founding_member = record.founding_member
+        case SnapshotRecord():
+            state.snapshot = record.snapshot
+            state.entries = []
+        case EntriesRecord():
+            del state.entries[max(record.first_index - state.snapshot.index - 1, 0) :]
+            state.entries += record.entries
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -6,12 +6,8 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from crankfold.cluster.raft_storage import (
-    RECORD_HEADER_SIZE,
-    FolderInUseError,
-    RaftStorage,
-    StorageError,
-)
+from crankfold.cluster.log_records import HEADER_BYTES
+from crankfold.cluster.raft_storage import FolderInUseError, RaftStorage, StorageError
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import Ready
 
@@ -49,7 +45,7 @@
         records, start = [], 0
         while start < len(data):
             records.append(start)
-            start += RECORD_HEADER_SIZE + int.from_bytes(data[start : start + 4], "big")
+            start += HEADER_BYTES + int.from_bytes(data[start : start + 4], "big")
         for cut in range(records[-1] + 1, len(data)):
             for tail in (b"", b"\0" * 40):  # also where room was made and never filled
                 (self.folder / "history").write_bytes(data[:cut] + tail)
@@ -63,7 +59,7 @@
 
     def test_damage_before_the_tail_is_refused_and_the_file_left_alone(self) -> None:
         data = bytearray(self.fill())
-        data[RECORD_HEADER_SIZE + 3] ^= 1
+        data[HEADER_BYTES + 3] ^= 1
         (self.folder / "history").write_bytes(data)
         with self.assertRaisesRegex(StorageError, "damaged at byte 0 .* add it anew"):
             RaftStorage(self.folder, "n0")
