--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -1,7 +1,8 @@
 """When a version becomes active: once all members that may act have applied it."""
 
 from crankfold.consensus.conservative_merge import QUOTAS
-from crankfold.consensus.leases import AppliedBounds, LeaderLeases
+from crankfold.consensus.leader_leases import LeaderLeases
+from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.timing import Timing
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -19,31 +19,45 @@
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import VersionedDocuments
 
-NO_LEADER = "there is no leader"  # the reason of a response after which it is proposed once more
-VALIDATION_TIMEOUT = 20  # staleness bounds; a proposal not validated by then is forgotten
-MAX_AUTHOR_LENGTH = 200
-MAX_REASON_LENGTH = 2000
+# The reason of a response that is not final: the proposer proposes again.
+NO_LEADER = "there is no leader"
+VALIDATION_TIMEOUT_BOUNDS = 20  # staleness bounds until the leader drops a proposal without a majority
+MAX_AUTHOR_CHARACTERS = 200
+MAX_REASON_CHARACTERS = 2000
 
+THIS_VOTER = ""  # in place of the name of a sender
 
 ProposalMessage = ProposalRequest | ProposalResponse | ValidationRequest | ValidationResponse
 
 
 class PublishProposal(Struct):
-    """What `ProposalRequest.data` of a publish must hold; the names are those of the log entry."""
+    """`ProposalRequest.data` of a proposal to publish a version of a document.
+
+    The names are the keys of the log entry. The data itself is proposed, not this object: its order of keys
+    is stored.
+
+    Attributes:
+        doc: The name of the document.
+        made_from: The newest version that the author had read.
+        author: The name of the author.
+        reason: Why, in the author's words.
+        at: Wall time in milliseconds; shown, never compared.
+        text: The content of the version.
+    """
 
     doc: Literal["settings", "runners-out", "runners-never", "limits", "deal", "works"]
     made_from: Annotated[int, Meta(ge=0)]
-    author: Annotated[str, Meta(max_length=MAX_AUTHOR_LENGTH)]
-    reason: Annotated[str, Meta(max_length=MAX_REASON_LENGTH)]
+    author: Annotated[str, Meta(max_length=MAX_AUTHOR_CHARACTERS)]
+    reason: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)]
     at: int
     text: dict[str, Any]
 
 
 def read_publish(request: ProposalRequest) -> PublishProposal:
-    """The decoded data of a proposal to publish.
+    """Decodes the data of a proposal to publish.
 
     Raises:
-        ProposalError: It is none, or its data has not the form of one.
+        ProposalError: The proposal is of another kind, or its data has another form.
     """
     try:
         proposal = msgspec.convert(request.data, PublishProposal)
@@ -54,13 +68,32 @@
     return proposal
 
 
+def read_voters(request: ProposalRequest) -> dict[str, str]:
+    """Returns the addresses by name in a proposal to change the voters.
+
+    Raises:
+        ProposalError: There are none.
+    """
+    voters = request.data.get("voters")
+    if not isinstance(voters, dict):
+        raise ProposalError("no voters")
+    return voters
+
+
 def rejected(proposal_id: str, reason: str) -> ProposalResponse:
-    """The response to a proposal that does not reach the log."""
+    """Returns the response to a proposal that is not appended to the log."""
     return ProposalResponse(proposal_id, accepted=False, reason=reason, version_number=0, log_index=0)
 
 
 class PendingValidation(Struct):
-    """A proposal that voters are asked about, and those that could use it."""
+    """A proposal that waits for validation by a majority of the voters.
+
+    Attributes:
+        request: As it was received.
+        proposal: Its decoded data.
+        approvals: Names of the voters that validated it.
+        started_at: Ticks.
+    """
 
     request: ProposalRequest
     proposal: PublishProposal
@@ -69,7 +102,7 @@
 
 
 class ProposalHandler:
-    """A voter's part in proposals: it forwards them to the leader, or, as the leader, has them validated."""
+    """Forwards proposals to the leader; at the leader, has them validated and appends them to the log."""
 
     def __init__(
         self,
@@ -79,35 +112,50 @@
         timing: Timing,
         own_responses: list[ProposalResponse],
     ) -> None:
-        """For the node that `raft` is; outcomes of its own proposals are added to `own_responses`."""
+        """Starts without proposals.
+
+        Args:
+            raft: The Raft node of this voter.
+            documents: The replicated documents of this voter.
+            host: Validates documents for this voter.
+            timing: Gives the staleness bound.
+            own_responses: The list to which outcomes of this voter's own proposals are appended.
+        """
         self._raft = raft
         self._documents = documents
         self._host = host
         self._timing = timing
         self._own_responses = own_responses
         self._validations: dict[str, PendingValidation] = {}
-        self._senders: dict[str, str] = {}  # who waits for the outcome, by proposal; "" for this node
+        # The member that the outcome is sent to, by proposal id; THIS_VOTER for an own proposal.
+        self._proposers: dict[str, str] = {}
 
     def reset(self) -> None:
-        """A new term as leader begins."""
+        """Drops all validations at the start of a term as leader."""
         self._validations = {}
 
     def receive(self, now: int, sender: str, message: ProposalMessage) -> None:
-        """Takes a message about a proposal of another member."""
+        """Handles a message about a proposal from another member."""
         match message:
             case ProposalRequest():
                 self.handle_request(now, sender, message)
             case ProposalResponse():
-                self._pass_on(message)
+                self._forward_response(message)
             case ValidationRequest():
                 self._validate(sender, message)
             case ValidationResponse():
                 self._handle_validation_response(now, sender, message)
 
     def handle_request(self, now: int, sender: str, request: ProposalRequest) -> None:
-        """Takes a proposal of another member, or of this one if `sender` is empty."""
+        """Handles a proposal as the leader, or forwards it to the leader.
+
+        Args:
+            now: Ticks.
+            sender: The member that sent it; `THIS_VOTER` for an own proposal.
+            request: The proposal.
+        """
         if self._raft.role == Role.LEADER:
-            self._senders[request.proposal_id] = sender
+            self._proposers[request.proposal_id] = sender
             try:
                 self._handle_as_leader(now, sender, request)
             except ProposalError as error:
@@ -115,7 +163,7 @@
             else:
                 self._drop_expired(now)
         elif self._raft.leader:
-            self._senders[request.proposal_id] = sender
+            self._proposers[request.proposal_id] = sender
             self._raft.send(self._raft.leader, request)
         else:
             self._respond(sender, rejected(request.proposal_id, NO_LEADER))
@@ -126,23 +174,20 @@
         elif request.proposal_id in self._documents.replicated.outcomes:
             self.answer(request.proposal_id)
         elif request.kind == EntryKind.MAINTENANCE:
+            # A plain dictionary: the order of the proposer's keys is stored.
             data = {**request.data, "call": request.proposal_id}
             self._raft.propose(now, EntryKind.MAINTENANCE, data)
         elif request.proposal_id in self._validations:
-            self._request_validation(request.proposal_id)  # messages of an earlier attempt may be lost
+            self._request_validation(request.proposal_id)  # an earlier request for validation may be lost
         else:
             self._begin_validation(now, request)
 
     def _change_voters(self, now: int, request: ProposalRequest) -> ProposalResponse:
-        voters = request.data.get("voters")
         error = ""
-        if isinstance(voters, dict):
-            try:
-                self._raft.change_voters(now, voters)
-            except MembershipChangeError as refused:
-                error = str(refused)
-        else:
-            error = "no voters"
+        try:
+            self._raft.change_voters(now, read_voters(request))
+        except (MembershipChangeError, ProposalError) as refused:
+            error = str(refused)
         return ProposalResponse(
             request.proposal_id,
             accepted=not error,
@@ -152,7 +197,11 @@
         )
 
     def _begin_validation(self, now: int, request: ProposalRequest) -> None:
-        """Has a proposal validated; raises a ProposalError if this voter could not use it."""
+        """Validates a proposal here and requests validation from the other voters.
+
+        Raises:
+            ProposalError: Its data has another form, or this voter rejects its content.
+        """
         proposal = read_publish(request)
         error = self._host.validate_document(proposal.doc, proposal.text)
         if error:
@@ -170,43 +219,47 @@
             self._raft.send(voter, message)
 
     def _validate(self, sender: str, request: ValidationRequest) -> None:
-        """Answers the leader whether this voter could use a document."""
+        """Sends the leader the result of validating a document here."""
         error = self._host.validate_document(request.document_name, request.content)
         self._raft.send(sender, ValidationResponse(request.proposal_id, error))
 
     def _handle_validation_response(self, now: int, sender: str, response: ValidationResponse) -> None:
-        """Takes a voter's judgement."""
+        """Counts an approval; one rejection by a voter rejects the proposal."""
         validation = self._validations.get(response.proposal_id)
         if validation is None:
             return
         if response.error:
             del self._validations[response.proposal_id]
-            proposer = self._senders.get(response.proposal_id, "")
+            proposer = self._proposers.get(response.proposal_id, THIS_VOTER)
             self._respond(proposer, rejected(response.proposal_id, f"{sender}: {response.error}"))
             return
         validation.approvals.add(sender)
         self._propose_if_validated(now, response.proposal_id)
 
     def _propose_if_validated(self, now: int, proposal_id: str) -> None:
-        """A majority is enough: whoever is out of reach would only validate it when it is too late."""
+        """Appends a proposal that a majority has validated.
+
+        The other voters are not waited for: an unreachable voter would block every publish.
+        """
         validation = self._validations[proposal_id]
         voters = self._raft.voters
         approvals = validation.approvals & voters.keys()
         if self._raft.role == Role.LEADER and 2 * len(approvals) > len(voters):
             del self._validations[proposal_id]
+            # A plain dictionary: the order of the proposer's keys is stored.
             data = {**validation.request.data, "call": proposal_id}
             self._raft.propose(now, EntryKind.PUBLISH, data)
 
     def _drop_expired(self, now: int) -> None:
-        timeout = VALIDATION_TIMEOUT * self._timing.staleness_bound
+        timeout = VALIDATION_TIMEOUT_BOUNDS * self._timing.staleness_bound
         for proposal_id, validation in list(self._validations.items()):
             if now - validation.started_at > timeout:
                 del self._validations[proposal_id]
 
     def answer(self, proposal_id: str) -> None:
-        """Sends the outcome of an applied proposal to whoever waits for it."""
+        """Sends the outcome of an applied proposal to its proposer, if it came through this voter."""
         outcome = self._documents.replicated.outcomes.get(proposal_id)
-        if outcome and proposal_id in self._senders:
+        if outcome and proposal_id in self._proposers:
             response = ProposalResponse(
                 proposal_id,
                 accepted=outcome.accepted,
@@ -214,15 +267,15 @@
                 version_number=outcome.version_number,
                 log_index=outcome.log_index,
             )
-            self._respond(self._senders.pop(proposal_id), response)
+            self._respond(self._proposers.pop(proposal_id), response)
 
-    def _pass_on(self, response: ProposalResponse) -> None:
-        """Passes on what the leader answered."""
-        if response.proposal_id in self._senders:
-            self._respond(self._senders.pop(response.proposal_id), response)
+    def _forward_response(self, response: ProposalResponse) -> None:
+        """Forwards a response of the leader to the proposer."""
+        if response.proposal_id in self._proposers:
+            self._respond(self._proposers.pop(response.proposal_id), response)
 
     def _respond(self, receiver: str, response: ProposalResponse) -> None:
-        if receiver:
-            self._raft.send(receiver, response)
-        else:
+        if receiver == THIS_VOTER:
             self._own_responses.append(response)
+        else:
+            self._raft.send(receiver, response)
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -8,9 +8,9 @@
 from crankfold.consensus.activation import VersionActivator
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.incarnations import IncarnationTracker
+from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leases import (
     AppliedBounds,
-    LeaderLeases,
     LeaseHolder,
     LeaseHolderState,
     LeaseTable,
@@ -34,7 +34,7 @@
     ValidationRequest,
     ValidationResponse,
 )
-from crankfold.consensus.proposals import ProposalHandler
+from crankfold.consensus.proposals import THIS_VOTER, ProposalHandler
 from crankfold.consensus.quotas import QuotaAllocator
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.raft_state import PersistentState, Ready, Role
@@ -251,7 +251,7 @@
         return {
             voter: incarnation
             for voter, incarnation in self.voter_incarnations().items()
-            if voter == self.name or self.leader_leases.is_held(now, voter)
+            if voter == self.name or self.leader_leases.may_hold_lease(now, voter)
         }
 
     def _request_lease(self, now: int) -> None:
@@ -302,7 +302,7 @@
     def _rejection_of(self, now: int, heartbeat: FollowerHeartbeat) -> str:
         """Why a follower is not admitted; empty if it is."""
         name = heartbeat.name
-        if self.leases.is_held_by_another(now, heartbeat):
+        if self.leases.is_name_leased(now, heartbeat):
             return f"the name {name} is in use by another process"
         if name in self.raft.voters or self.remote_lease_holders.has_other_incarnation(
             name, heartbeat.incarnation
@@ -353,7 +353,7 @@
         for voter in self.raft.voters:
             if voter != self.name:
                 self.raft.send(voter, MembershipGossip(statuses))
-        self.leases.drop_forgotten(now, self.documents.max_request_duration())
+        self.leases.drop_expired(now, self.documents.max_request_duration())
 
     def _own_status(self, now: int) -> LeaseHolderStatus:
         return LeaseHolderStatus(
@@ -369,7 +369,7 @@
 
     def propose(self, now: int, proposal_id: str, kind: str, data: dict[str, Any]) -> None:
         """Proposes an entry; the outcome comes in `proposal_responses`, once however often it is proposed."""
-        self._proposals.handle_request(now, "", ProposalRequest(proposal_id, kind, data))
+        self._proposals.handle_request(now, THIS_VOTER, ProposalRequest(proposal_id, kind, data))
         self.process(now)
 
     def receive(self, now: int, sender: str, message: Message) -> None:
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -3,7 +3,8 @@
 import unittest
 
 from crankfold.consensus.incarnations import IncarnationTracker
-from crankfold.consensus.leases import AppliedBounds, LeaderLeases, LeaseHolderState, LeaseTable
+from crankfold.consensus.leader_leases import LeaderLeases
+from crankfold.consensus.leases import AppliedBounds, LeaseHolderState, LeaseTable
 from crankfold.consensus.maintenance_reports import ClusterReport, SubtreeReport
 from crankfold.consensus.messages import FollowerHeartbeat, LeaseRequest, Leave, MaintenanceReport
 from crankfold.consensus.timing import Timing, with_drift_margin
@@ -80,9 +81,9 @@
     def test_a_holder_is_forgotten_long_after_its_lease(self) -> None:
         self.holder(last_applied=5)
         forgotten_after = self.expires_at + REQUEST_DURATION + 60 * TIMING.lease_duration
-        self.leases.drop_forgotten(forgotten_after, REQUEST_DURATION)
+        self.leases.drop_expired(forgotten_after, REQUEST_DURATION)
         self.assertIn("f", self.leases.holders)
-        self.leases.drop_forgotten(forgotten_after + 1, REQUEST_DURATION)
+        self.leases.drop_expired(forgotten_after + 1, REQUEST_DURATION)
         self.assertEqual(self.leases.holders, {})
 
 
