--- a/crankfold/consensus/log_entries.py
+++ b/crankfold/consensus/log_entries.py
@@ -1,4 +1,4 @@
-"""What entries of the replicated log mean: their kinds, and the fields of their data.
+"""The kinds of log entries and the data of each kind.
 
 The strings and field names are stored in voters' folders and sent between processes.
 """
@@ -15,12 +15,12 @@
 class EntryKind(StrEnum):
     """The kind of a log entry, by the string that is stored."""
 
-    NO_OP = "begin"  # the first entry of a leader's term, which commits those of earlier terms
+    NO_OP = "begin"  # the first entry of a leader's term, which commits the entries of earlier terms
     CHANGE_VOTERS = "voters"
     REGISTER_FOLDER = "folder"  # binds a voter's name to the folder that holds its state
     PUBLISH = "publish"  # a new version of a document
     ACTIVATE = "count"  # every member that may act has applied a version: it is active
-    MAINTENANCE = "step"  # transitions of machines that are out for maintenance
+    MAINTENANCE = "step"  # transitions of machines in maintenance
 
 
 class PublishData(Struct):
@@ -29,7 +29,7 @@
     Attributes:
         call: The id of the proposal; the same id takes effect once.
         doc: The name of the document.
-        made_from: The newest version that the author knew of.
+        made_from: The newest version that the author had read.
         author: Who published it.
         reason: Why, in the author's words.
         at: Wall time of the publish in milliseconds; shown, never compared.
@@ -46,55 +46,74 @@
 
 
 class ActivateData(Struct):
-    """Data of an `ACTIVATE` entry: the document and the number of the version."""
+    """Data of an `ACTIVATE` entry.
+
+    Attributes:
+        doc: The name of the document.
+        number: The number of the version.
+    """
 
     doc: str
     number: int
 
 
 class RegisterFolderData(Struct):
-    """Data of a `REGISTER_FOLDER` entry: a voter's name and the id of its folder."""
+    """Data of a `REGISTER_FOLDER` entry.
+
+    Attributes:
+        voter: The name of the voter.
+        folder: The id of its folder.
+    """
 
     voter: str
     folder: str
 
 
+def entry_data(data: PublishData | ActivateData | RegisterFolderData) -> dict[str, Any]:
+    """Returns the data of a log entry, with its keys in the stored order."""
+    return msgspec.structs.asdict(data)
+
+
 def publish_data(entry: LogEntry) -> PublishData:
-    """The decoded data of a `PUBLISH` entry.
+    """Decodes the data of a `PUBLISH` entry.
 
     Raises:
-        msgspec.ValidationError: The entry has other fields.
+        msgspec.ValidationError: The data has other fields.
     """
     return msgspec.convert(entry.data, PublishData)
 
 
 def activate_data(entry: LogEntry) -> ActivateData:
-    """The decoded data of an `ACTIVATE` entry.
+    """Decodes the data of an `ACTIVATE` entry.
 
     Raises:
-        msgspec.ValidationError: The entry has other fields.
+        msgspec.ValidationError: The data has other fields.
     """
     return msgspec.convert(entry.data, ActivateData)
 
 
 def voters_of(entry: LogEntry) -> dict[str, str]:
-    """Addresses by name of the voters that a `CHANGE_VOTERS` entry leaves."""
+    """Addresses by name of the voters after a `CHANGE_VOTERS` entry."""
     return dict(entry.data["voters"])
 
 
 def proposal_id_of(entry: LogEntry) -> str:
-    """The id of the proposal that an entry came from; empty if nobody waits for its outcome."""
+    """The id of the proposal of an entry; empty for an entry without a recorded outcome."""
     return str(entry.data.get("call", ""))
 
 
 def folder_ids_after(folder_ids: dict[str, str], entry: LogEntry) -> dict[str, str]:
-    """The folder ids by which voters are registered, after one more entry."""
+    """The registered folder ids by voter, after one more entry.
+
+    Raises:
+        msgspec.ValidationError: The data of the entry has other fields.
+    """
     if entry.kind == EntryKind.REGISTER_FOLDER:
         registered = msgspec.convert(entry.data, RegisterFolderData)
         return {registered.voter: registered.folder, **folder_ids}
     if entry.kind == EntryKind.NO_OP:
         return {**entry.data.get("folders", {}), **folder_ids}
     if entry.kind == EntryKind.CHANGE_VOTERS:
-        # A name that was removed and added again may come with another folder.
+        # A voter that is removed and added again registers a new folder.
         return {name: folder for name, folder in folder_ids.items() if name in entry.data["voters"]}
     return folder_ids
--- a/crankfold/consensus/progress.py
+++ b/crankfold/consensus/progress.py
@@ -1,27 +1,28 @@
-"""What a leader knows of the other voters: how far their logs agree with its own, and when they answered."""
+"""A leader's view of the other voters: replication progress and acknowledged heartbeat rounds."""
 
 from collections.abc import Callable, Collection
 
-ROUNDS_REMEMBERED = 200
+ROUNDS_RETAINED = 200  # rounds whose time of sending is stored
 
 
 def quorum_value(voters: Collection[str], value_of: Callable[[str], int]) -> int:
-    """The highest value that a majority of the voters has reached."""
+    """The highest value that a majority of the voters has reached; 0 without voters."""
     values = sorted(map(value_of, voters), reverse=True)
     return values[len(values) // 2] if values else 0
 
 
 class ProgressTracker:
-    """Replication progress by voter, and the rounds of broadcasts.
+    """Replication progress and acknowledged rounds by voter. A round is one broadcast of AppendEntries.
 
     Attributes:
-        next_index: The next entry to send.
-        match_index: Up to where the voter's log is known to be durable and to agree.
-        round_number: Counts the broadcasts of this term.
+        name: The leader.
+        next_index: The index of the next entry to send, by voter.
+        match_index: The highest index that is durable and matches the leader's log, by voter.
+        round_number: The number of the newest round of this term; 0 for none.
     """
 
     def __init__(self, name: str) -> None:
-        """Knows nothing yet; `name` is the leader's own."""
+        """Starts without progress; `name` is the leader."""
         self.name = name
         self.next_index: dict[str, int] = {}
         self.match_index: dict[str, int] = {}
@@ -30,7 +31,7 @@
         self._acknowledged_round: dict[str, int] = {}
 
     def reset(self, voters: Collection[str], last_index: int) -> None:
-        """A new leader begins."""
+        """Starts a term as leader, with `last_index` as the end of the leader's log."""
         self.next_index = dict.fromkeys(voters, last_index + 1)
         self.match_index = {}
         self.round_number = 0
@@ -38,39 +39,39 @@
         self._acknowledged_round = {}
 
     def begin_round(self, now: int) -> None:
-        """A broadcast goes out at `now`."""
+        """Starts a round at `now`."""
         self.round_number += 1
         self._round_sent_at[self.round_number] = now
-        oldest = self.round_number - ROUNDS_REMEMBERED
+        oldest = self.round_number - ROUNDS_RETAINED
         for round_number in [number for number in self._round_sent_at if number < oldest]:
             del self._round_sent_at[round_number]
 
     def acknowledge_round(self, voter: str, round_number: int) -> None:
-        """A voter answered a message of that round."""
+        """Records that a voter responded to a message of that round."""
         self._acknowledged_round[voter] = max(self._acknowledged_round.get(voter, 0), round_number)
 
     def rejected(self, voter: str, retry_index: int) -> None:
-        """A voter's log does not agree; it proposes to try after `retry_index`."""
+        """Records a mismatch; the voter proposes `retry_index` as the next `prev_log_index`."""
         previous = self.next_index.get(voter, 1) - 1
         self.next_index[voter] = max(min(retry_index + 1, previous), 1)
 
     def matched(self, voter: str, match_index: int) -> bool:
-        """A voter's log agrees up to `match_index`; returns whether its next entry is a later one now."""
+        """Records that a voter's log matches up to `match_index`; returns whether `next_index` rose."""
         self.match_index[voter] = max(self.match_index.get(voter, 0), match_index)
         previous = self.next_index.get(voter, 1)
         self.next_index[voter] = max(previous, self.match_index[voter] + 1)
         return self.next_index[voter] > previous
 
     def quorum_match_index(self, voters: Collection[str], durable_index: int) -> int:
-        """The last index that a majority has on stable storage, this node by its `durable_index`."""
+        """The highest index that a majority has on stable storage; `durable_index` is the leader's own."""
         return quorum_value(
             voters, lambda voter: durable_index if voter == self.name else self.match_index.get(voter, 0)
         )
 
     def quorum_contact_at(self, voters: Collection[str]) -> int:
-        """When the newest round was sent that a majority has answered; -1 if there is none.
+        """When the newest round was sent that a majority has acknowledged; -1 for none.
 
-        Those answers were sent after that time.
+        The responses were sent after that time, so the majority was in contact then.
         """
         answered = quorum_value(
             voters,
--- a/crankfold/consensus/quotas.py
+++ b/crankfold/consensus/quotas.py
@@ -1,23 +1,29 @@
-"""Quotas: each member's part of the limits that hold for the whole cluster, allocated by the leader."""
+"""The allocation of cluster-wide limits: the quota of each member, proposed by the leader."""
 
 from crankfold.consensus.conservative_merge import LIMITS, QUOTAS
-from crankfold.consensus.log_entries import EntryKind
+from crankfold.consensus.log_entries import EntryKind, PublishData, entry_data
 from crankfold.consensus.messages import LeaseHolderStatus
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.versioned_documents import VersionedDocuments
 
 Allocation = dict[str, dict[str, int]]  # quotas by limit and member
 
-# A member that has used up its quota gets more only if that is over a tenth of the limit.
-MIN_GAIN_PARTS = 10
+# A member with no quota left gets a new allocation if it gains over a tenth of the limit.
+MIN_GAIN_DIVISOR = 10
 
 
 def allocate_quotas(limits: dict[str, int], usage: dict[str, dict[str, int]]) -> Allocation:
-    """Divides each limit in proportion to what each member uses of it, plus one; the quotas sum up to it.
+    """Divides each limit among the members.
+
+    A member's part is in proportion to its usage plus one; remainders go to the largest fractions, then by
+    name, so that the quotas of a limit add up to it.
 
     Args:
-        limits: Open requests of the whole cluster, by the limit's name.
-        usage: By member and limit, open requests and those wanted.
+        limits: The highest number of open requests in the cluster, by limit.
+        usage: The number of open and wanted requests, by member and limit.
+
+    Returns:
+        Quotas in open requests.
     """
     quotas: Allocation = {}
     for limit, total in limits.items():
@@ -42,33 +48,34 @@
 def needs_allocation(
     limits: dict[str, int], usage: dict[str, dict[str, int]], current: Allocation, target: Allocation
 ) -> bool:
-    """Whether members or limits changed, or one has used up its quota and would gain enough.
+    """Whether to allocate anew: members or limits changed, or a member with no quota left gains enough.
 
     Args:
-        limits: Open requests of the whole cluster, by the limit's name.
-        usage: By member and limit, open requests and those wanted.
+        limits: The highest number of open requests in the cluster, by limit.
+        usage: The number of open and wanted requests, by member and limit.
         current: The newest allocation.
-        target: What would be allocated now.
+        target: The allocation by the present usage.
     """
     if not _same_members(limits, current, target):
         return True
     return any(
-        usage[name].get(limit, 0) >= quota and MIN_GAIN_PARTS * (target[limit][name] - quota) > limits[limit]
+        usage[name].get(limit, 0) >= quota
+        and MIN_GAIN_DIVISOR * (target[limit][name] - quota) > limits[limit]
         for limit, quotas in current.items()
         for name, quota in quotas.items()
     )
 
 
 class QuotaAllocator:
-    """Proposes a new allocation at the leader when one is due."""
+    """Proposes allocations at the leader."""
 
     def __init__(self, raft: Raft, documents: VersionedDocuments) -> None:
-        """For the node that `raft` is."""
+        """For a voter with this Raft node and these replicated documents."""
         self._raft = raft
         self._documents = documents
 
     def propose_if_due(self, now: int, alive: list[LeaseHolderStatus]) -> None:
-        """Proposes an allocation to the members that are alive, unless the last one is still pending."""
+        """Proposes an allocation to the members that are alive, unless one is pending or none is needed."""
         quota_document = self._documents.document(QUOTAS)
         if quota_document.pending() or not self._documents.document(LIMITS).versions:
             return
@@ -78,13 +85,13 @@
         current = quota_document.versions[-1].text["shares"] if quota_document.versions else {}
         if not needs_allocation(limits, usage, current, target):
             return
-        data = {
-            "call": f"deal {self._raft.term} {self._raft.log.last_index()}",
-            "doc": QUOTAS,
-            "made_from": quota_document.latest_number(),
-            "author": self._raft.name,
-            "reason": "dealt by what each carries",
-            "at": 0,
-            "text": {"shares": target},
-        }
-        self._raft.propose(now, EntryKind.PUBLISH, data)
+        data = PublishData(
+            call=f"deal {self._raft.term} {self._raft.log.last_index()}",
+            doc=QUOTAS,
+            made_from=quota_document.latest_number(),
+            author=self._raft.name,
+            reason="dealt by what each carries",
+            at=0,
+            text={"shares": target},
+        )
+        self._raft.propose(now, EntryKind.PUBLISH, entry_data(data))
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -4,16 +4,15 @@
 down without contact to a quorum (6.2), leases by heartbeat rounds (6.4), log compaction (5) and changes of
 one voter at a time (4.1).
 
-The node reads no clock and touches no storage. Its owner calls `tick` at `next_deadline` and `receive` for
-each message, then stores what `take_ready` gives, sends its messages and calls `advance`. The messages of
-`take_immediate_messages` claim nothing about the storage and may be sent at once. Only entries on the node's
-own stable storage count towards a majority.
-
-Times and durations are ticks of a tenth of a millisecond.
+The node reads no clock and does no I/O. Its owner calls `tick` at `next_deadline` and `receive` for each
+message. Then it sends the messages of `take_immediate_messages`, writes the `Ready` of `take_ready` to stable
+storage, sends the messages in that, and calls `advance`. An entry counts towards a majority only once it is
+on stable storage. Times and durations are ticks of a tenth of a millisecond.
 """
 
 from typing import Any
 
+from crankfold.consensus.election_timer import ElectionTimer
 from crankfold.consensus.errors import MembershipChangeError
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.messages import (
@@ -28,27 +27,39 @@
 from crankfold.consensus.progress import ProgressTracker
 from crankfold.consensus.raft_log import RaftLog
 from crankfold.consensus.raft_state import PersistentState, Ready, ReadyBuilder, Role
-from crankfold.consensus.random_numbers import RandomNumbers
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter_registry import VoterRegistry
 
 MAX_ENTRIES_PER_APPEND = 64
+LEADER_CONTACT_TIMEOUTS = 2  # election timeouts without contact to a quorum until a leader steps down
 
 
 class Raft:
-    """A voter's part in elections and replication.
+    """The state machine of one node: elections and log replication.
+
+    Args:
+        stored: The content of stable storage.
+        initial_voters: Addresses by name, for a node with empty storage.
+        seed: Of the random part of election timeouts.
+        registry: Decides whether this node may vote.
 
     Attributes:
         term: The current term.
-        vote: Whom this node voted for in it; empty for nobody.
-        founding_member: Voted before there was any log.
-        role: Its role in the term.
-        leader: The leader of the term, if known; else empty.
-        commit_index: The log is committed up to here, as far as this node knows.
-        progress: While leading, how far the other voters' logs agree.
-        leader_since: When it became leader, if it is one.
-        term_start_index: Of its first entry as a leader; it knows what is committed once that entry is.
-        cluster_applied_index: Every member that may act has applied the log up to here, as far as known.
+        vote: The candidate that this node voted for in the term; empty for none.
+        founding_member: Whether this node voted while its log was empty.
+        log: The snapshot and the entries after it.
+        role: The role in the term.
+        leader: The leader of the term; empty while unknown.
+        pre_vote: Whether the present campaign is a pre-vote.
+        votes_granted: Names of the voters that granted the present campaign their votes.
+        commit_index: The highest index that this node knows to be committed.
+        progress: At the leader, the replication progress of the other voters.
+        election_timer: When this node campaigns without contact to a leader.
+        leader_contact_at: When the last message of a leader arrived.
+        leader_since: When this node became leader, if it is one.
+        term_start_index: The index of a leader's first entry, which commits the entries of earlier terms.
+        heartbeat_due_at: When a leader sends its next heartbeat.
+        cluster_applied_index: The highest index that each member with a lease is known to have applied.
     """
 
     def __init__(
@@ -62,74 +73,65 @@
         seed: int,
         registry: VoterRegistry,
     ) -> None:
-        """Starts as a follower from `stored`. Over 30 lines: one for each attribute.
-
-        `initial_voters` are addresses by name, and count while nothing is stored; `seed` is that of the
-        randomized election timeouts; `registry` says whether this node may vote.
-        """
+        """Starts as a follower with the stored state."""
         self.name = name
         self.timing = timing
         self.registry = registry
-        self.random = RandomNumbers(seed)
         self.term = stored.term
         self.vote = stored.vote
         self.founding_member = stored.founding_member
         self.log = RaftLog(stored, initial_voters)
         self.commit_index = self.log.snapshot.index
         self.cluster_applied_index = 0
+        self.progress = ProgressTracker(name)
+        self.election_timer = ElectionTimer(timing, seed)
+        self._output = ReadyBuilder(stored)
+        self._reset_volatile_state(now)
+
+    def _reset_volatile_state(self, now: int) -> None:
         self.role = Role.FOLLOWER
         self.leader = ""
+        self.pre_vote = False
         self.votes_granted: set[str] = set()
-        self.pre_vote = False  # whether the votes are pre-votes
-        self.progress = ProgressTracker(name)
         self.leader_since = 0
         self.term_start_index = 0
-        self.leader_contact_at = now - timing.election_timeout * 2  # no leader is protected at the start
+        # Long enough ago that a candidate gets this node's vote from the start.
+        self.leader_contact_at = now - LEADER_CONTACT_TIMEOUTS * self.timing.election_timeout
         self.heartbeat_due_at = now
-        self.election_due_at = 0
-        self._output = ReadyBuilder(stored)
         self._reset_election_timer(now)
 
     @property
     def voters(self) -> dict[str, str]:
-        """Addresses by name, by the newest change in the log."""
+        """Addresses by name, as of the newest change in the log, committed or not."""
         return self.log.voters
 
-    # --- time ---
-
     def _reset_election_timer(self, now: int) -> None:
-        # A vote takes the candidate's storage and the voter's: shorter elections could never be won.
-        allowance = 0
-        if not self.leader:
-            allowance = min(2 * self._output.sync_duration, 6 * self.timing.election_timeout)
-        jitter = self.random.below(self.timing.election_timeout + allowance)
-        self.election_due_at = now + allowance + self.timing.election_timeout + jitter
+        sync_duration = self._output.sync_duration
+        self.election_timer.reset(now, has_leader=bool(self.leader), sync_duration=sync_duration)
 
     def next_deadline(self) -> int:
-        """When `tick` is due."""
-        return self.heartbeat_due_at if self.role == Role.LEADER else self.election_due_at
+        """The time at which `tick` is due."""
+        return self.heartbeat_due_at if self.role == Role.LEADER else self.election_timer.due_at
 
     def tick(self, now: int) -> None:
-        """Does what is due at `now`: heartbeats, or an election."""
+        """Sends the heartbeat, steps down, or campaigns, where that is due at `now`."""
         if self.role == Role.LEADER:
             last_contact = max(self.quorum_contact_at(), self.leader_since)
-            if now - last_contact >= 2 * self.timing.election_timeout:
-                # Without contact to a quorum it must not count as the leader.
+            if now - last_contact >= LEADER_CONTACT_TIMEOUTS * self.timing.election_timeout:
+                # Without contact to a quorum another leader may be elected.
                 self._become_follower(now, self.term)
             elif now >= self.heartbeat_due_at:
                 self.broadcast_append(now)
-        elif now >= self.election_due_at and self.name in self.voters and not self._output.syncing:
+        elif now >= self.election_timer.due_at and self.name in self.voters and not self._output.syncing:
             if self.registry.may_vote(self.log, self.log.last_index(), self.founding_member):
                 self._campaign(now, pre_vote=True)
             else:
                 self._reset_election_timer(now)
 
     def quorum_contact_at(self) -> int:
-        """While leading: when the newest round went out that a quorum has answered; -1 if there is none."""
+        """At the leader: when the newest round was sent that a quorum has acknowledged; -1 for none."""
         return self.progress.quorum_contact_at(self.voters)
 
-    # --- elections ---
-
     def _set_hard_state(self, term: int, vote: str) -> None:
         self.term = term
         self.vote = vote
@@ -144,7 +146,7 @@
         self._reset_election_timer(now)
 
     def _campaign(self, now: int, *, pre_vote: bool) -> None:
-        """Asks for votes, pre-votes first: a node behind a flapping link must not raise the term of all."""
+        """Requests votes; pre-votes first, so that an unreliable link does not raise the term."""
         self.role = Role.CANDIDATE
         self.leader = ""
         self.pre_vote = pre_vote
@@ -180,7 +182,7 @@
         self.term_start_index = self.log.last_index() + 1
         data: dict[str, Any] = {"by": self.name}
         if self.term_start_index == 1:
-            # Otherwise those that made the first majority would have no vote later.
+            # Registers the voters of the first election, as only registered voters may vote later.
             data["folders"] = self.registry.folder_ids_of(self.votes_granted)
         self._write_entries(self.term_start_index, [LogEntry(self.term, EntryKind.NO_OP, data)])
         self.broadcast_append(now)
@@ -199,7 +201,7 @@
             return
         if request.term > self.term:
             if leader_active:
-                return  # a node in contact with a leader lets no other campaign
+                return  # a node in contact with a leader ignores candidates
             self._become_follower(now, request.term)
         granted = request.term == self.term and eligible and self.vote in ("", sender)
         if granted:
@@ -225,15 +227,17 @@
         self._output.write_entries(first_index, entries)
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces the entries up to `index`, which are applied, by a snapshot of `state`."""
+        """Replaces the entries up to the applied `index` by a snapshot of `state`."""
         if index > self.log.snapshot.index:
             self.log.compact(index, state)
             self._output.replace_log(self.log.snapshot, self.log.entries)
 
-    # --- replication ---
-
     def propose(self, now: int, kind: EntryKind, data: dict[str, Any]) -> int:
-        """Appends an entry; returns its index, or 0 where this node is not the leader."""
+        """Appends an entry at the leader; `data` is a dictionary, as the order of its keys is stored.
+
+        Returns:
+            The index of the entry; 0 where this node is not the leader.
+        """
         if self.role != Role.LEADER:
             return 0
         self._write_entries(self.log.last_index() + 1, [LogEntry(self.term, kind, data)])
@@ -241,10 +245,10 @@
         return self.log.last_index()
 
     def change_voters(self, now: int, voters: dict[str, str]) -> None:
-        """Proposes to add or remove one voter; `voters` are the addresses by name after it.
+        """Proposes to add or remove one voter; `voters` are the addresses by name after that.
 
         Raises:
-            MembershipChangeError: It cannot be proposed here or now, or changes more than one voter.
+            MembershipChangeError: This node does not lead, or the log does not permit the change.
         """
         if self.role != Role.LEADER or self.commit_index < self.term_start_index:
             raise MembershipChangeError("no leader with a majority here")
@@ -254,7 +258,7 @@
         self.propose(now, EntryKind.CHANGE_VOTERS, {"voters": voters})
 
     def broadcast_append(self, now: int) -> None:
-        """While leading: sends each voter the entries that it lacks, or a heartbeat."""
+        """At the leader: sends each voter its next entries; without any, a heartbeat."""
         self.progress.begin_round(now)
         self.heartbeat_due_at = now + self.timing.heartbeat_interval
         for voter in self.voters:
@@ -279,16 +283,13 @@
         self.send(voter, message)
 
     def _handle_append_entries(self, sender: str, message: AppendEntries) -> None:
-        prev_index = message.prev_log_index
-        prev_term = message.prev_log_term
-        entries = message.entries
-        if prev_index < self.log.snapshot.index:
-            # The part that the snapshot replaces is committed, so it is the same.
-            entries = entries[self.log.snapshot.index - prev_index :]
-            prev_index = self.log.snapshot.index
-            prev_term = self.log.snapshot.term
-        if self.log.term_at(prev_index) != prev_term:
-            retry_index = self.log.retry_index(prev_index, prev_term, self.commit_index)
+        snapshot_index = self.log.snapshot.index
+        prev_index = max(message.prev_log_index, snapshot_index)
+        entries = self.log.after_snapshot(message.prev_log_index, message.entries)
+        # Entries up to the snapshot are committed, so they match.
+        is_compacted = message.prev_log_index < snapshot_index
+        if not is_compacted and self.log.term_at(prev_index) != message.prev_log_term:
+            retry_index = self.log.retry_index(prev_index, message.prev_log_term, self.commit_index)
             self._reject(sender, retry_index, message.round_number)
             return
         agreeing = self.log.count_agreeing(prev_index, entries)
@@ -308,7 +309,7 @@
         self._send_append_success(sender, max(snapshot.index, self.commit_index), message.round_number)
 
     def _handle_append_response(self, now: int, sender: str, response: AppendEntriesResponse) -> None:
-        # Rounds of an earlier leader have other terms, so their numbers never come here.
+        # Responses of other terms are dropped before, so the round is one of this term.
         self.progress.acknowledge_round(sender, response.round_number)
         if not response.success:
             self.progress.rejected(sender, response.match_index)
@@ -321,26 +322,24 @@
 
     def _advance_commit_index(self, now: int) -> None:
         replicated = self.progress.quorum_match_index(self.voters, self.log.durable_index)
-        # Only an entry of the leader's own term commits older ones with it (section 5.4.2 of the paper).
+        # Entries of earlier terms are committed only along with one of this term (section 5.4.2).
         if replicated <= self.commit_index or self.log.term_at(replicated) != self.term:
             return
         self.commit_index = replicated
         if self.name not in self.voters:
             self._become_follower(now, self.term)  # its own removal is committed
         else:
-            self.broadcast_append(now)  # others apply as soon as they know
-
-    # --- messages ---
+            self.broadcast_append(now)  # the voters apply without waiting for the next heartbeat
 
     def send(self, receiver: str, message: Message) -> None:
-        """Queues a message; one that claims something about this node's storage waits for the storage."""
+        """Queues a message; one that depends on this node's stable storage is sent after the sync."""
         self._output.send(receiver, message)
 
     def _reject(self, receiver: str, retry_index: int, round_number: int) -> None:
         self.send(receiver, AppendEntriesResponse(self.term, False, retry_index, round_number))
 
     def _send_append_success(self, receiver: str, match_index: int, round_number: int) -> None:
-        """What is durable is confirmed at once, so that slow storage does not look like a silent voter."""
+        """Acknowledges the durable part before the sync, which shows the leader that this voter is alive."""
         response = AppendEntriesResponse(self.term, True, match_index, round_number)
         if match_index > self.log.durable_index and not self._output.hard_state_unsynced:
             durable = AppendEntriesResponse(self.term, True, self.log.durable_index, round_number)
@@ -350,7 +349,7 @@
             self.send(receiver, response)
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Takes a message of the consensus algorithm; others are ignored."""
+        """Handles a message of the consensus algorithm; ignores other messages."""
         if isinstance(message, RequestVote):
             self._handle_request_vote(now, sender, message)
         elif isinstance(message, RequestVoteResponse):
@@ -379,19 +378,19 @@
             self._handle_install_snapshot(sender, message)
 
     def take_ready(self, now: int) -> Ready:
-        """What is to be stored and then sent since the last call; `advance` is due once it is stored."""
+        """Returns state to write to stable storage, with messages to send after it; then call `advance`."""
         return self._output.take_ready(now)
 
     def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """What may be sent at once, each message with its receiver."""
+        """Returns the messages that do not depend on stable storage, each with its receiver."""
         return self._output.take_immediate_messages()
 
     def advance(self, now: int, ready: Ready) -> None:
-        """`ready` is on stable storage, and its messages are sent."""
+        """Records that `ready` is on stable storage and its messages are sent."""
         if self._output.syncing:
             self._output.synced(now)
             if self.role == Role.CANDIDATE:
-                self._reset_election_timer(now)  # its request for votes goes out only now
+                self._reset_election_timer(now)  # its vote requests are sent after the sync
         if ready.entries:
             self.log.synced_entries(ready.first_index, ready.entries)
         if ready.snapshot:
--- a/crankfold/consensus/raft_log.py
+++ b/crankfold/consensus/raft_log.py
@@ -5,7 +5,7 @@
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import PersistentState
 
-NO_TERM = -1  # of an index that the log does not hold
+NO_TERM = -1  # in place of the term of an index that is not in the log
 
 
 class RaftLog:
@@ -13,13 +13,13 @@
 
     Attributes:
         snapshot: Replaces the entries up to its index.
-        entries: Those after the snapshot.
-        voters: Addresses by name, by the newest change in the log, committed or not.
-        durable_index: Up to here the log is on this node's stable storage.
+        entries: The entries after the snapshot.
+        voters: Addresses by name, as of the newest change in the log, committed or not.
+        durable_index: The last index on this node's stable storage.
     """
 
     def __init__(self, stored: PersistentState, initial_voters: dict[str, str]) -> None:
-        """Starts from stable storage; `initial_voters` count where nothing is stored yet."""
+        """Starts from stable storage; `initial_voters` are the voters of an empty log."""
         has_snapshot = bool(stored.snapshot.index or stored.snapshot.voters)
         self.snapshot = stored.snapshot if has_snapshot else Snapshot(0, 0, initial_voters, b"")
         self.entries = list(stored.entries)
@@ -27,19 +27,19 @@
         self.durable_index = self.last_index()
 
     def last_index(self) -> int:
-        """The index of the last entry; 0 if there is none."""
+        """The index of the last entry; 0 for an empty log."""
         return self.snapshot.index + len(self.entries)
 
     def last_term(self) -> int:
-        """The term of the last entry; 0 if there is none."""
+        """The term of the last entry; 0 for an empty log."""
         return self.term_at(self.last_index())
 
     def is_up_to_date(self, last_term: int, last_index: int) -> bool:
-        """Whether a log with that last entry has everything that this one may have committed."""
+        """Whether a log with that last entry is at least as up to date as this one (section 5.4.1)."""
         return (last_term, last_index) >= (self.last_term(), self.last_index())
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at `index`; `NO_TERM` where the log does not hold it."""
+        """The term of the entry at `index`; `NO_TERM` for an index that is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index():
@@ -47,7 +47,7 @@
         return NO_TERM
 
     def entries_between(self, after: int, upto: int) -> list[LogEntry]:
-        """The entries after the index `after`, up to and with `upto`, as far as they are held."""
+        """The entries with an index above `after` and at most `upto` that are not compacted."""
         first = max(after - self.snapshot.index, 0)
         end = max(upto - self.snapshot.index, 0)
         return self.entries[first:end]
@@ -59,10 +59,15 @@
         return self.snapshot.voters
 
     def check_voter_change(self, voters: dict[str, str], commit_index: int) -> None:
-        """Checks that `voters` may be the next ones: one added or removed, with no other change under way.
+        """Checks that a change of the voters is permitted (section 4.1 of the dissertation).
+
+        Args:
+            voters: Addresses by name after the change.
+            commit_index: The highest committed index.
 
         Raises:
-            MembershipChangeError: They may not.
+            MembershipChangeError: Another change is uncommitted, more than one voter changes, or none
+                is left.
         """
         uncommitted = self.entries_between(commit_index, self.last_index())
         if any(entry.kind == EntryKind.CHANGE_VOTERS for entry in uncommitted):
@@ -73,14 +78,18 @@
             raise MembershipChangeError("nobody would be left")
 
     def count_agreeing(self, prev_index: int, entries: list[LogEntry]) -> int:
-        """How many of the entries after `prev_index` the log holds already, from the first on."""
+        """The number of leading `entries` that the log has already after `prev_index`."""
         for offset, entry in enumerate(entries):
             if self.term_at(prev_index + 1 + offset) != entry.term:
                 return offset
         return len(entries)
 
+    def after_snapshot(self, prev_index: int, entries: list[LogEntry]) -> list[LogEntry]:
+        """Those of the entries after `prev_index` that the snapshot does not replace."""
+        return entries[max(self.snapshot.index - prev_index, 0) :]
+
     def write(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Puts `entries` at `first_index`; whatever stood there and after it is dropped."""
+        """Replaces all entries from `first_index` on by `entries`."""
         offset = first_index - self.snapshot.index - 1
         replaces = len(self.entries) > offset
         del self.entries[offset:]
@@ -91,7 +100,7 @@
 
     def compact(self, index: int, state: bytes) -> None:
         """Replaces the entries up to the committed `index` by a snapshot of `state`."""
-        # By what is committed up to there, not by a change that may still be replaced.
+        # A change of the voters after `index` may be uncommitted, so it is not part of the snapshot.
         voters = self.snapshot.voters
         for entry in self.entries_between(self.snapshot.index, index):
             if entry.kind == EntryKind.CHANGE_VOTERS:
@@ -101,7 +110,7 @@
         self._set_snapshot(snapshot)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Takes a leader's snapshot; entries after it stay if the log agrees with it."""
+        """Installs a leader's snapshot; keeps the entries after it if the log matches it."""
         if self.term_at(snapshot.index) == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
         else:
@@ -114,7 +123,7 @@
         self.voters = self._latest_voters()
 
     def synced_entries(self, first_index: int, entries: list[LogEntry]) -> None:
-        """`entries` are on stable storage from `first_index` on; those replaced meanwhile do not count."""
+        """Records that `entries` from `first_index` on are on stable storage, unless replaced since."""
         index = first_index + len(entries) - 1
         while index >= first_index and self.term_at(index) != entries[index - first_index].term:
             index -= 1
@@ -122,12 +131,20 @@
             self.durable_index = max(self.durable_index, min(index, self.last_index()))
 
     def synced_snapshot(self, snapshot: Snapshot) -> None:
-        """`snapshot` is on stable storage."""
+        """Records that `snapshot` is on stable storage."""
         if self.snapshot.index >= snapshot.index:
             self.durable_index = max(self.durable_index, min(snapshot.index, self.last_index()))
 
     def retry_index(self, prev_index: int, prev_term: int, commit_index: int) -> int:
-        """From where a leader should try after a mismatch at `prev_index`: whole terms are skipped."""
+        """The next `prev_log_index` that a leader tries after a mismatch.
+
+        Skips all entries of a conflicting term at once (section 5.3 of the paper).
+
+        Args:
+            prev_index: The index of the mismatch.
+            prev_term: The leader's term at that index.
+            commit_index: The highest committed index, below which logs match.
+        """
         index = min(self.last_index(), prev_index - 1)
         conflicting_term = self.term_at(index)
         if conflicting_term > prev_term:
--- a/crankfold/consensus/raft_state.py
+++ b/crankfold/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""What a Raft node starts from, and what it hands to its owner to store and to send."""
+"""The persistent state of a Raft node, and the batches of state and messages that it emits."""
 
 from enum import StrEnum
 
@@ -13,7 +13,10 @@
     Snapshot,
 )
 
-NOT_SYNCING = -1
+NOT_SYNCING = -1  # in place of the start of a sync, in ticks
+# The recorded duration of a sync decreases by at most a quarter with each sync.
+SYNC_DECAY_NUMERATOR = 3
+SYNC_DECAY_DENOMINATOR = 4
 
 
 class Role(StrEnum):
@@ -25,7 +28,7 @@
 
 
 class PersistentState(Struct):
-    """What the storage of a voter holds when the process starts; the fields are those of `Ready`."""
+    """The content of a voter's stable storage when its process starts; fields as in `Ready`."""
 
     term: int = 0
     vote: str = ""
@@ -35,15 +38,16 @@
 
 
 class Ready(Struct):
-    """What must be on stable storage, in this order, before any of `messages` is sent.
+    """State to write to stable storage, in the order of the fields, and messages to send after the sync.
 
     Attributes:
         term: The current term.
-        vote: Whom this node voted for in it; empty for nobody.
-        founding_member: Voted before there was any log.
-        hard_state_changed: Whether any of the three above changed since the last one.
-        snapshot: If there is one, it replaces the stored snapshot and all stored entries.
-        first_index: Where `entries` begin; they replace the stored entries from there on.
+        vote: The candidate that this node voted for in the term; empty for none.
+        founding_member: Whether this node voted while its log was empty.
+        hard_state_changed: Whether term, vote or founding_member changed since the previous `Ready`.
+        snapshot: Replaces the stored snapshot and all stored entries; None for no change.
+        first_index: The index of the first of `entries`.
+        entries: Replace all stored entries from `first_index` on.
         messages: Each with its receiver.
     """
 
@@ -57,21 +61,20 @@
     messages: list[tuple[str, Message]] = field(default_factory=list)
 
     def must_sync(self) -> bool:
-        """Whether there is anything to store."""
+        """Whether there is state to write."""
         return self.hard_state_changed or self.snapshot is not None or bool(self.entries)
 
 
 class ReadyBuilder:
-    """Gathers what a node wants stored and sent until its owner takes it.
+    """Collects changed state and outgoing messages until the owner takes them.
 
     Attributes:
-        sync_duration: How long the storage took of late, in ticks: the longest, which fades by a quarter
-            with each faster one.
-        hard_state_unsynced: Whether the present term or vote may not be on stable storage yet.
+        sync_duration: The duration of a sync in ticks: rises at once, decreases by a quarter a sync.
+        hard_state_unsynced: Whether the current term or vote may not be on stable storage yet.
     """
 
     def __init__(self, stored: PersistentState) -> None:
-        """Starts with nothing to store."""
+        """Starts without changes to the stored state."""
         self._ready = Ready(stored.term, stored.vote, stored.founding_member)
         self._immediate: list[tuple[str, Message]] = []
         self._sync_started_at = NOT_SYNCING
@@ -80,11 +83,11 @@
 
     @property
     def syncing(self) -> bool:
-        """Whether something was taken to be stored, and is not stored yet."""
+        """Whether state was taken and its sync is not finished."""
         return self._sync_started_at != NOT_SYNCING
 
     def set_hard_state(self, term: int, vote: str, founding_member: bool) -> None:
-        """The term or the vote is a new one."""
+        """Records a new term or vote."""
         self._ready.term = term
         self._ready.vote = vote
         self._ready.founding_member = founding_member
@@ -92,7 +95,7 @@
         self.hard_state_unsynced = True
 
     def write_entries(self, first_index: int, entries: list[LogEntry]) -> None:
-        """The log has `entries` from `first_index` on, and nothing after them."""
+        """Records that `entries` replace all entries from `first_index` on."""
         ready = self._ready
         if ready.entries and first_index >= ready.first_index:
             del ready.entries[first_index - ready.first_index :]
@@ -102,13 +105,13 @@
             ready.entries = list(entries)
 
     def replace_log(self, snapshot: Snapshot, entries: list[LogEntry]) -> None:
-        """The log is this snapshot and the entries after it."""
+        """Records that the log consists of a snapshot and the `entries` after it."""
         self._ready.snapshot = snapshot
         self._ready.first_index = snapshot.index + 1
         self._ready.entries = list(entries)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Queues a message; one that claims something about this node's storage waits for the storage."""
+        """Queues a message; one that depends on this node's stable storage is sent after the sync."""
         is_vote = isinstance(message, RequestVote | RequestVoteResponse) and not message.pre_vote
         if is_vote or (isinstance(message, AppendEntriesResponse) and self.hard_state_unsynced):
             self._ready.messages.append((receiver, message))
@@ -116,11 +119,11 @@
             self._immediate.append((receiver, message))
 
     def send_after_sync(self, receiver: str, message: Message) -> None:
-        """Queues a message until what is to be stored is stored."""
+        """Queues a message that is sent after the next sync."""
         self._ready.messages.append((receiver, message))
 
     def take_ready(self, now: int) -> Ready:
-        """What is to be stored and then sent since the last call."""
+        """Returns the state and messages collected since the last call."""
         ready = self._ready
         self._ready = Ready(ready.term, ready.vote, ready.founding_member)
         if ready.must_sync():
@@ -128,13 +131,14 @@
         return ready
 
     def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """What may be sent at once, each message with its receiver."""
+        """Returns the messages that do not depend on stable storage, each with its receiver."""
         messages = self._immediate
         self._immediate = []
         return messages
 
     def synced(self, now: int) -> None:
-        """What was taken last is on stable storage."""
-        self.sync_duration = max(now - self._sync_started_at, self.sync_duration * 3 // 4)
+        """Records that the state taken last is on stable storage."""
+        decayed = self.sync_duration * SYNC_DECAY_NUMERATOR // SYNC_DECAY_DENOMINATOR
+        self.sync_duration = max(now - self._sync_started_at, decayed)
         self._sync_started_at = NOT_SYNCING
         self.hard_state_unsynced = self._ready.hard_state_changed
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -129,7 +129,7 @@
         if kind is MoveKind.TIME_OUT:
             # So much later that no other voter is still protected by what it heard.
             self.now += 2 * TIMING.election_timeout
-        node.election_due_at = self.now
+        node.election_timer.due_at = self.now
         node.heartbeat_due_at = self.now
         if kind is MoveKind.HEARTBEAT:
             node.broadcast_append(self.now)
