--- a/crankfold/consensus/conservative_merge.py
+++ b/crankfold/consensus/conservative_merge.py
@@ -1,11 +1,10 @@
 """The conservative merge of two versions of a document: it permits only what both of them permit.
 
-While a version is pending, some members act on it and some on the one before; the merge is safe beside
-either.
-Fields that neither permit nor forbid anything, such as the priority weight, are taken from the newer version.
+While a version is pending, some members have applied it and some have not. An act that the merge permits is
+permitted for both. Fields that permit nothing, such as the priority weight, are taken from the newer version.
 `docs/bound.md` has the table of all fields.
 
-The names of documents and fields are those of the stored documents.
+Document names and keys are those of the stored documents, which is why contents are plain dictionaries.
 """
 
 from collections.abc import Callable
@@ -14,12 +13,12 @@
 SETTINGS = "settings"
 DRAINED_BACKENDS = "runners-out"
 EXCLUDED_BACKENDS = "runners-never"
-LIMITS = "limits"  # on open requests, for the whole cluster
-QUOTAS = "deal"  # each member's part of the limits
+LIMITS = "limits"  # cluster-wide limits on open requests
+QUOTAS = "deal"  # the part of each limit that a member may use
 MAINTENANCE = "works"
 DOCUMENTS = (SETTINGS, DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, QUOTAS, MAINTENANCE)
 
-# Both from the most to the least permissive; an unknown value counts as the last.
+# Ordered from most to least permissive; an unknown value has the rank of the last.
 IDEMPOTENT_WITH_KEY = "keyed"
 IDEMPOTENCY_LEVELS = ("safe", IDEMPOTENT_WITH_KEY, "unsafe")
 DEDUPLICATION_SCOPES = ("all", "zone", "cell")
@@ -31,11 +30,12 @@
 
 
 def _rank(scale: tuple[str, ...], value: object) -> int:
+    """The position of a value on a scale from most to least permissive."""
     return scale.index(value) if isinstance(value, str) and value in scale else len(scale) - 1
 
 
-def _tighter_bound(first: Any, second: Any) -> Any:
-    """The lower of two upper bounds; None is no bound."""
+def _tighter_bound(first: float | None, second: float | None) -> float | None:
+    """The lower of two upper bounds; None for unbounded."""
     if first is None:
         return second
     if second is None:
@@ -58,7 +58,7 @@
 
 
 def merge_settings(old: Content, new: Content) -> Content:
-    """Merges two versions of the settings: request classes that both have, and the tighter permissions."""
+    """Merges two versions of the settings: the request classes of both, and the tighter permissions."""
     merged = dict(new)
     old_classes = {request_class["name"]: request_class for request_class in old.get("service-grades", ())}
     merged["service-grades"] = [
@@ -81,12 +81,12 @@
 
 
 def merge_backend_lists(old: Content, new: Content) -> Content:
-    """Merges two lists of drained backends: one that either version drains is drained."""
+    """Merges two sets of drained or excluded backends: their union."""
     return {"runners": {**old.get("runners", {}), **new.get("runners", {})}}
 
 
 def merge_limits(old: Content, new: Content) -> Content:
-    """Merges the limits on open requests of the whole cluster: the lower one of each name."""
+    """Merges the cluster-wide limits on open requests: the lower limit of each name."""
     old_limits = old.get("limits", {})
     new_limits = new.get("limits", {})
     return {
@@ -98,9 +98,9 @@
 
 
 def merge_quotas(old: Content, new: Content) -> Content:
-    """Merges two allocations: of each limit, a member has what both versions give it.
+    """Merges two allocations: a member has the lower of its two quotas of each limit.
 
-    A member that only one version names has nothing yet, or nothing any more.
+    A member that only one of them names has no quota.
     """
     old_quotas = old.get("shares", {})
     new_quotas = new.get("shares", {})
@@ -117,7 +117,7 @@
 
 
 def merge_maintenance(old: Content, new: Content) -> Content:  # noqa: ARG001 - as all merge functions
-    """Takes the newer jobs: they bind the leader alone, and each transition names the version it is from."""
+    """Returns the newer jobs: only the leader acts on them, and a transition names the version it is from."""
     return new
 
 
@@ -132,5 +132,9 @@
 
 
 def conservative_merge(document: str, old: Content, new: Content) -> Content:
-    """Merges two versions of the document of that name, `old` being the one before `new`."""
+    """Merges version `old` of the named document with the later version `new`.
+
+    Raises:
+        KeyError: The name is not one of `DOCUMENTS`.
+    """
     return _MERGE_FUNCTIONS[document](old, new)
--- a/crankfold/consensus/errors.py
+++ b/crankfold/consensus/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the consensus among voters."""
+"""Errors of the consensus."""
 
 from crankfold.errors import CrankfoldError
 
 
 class MembershipChangeError(CrankfoldError):
-    """The set of voters cannot be changed like this, or not now; the text says why."""
+    """A change of the voters is not permitted; the text says why."""
 
 
 class ProposalError(CrankfoldError):
-    """A proposal cannot be made; the text says why."""
+    """A proposal is invalid; the text says why."""
--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -1,4 +1,7 @@
-"""A member without a vote: it takes the committed log from a voter, and from another one when that fails."""
+"""A member without a vote: it replicates the committed log from a voter and holds its lease from that voter.
+
+Times and durations are ticks of a tenth of a millisecond.
+"""
 
 from typing import Any
 
@@ -17,10 +20,10 @@
 
 
 class Follower(Member):
-    """A member that holds its lease from one of the voters.
+    """A member that follows one of the voters, and another one after a loss of contact.
 
     Attributes:
-        voter: The name of that voter.
+        voter: The voter that it follows.
     """
 
     def __init__(
@@ -34,7 +37,7 @@
         incarnation: int,
         host: MemberHost,
     ) -> None:
-        """Starts with a voter drawn by `seed` from the names in `voters`."""
+        """Starts with a voter drawn at random, by `seed`, from the names in `voters`."""
         super().__init__(name, timing=timing, now=now, incarnation=incarnation, host=host)
         self._voters = sorted(voters)
         self._random = RandomNumbers(seed)
@@ -44,17 +47,17 @@
         self._heartbeat_due_at = now + self._random.below(timing.renew_interval)
 
     def next_deadline(self) -> int:
-        """When `tick` is due."""
+        """The time at which `tick` is due."""
         return self._heartbeat_due_at
 
     def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """What is to be sent, each message with its receiver."""
+        """Returns the messages to send, each with its receiver."""
         messages = self._messages
         self._messages = []
         return messages
 
     def tick(self, now: int) -> None:
-        """Does what is due at `now`: a heartbeat, or the switch to another voter."""
+        """Sends a heartbeat or switches to another voter, where that is due at `now`."""
         if now < self._heartbeat_due_at:
             return
         if now - self._voter_contact_at > self.timing.contact_timeout:
@@ -63,15 +66,18 @@
             self._send_heartbeat(now)
 
     def _switch_voter(self, now: int) -> None:
-        """Switches to a random one at a random time: not all that lost a voter shall meet at the same one."""
+        """Follows another voter, drawn at random.
+
+        The random choice and delay distribute the followers of a failed voter over the others.
+        """
         others = [voter for voter in self._voters if voter != self.voter] or self._voters
         self.voter = others[self._random.below(len(others))]
         self._voter_contact_at = now
         self._heartbeat_due_at = now + self._random.below(self.timing.renew_interval)
 
     def _send_heartbeat(self, now: int) -> None:
-        interval = self.timing.renew_interval
-        self._heartbeat_due_at = now + interval * 3 // 4 + self._random.below(interval // 2)
+        least_interval = self.timing.least_heartbeat_interval
+        self._heartbeat_due_at = now + least_interval + self._random.below(self.timing.heartbeat_jitter)
         heartbeat = FollowerHeartbeat(
             name=self.name,
             incarnation=self.incarnation,
@@ -85,21 +91,21 @@
 
     def propose(
         self,
-        now: int,  # noqa: ARG002 - called like that of a voter
+        now: int,  # noqa: ARG002 - the signature of Voter.propose
         proposal_id: str,
         kind: str,
         data: dict[str, Any],
     ) -> None:
-        """Sends a proposal towards the leader; the outcome comes in `proposal_responses`."""
+        """Sends a proposal to the voter; its outcome is added to `proposal_responses`."""
         self._messages.append((self.voter, ProposalRequest(proposal_id, kind, data)))
 
     def leave(self, now: int) -> None:
-        """Gives the lease and the name back."""
+        """Releases the lease and the name."""
         self.lease_expires_at = min(self.lease_expires_at, now)
         self._messages.append((self.voter, Leave(self.name, self.incarnation)))
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Takes a message of a voter."""
+        """Handles a message from a voter."""
         if isinstance(message, ProposalResponse):
             self.proposal_responses.append(message)
         elif isinstance(message, Rejection):
@@ -119,10 +125,10 @@
         if update.prev_log_index <= self.last_applied:
             for entry in update.entries[self.last_applied - update.prev_log_index :]:
                 self._apply(entry)
-        # A lease that was asked for by an earlier process counts for what that one had applied.
-        asked_by_this_process = update.request_sent_at >= self.started_at
+        # A lease requested by an earlier process is granted for the log that that process had applied.
+        requested_by_this_process = update.request_sent_at >= self.started_at
         up_to_date = self.last_applied >= update.voter_last_applied
-        if update.lease_duration and asked_by_this_process and up_to_date:
+        if update.lease_duration and requested_by_this_process and up_to_date:
             self._extend_lease(update.request_sent_at + update.lease_duration)
         if self.last_applied > applied_before or not up_to_date:
-            self._send_heartbeat(now)  # a publish waits until all have confirmed that they applied it
+            self._send_heartbeat(now)  # an activation waits for this confirmation
--- a/crankfold/consensus/incarnations.py
+++ b/crankfold/consensus/incarnations.py
@@ -1,22 +1,22 @@
-"""Which process speaks for a name."""
+"""The present incarnation, that is process, of each member name."""
 
-MAX_RETIRED_INCARNATIONS = 8  # remembered of a name
+MAX_RETIRED_INCARNATIONS = 8  # retained by name
 
 
 class IncarnationTracker:
-    """The present incarnation of each name, and earlier ones, which do not speak for it any more.
+    """The present incarnation and the retired ones of each name; messages of retired ones are rejected.
 
     Attributes:
         current: The present incarnation, by name.
     """
 
     def __init__(self) -> None:
-        """Knows no name yet."""
+        """Starts without names."""
         self.current: dict[str, int] = {}
         self._retired: dict[str, list[int]] = {}
 
     def accept(self, name: str, incarnation: int) -> bool:
-        """Whether this incarnation speaks for the name; a new one does, and retires the one before it."""
+        """Accepts an incarnation unless it is retired; a new incarnation retires the present one."""
         if incarnation in self._retired.get(name, ()):
             return False
         previous = self.current.get(name)
--- a/crankfold/consensus/maintenance_reports.py
+++ b/crankfold/consensus/maintenance_reports.py
@@ -1,7 +1,7 @@
-"""What the whole cluster knows of machines in maintenance, put together at the leader.
+"""The merge of all maintenance reports at the leader.
 
-A machine is free only when everyone that may send to it has reported that it does not, or when its
-lease, and its longest request with it, has expired.
+A machine is drained once each member that may send requests to it has reported none in flight. For a member
+without a report, it is drained once the member's lease and its longest request have ended.
 """
 
 from collections.abc import Sequence
@@ -12,13 +12,13 @@
 
 
 class SubtreeReport(Struct):
-    """The report of a voter and of all that hold leases from it.
+    """The merged report of a voter and the holders of its leases.
 
     Attributes:
-        voter: Its name.
-        drained_index: All of them had applied the log up to here when they reported.
-        report: None if any part is not known.
-        lease_valid: Whether the voter's own lease may still run.
+        voter: The name of the voter.
+        drained_index: Each of them had applied the log up to here when it reported.
+        report: None if the report of any of them is missing.
+        lease_valid: Whether the lease of the voter itself may still run.
     """
 
     voter: str
@@ -28,14 +28,14 @@
 
 
 class ClusterReport:
-    """The reports of all voters.
+    """The reports of all voters with their lease holders.
 
     Attributes:
-        combined: All of them merged.
+        combined: All reports merged.
     """
 
     def __init__(self, subtrees: Sequence[SubtreeReport], *, earlier_leases_may_run: bool) -> None:
-        """Merges the reports; `earlier_leases_may_run` is about leases by leaders of earlier terms."""
+        """Merges the reports; `earlier_leases_may_run` refers to leases from leaders of earlier terms."""
         self._subtrees = subtrees
         self._earlier_leases_may_run = earlier_leases_may_run
         self.combined = MaintenanceReport()
@@ -44,7 +44,15 @@
                 self.combined.merge(subtree.report, lease_valid=subtree.lease_valid)
 
     def blocking_reason(self, machine_id: str, index: int) -> str:
-        """Why a machine that is out since the log entry at `index` may still hold requests; empty if not."""
+        """The reason why a machine may still have requests in flight.
+
+        Args:
+            machine_id: The machine.
+            index: The log index of the transition that drained it.
+
+        Returns:
+            A text for operators, which answers as JSON repeat; empty for a drained machine.
+        """
         if self._earlier_leases_may_run:
             return "leases from before the last change of leader, and their units, may not be over"
         for subtree in self._subtrees:
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -1,4 +1,7 @@
-"""What voters and followers have in common: the documents, the lease, and the dispatcher that they serve."""
+"""The common part of voters and followers: the documents, the lease and the interface of the dispatcher.
+
+Times are ticks of a tenth of a millisecond.
+"""
 
 from typing import Any, Protocol
 
@@ -12,48 +15,48 @@
     """The dispatcher that acts on the documents of a member."""
 
     def quiesced_index(self, last_applied: int) -> int:
-        """Up to which index of the log its open requests keep within the quotas.
+        """The log index of the newest quotas that the open requests keep within.
 
         Args:
-            last_applied: The highest index that it may answer.
+            last_applied: The last applied index, which is the highest result.
         """
 
     def quota_usage(self) -> dict[str, int]:
-        """By quota of the whole cluster, its open requests and those wanted."""
+        """The number of open and wanted requests, by cluster-wide limit."""
 
     def maintenance_report(self) -> MaintenanceReport | None:
-        """What it knows of machines in maintenance, a new object each time; None while there are none."""
+        """A new report on machines in maintenance; None while there are none."""
 
 
 class VoterHost(MemberHost, Protocol):
-    """The dispatcher of a voter, which also judges what is to be published."""
+    """The dispatcher of a voter, which also validates documents before they are published."""
 
     def validate_document(self, name: str, content: dict[str, Any]) -> str:
-        """Why a dispatcher could not use that content of a document; empty if it could."""
+        """The reason why the content of a document is invalid; empty if it is valid."""
 
 
 class MaintenanceCoordinator(Protocol):
-    """Decides the next transitions of machines in maintenance, at the leader."""
+    """Proposes transitions of machines in maintenance at the leader."""
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions to propose now; an empty list if there are none, or this is not the leader."""
+        """The transitions to propose at `now`, in their stored form; none unless this member leads."""
 
 
 class Member:
-    """A member of the cluster: what it has applied of the log, and until when it may act on that.
-
-    It reads no clock and does no I/O; its owner tells the time. Times are ticks of a tenth of a millisecond.
+    """A member of the cluster: its applied log and its lease. It reads no clock and does no I/O.
 
     Attributes:
         name: Its name in the cluster.
+        timing: Durations of elections and leases.
+        host: The dispatcher that acts on the documents.
         incarnation: A random number of this process.
         started_at: When the process started.
-        documents: The replicated documents, as far as the log is applied.
-        lease_expires_at: It may act until then.
+        documents: The replicated documents as of the last applied entry.
+        lease_expires_at: When its lease expires, on its own clock.
         changed_documents: Names of documents whose effective content changed since its owner cleared this.
-        cluster_applied_index: Every member that may act has applied the log up to here.
+        cluster_applied_index: The highest index that each member with a lease is known to have applied.
         proposal_responses: Outcomes of proposals made here since its owner cleared this.
-        rejection_reason: Why it was rejected by a voter; empty if it is not.
+        rejection_reason: The reason of a voter that rejects this member; empty while none does.
     """
 
     def __init__(self, name: str, *, timing: Timing, now: int, incarnation: int, host: MemberHost) -> None:
@@ -72,19 +75,22 @@
 
     @property
     def last_applied(self) -> int:
-        """The index of the last log entry that is applied here."""
+        """The index of the last applied log entry."""
         return self.documents.last_applied
 
     def has_lease(self, now: int) -> bool:
-        """Whether it may act on its documents. To be asked at each act, as a process may stand still."""
+        """Whether this member may act on its documents at `now`.
+
+        To be called before each act: a suspended process does not notice that its lease expires.
+        """
         return now < self.lease_expires_at
 
     def effective_content(self, document: str) -> dict[str, Any] | None:
-        """What may be acted on of a document; None for the settings before any are active."""
+        """The effective content of a document; None for settings of which no version is active."""
         return self.documents.effective_content(document)
 
     def quiesced_index(self) -> int:
-        """Up to which index its host's open requests keep within the quotas."""
+        """The log index of the newest quotas that the host's open requests keep within."""
         return self.host.quiesced_index(self.last_applied)
 
     def _extend_lease(self, expires_at: int) -> None:
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -3,15 +3,15 @@
 Every class is encoded as a MessagePack array with a one-letter tag: the order of the fields, their types and
 the tags are the wire format, the names are not. Times and durations are ticks of a tenth of a millisecond.
 
-No time of one machine's clock is ever compared with another's: the sender's time comes back in the answer,
-and a duration counts from there on the sender's own clock.
+Clocks of different machines are never compared: a response repeats the time of its request, and a duration
+in it counts from that time on the clock of the requester.
 """
 
 from typing import Any
 
 from msgspec import Struct, field
 
-MAX_UNRESOLVED_REPORTED = 5  # requests of one reporter at one machine
+MAX_UNRESOLVED_REPORTED = 5  # request ids by report and machine
 
 
 class LogEntry(Struct, array_like=True, frozen=True):
@@ -19,8 +19,8 @@
 
     Attributes:
         term: The term of the leader that appended it.
-        kind: What it means; see `log_entries.EntryKind`.
-        data: Its fields, by the kind.
+        kind: A `log_entries.EntryKind`.
+        data: The fields of that kind. A plain dictionary, as the order of its keys is stored.
     """
 
     term: int
@@ -45,7 +45,7 @@
 
 
 class RequestVote(Struct, array_like=True, frozen=True, tag="b"):
-    """A candidate asks for a vote, or, as a pre-vote, whether it would get one."""
+    """A candidate requests a vote; a pre-vote changes no state at the voter."""
 
     term: int
     last_log_index: int
@@ -54,7 +54,7 @@
 
 
 class RequestVoteResponse(Struct, array_like=True, frozen=True, tag="B"):
-    """A voter grants or denies its vote for `term`."""
+    """A voter grants or denies its vote in `term`."""
 
     term: int
     pre_vote: bool
@@ -65,8 +65,8 @@
     """A leader replicates the entries after `prev_log_index`; without entries it is a heartbeat.
 
     Attributes:
-        round_number: The leader's count of broadcasts, which the response repeats.
-        cluster_applied_index: Every member that may act has applied the log up to here.
+        round_number: The number of the leader's broadcast, which the response repeats.
+        cluster_applied_index: The highest index that each member with a lease has applied.
     """
 
     term: int
@@ -79,10 +79,10 @@
 
 
 class AppendEntriesResponse(Struct, array_like=True, frozen=True, tag="A"):
-    """A voter's answer to AppendEntries or InstallSnapshot.
+    """The response to AppendEntries or InstallSnapshot.
 
     Attributes:
-        match_index: Up to where the logs agree; without `success`, the next `prev_log_index` to try.
+        match_index: The highest matching index; without `success`, the next `prev_log_index` to try.
     """
 
     term: int
@@ -92,7 +92,7 @@
 
 
 class InstallSnapshot(Struct, array_like=True, frozen=True, tag="i"):
-    """A leader sends its snapshot to a voter that needs entries which are compacted already."""
+    """A leader sends its snapshot to a voter that lacks compacted entries."""
 
     term: int
     snapshot: Snapshot
@@ -100,18 +100,18 @@
 
 
 class MaintenanceReport(Struct, array_like=True):
-    """What one dispatcher, or one with all that hold leases from it, knows of machines in maintenance.
+    """The report of a dispatcher, or of a voter's dispatcher merged with its lease holders', for maintenance.
 
     Attributes:
-        in_flight: Requests that are still at a machine in maintenance, by machine.
-        unresolved: Ids of abandoned requests that may still run at a machine, by machine.
-        response_counts: Of machines that are back: responses in all, and bad ones.
-        unavailable: Machines that the discovery list does not call ready.
-        idle_dispatchers: Dispatchers that were told to drain and have no request left.
+        in_flight: The number of requests in flight, by machine in maintenance.
+        unresolved: Ids of abandoned requests that may still be executed, by machine.
+        response_counts: The number of all and of bad responses, by machine under observation.
+        unavailable: Machines that discovery does not list as ready.
+        idle_dispatchers: Draining dispatchers without open requests.
         dispatcher_zones: Zones by dispatcher, where one is configured.
-        open_requests: Open requests.
-        recent_accepted: Requests accepted lately.
-        recent_shed: Requests shed lately.
+        open_requests: The number of open requests.
+        recent_accepted: The number of requests accepted in the recent past.
+        recent_shed: The number of requests shed in the recent past.
     """
 
     in_flight: dict[str, int] = field(default_factory=dict)
@@ -125,7 +125,7 @@
     recent_shed: int = 0
 
     def merge(self, other: "MaintenanceReport", *, lease_valid: bool) -> None:
-        """Adds another report; from a member whose lease has expired, only its requests in flight count."""
+        """Merges another report into this one; of a member without a lease, only its requests in flight."""
         for machine_id, count in other.in_flight.items():
             self.in_flight[machine_id] = self.in_flight.get(machine_id, 0) + count
         if not lease_valid:
@@ -144,14 +144,14 @@
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag="l"):
-    """A voter asks the leader to renew its lease.
+    """A voter requests a lease from the leader.
 
     Attributes:
-        sent_at: By the sender's clock.
-        lowest_applied_index: The sender and all that hold leases from it have applied the log up to here.
-        quiesced_index: None of their requests in flight was admitted under an older version than this.
-        drained_index: All of them had applied the log up to here when they made `maintenance_report`.
-        maintenance_report: Their combined report; none while no machine is in maintenance.
+        sent_at: On the sender's clock.
+        lowest_applied_index: The sender and each of its lease holders have applied the log up to here.
+        quiesced_index: The open requests of each keep within the quotas as of this index.
+        drained_index: Each had applied the log up to here when it made its maintenance report.
+        maintenance_report: Their merged report; None while no machine is in maintenance.
     """
 
     term: int
@@ -164,11 +164,12 @@
 
 
 class LeaseGrant(Struct, array_like=True, frozen=True, tag="L"):
-    """The leader grants a lease to a voter that has applied the log up to `required_index` on receipt.
+    """The leader grants a lease, valid if the voter has applied the log up to `required_index` on receipt.
 
     Attributes:
         request_sent_at: `LeaseRequest.sent_at`; the lease counts from there.
-        lease_duration: In ticks; 0 for none.
+        lease_duration: Ticks.
+        required_index: The commit index of the leader.
     """
 
     term: int
@@ -178,12 +179,13 @@
 
 
 class FollowerHeartbeat(Struct, array_like=True, frozen=True, tag="f"):
-    """A follower asks its voter for new entries and to renew its lease.
+    """A follower requests new entries and a lease from its voter.
 
     Attributes:
-        sent_at: By the sender's clock.
-        quota_usage: By quota of the whole cluster, open requests and those wanted.
-        maintenance_report: Only while machines are in maintenance.
+        sent_at: On the sender's clock.
+        quiesced_index: The sender's open requests keep within the quotas as of this index.
+        quota_usage: The number of open and wanted requests, by cluster-wide limit.
+        maintenance_report: None while no machine is in maintenance.
     """
 
     name: str
@@ -196,15 +198,15 @@
 
 
 class FollowerUpdate(Struct, array_like=True, frozen=True, tag="F"):
-    """A voter sends a follower new entries and perhaps a lease.
+    """A voter sends a follower new entries and, in response to a heartbeat, a lease.
 
     Attributes:
-        request_sent_at: `FollowerHeartbeat.sent_at`; the lease counts from there. 0 if unasked.
-        lease_duration: In ticks; 0 for none.
-        prev_log_index: The entries come after this index.
-        snapshot: Comes first where the follower needs entries that are compacted already.
-        voter_last_applied: Up to where the voter has applied the log.
-        cluster_applied_index: Every member that may act has applied the log up to here.
+        request_sent_at: `FollowerHeartbeat.sent_at`; the lease counts from there. 0 without a heartbeat.
+        lease_duration: Ticks; 0 for no lease.
+        prev_log_index: The index before the first of `entries`.
+        snapshot: Precedes the entries where the follower lacks compacted entries.
+        voter_last_applied: The last index that the voter has applied.
+        cluster_applied_index: The highest index that each member with a lease has applied.
     """
 
     request_sent_at: int
@@ -217,13 +219,13 @@
 
 
 class Rejection(Struct, array_like=True, frozen=True, tag="r"):
-    """The sender does not admit the receiver, and why."""
+    """The sender does not admit the receiver, for `reason`."""
 
     reason: str
 
 
 class ProposalRequest(Struct, array_like=True, frozen=True, tag="p"):
-    """A proposal, forwarded to the leader. The same `proposal_id` takes effect once, however often sent."""
+    """A proposal on its way to the leader. Sent again under its `proposal_id`, it takes effect once."""
 
     proposal_id: str
     kind: str
@@ -234,9 +236,11 @@
     """The outcome of a proposal.
 
     Attributes:
-        reason: Why it was not accepted.
-        version_number: The version that it made, or the newest one that it conflicted with; 0 for none.
-        log_index: Where in the log it stands; 0 if it is not there.
+        accepted: Whether it took effect.
+        reason: Why it was not accepted; empty if it was.
+        version_number: The version that it created, or the newest version that it conflicted with; 0 for
+            none.
+        log_index: The log index of its entry; 0 if it was not appended.
     """
 
     proposal_id: str
@@ -247,7 +251,7 @@
 
 
 class ValidationRequest(Struct, array_like=True, frozen=True, tag="c"):
-    """The leader asks a voter whether it could use this content of a document."""
+    """The leader requests validation of the content of a document."""
 
     proposal_id: str
     document_name: str
@@ -255,26 +259,26 @@
 
 
 class ValidationResponse(Struct, array_like=True, frozen=True, tag="C"):
-    """A voter's answer to a ValidationRequest; `error` is empty if it could."""
+    """The response to a ValidationRequest; `error` is empty for valid content."""
 
     proposal_id: str
     error: str
 
 
 class Leave(Struct, array_like=True, frozen=True, tag="g"):
-    """A follower ends, and gives its lease and its name back."""
+    """A follower leaves the cluster and releases its lease and its name."""
 
     name: str
     incarnation: int
 
 
 class LeaseHolderStatus(Struct, array_like=True, frozen=True):
-    """A lease holder as its voter sees it.
+    """The state of a lease holder at its voter.
 
     Attributes:
-        held_for: How long it has been there, in ticks.
-        state: One of `leases.LeaseHolderState`.
-        quota_usage: By quota of the whole cluster, open requests and those wanted.
+        held_for: The time since its first contact, in ticks.
+        state: A `leases.LeaseHolderState`.
+        quota_usage: The number of open and wanted requests, by cluster-wide limit.
     """
 
     name: str
@@ -286,7 +290,7 @@
 
 
 class MembershipGossip(Struct, array_like=True, frozen=True, tag="m"):
-    """A voter lists its lease holders for the other voters; the voter itself is among them."""
+    """A voter sends its lease holders to the other voters; the voter itself is among them."""
 
     lease_holders: list[LeaseHolderStatus]
 
--- a/crankfold/consensus/random_numbers.py
+++ b/crankfold/consensus/random_numbers.py
@@ -1,9 +1,11 @@
-"""A small seeded generator: the same numbers from the same seed in every run and on every platform."""
+"""A seeded random generator with the same sequence on every platform and version of Python."""
 
 _MASK_64 = 0xFFFFFFFFFFFFFFFF
-# Knuth's MMIX linear congruential generator; the low bits are weak, so the upper 31 are used.
+# The constants of Knuth's MMIX. Its low bits have short periods, so the upper 31 bits are used.
 _MULTIPLIER = 6364136223846793005
 _INCREMENT = 1442695040888963407
+_DROPPED_BITS = 33
+_USED_BITS = 31
 
 
 class RandomNumbers:
@@ -12,10 +14,10 @@
     __slots__ = ("state",)
 
     def __init__(self, seed: int) -> None:
-        """Starts from the low 64 bits of `seed`."""
+        """Starts with the low 64 bits of `seed`."""
         self.state = seed & _MASK_64
 
     def below(self, bound: int) -> int:
-        """A number from 0 to `bound` - 1."""
+        """A number from 0 to `bound` - 1, about uniform."""
         self.state = (self.state * _MULTIPLIER + _INCREMENT) & _MASK_64
-        return ((self.state >> 33) * bound) >> 31
+        return ((self.state >> _DROPPED_BITS) * bound) >> _USED_BITS
--- a/crankfold/consensus/timing.py
+++ b/crankfold/consensus/timing.py
@@ -5,50 +5,72 @@
 
 from msgspec import Struct
 
-# Two clocks run at rates that differ by 1% each way at most: 3% covers both, and rounding.
+PERCENT = 100
+# The rate of a clock is wrong by 1% at most. Two clocks differ by 2%; the third percent covers rounding.
 CLOCK_DRIFT_PERCENT = 3
+# The durations below, in percent of the staleness bound. The bound exceeds a lease with its drift margin by
+# the time between the check of a lease and the act.
+LEASE_DURATION_PERCENT = 80
+ELECTION_TIMEOUT_PERCENT = 16
+RENEW_INTERVAL_PERCENT = 10
+HEARTBEAT_INTERVAL_PERCENT = 4
+CONTACT_TIMEOUT_RENEWALS = 3  # renew intervals
+# The interval of a follower's heartbeats is random, from 3/4 to 5/4 of the renew interval.
+LEAST_HEARTBEAT_QUARTERS = 3
+HEARTBEAT_JITTER_QUARTERS = 2
+QUARTERS = 4
 
 
 def with_drift_margin(duration: int) -> int:
-    """How long, in ticks of this clock, `duration` ticks of any other clock can last at most."""
-    return duration * (100 + CLOCK_DRIFT_PERCENT) // 100
+    """The most ticks of this clock that pass while another clock counts `duration` ticks."""
+    return duration * (PERCENT + CLOCK_DRIFT_PERCENT) // PERCENT
 
 
 class Timing(Struct, frozen=True):
-    """Durations in ticks, as fractions of the staleness bound.
+    """Durations in ticks, derived from the staleness bound.
 
     Attributes:
-        staleness_bound: How long, in ticks, two dispatchers may act on versions that contradict each other.
+        staleness_bound: The longest time, in ticks, for which two dispatchers act on contradicting versions.
     """
 
     staleness_bound: int
 
     @property
     def lease_duration(self) -> int:
-        """How long a leader may act after a quorum was in contact."""
-        return self.staleness_bound * 8 // 10
+        """The duration of a lease, from the last contact of the leader to a quorum."""
+        return self.staleness_bound * LEASE_DURATION_PERCENT // PERCENT
 
     @property
     def heartbeat_interval(self) -> int:
-        """Between two rounds of a leader's AppendEntries."""
-        return self.staleness_bound * 4 // 100
+        """The interval of a leader's rounds of AppendEntries."""
+        return self.staleness_bound * HEARTBEAT_INTERVAL_PERCENT // PERCENT
 
     @property
     def election_timeout(self) -> int:
-        """Least time without a leader before a voter campaigns; the randomized one is twice that at most."""
-        return self.staleness_bound * 16 // 100
+        """The time without a leader until a voter campaigns, without the random part, which may double it."""
+        return self.staleness_bound * ELECTION_TIMEOUT_PERCENT // PERCENT
 
     @property
     def renew_interval(self) -> int:
-        """Between two requests for the same lease."""
-        return self.staleness_bound // 10
+        """The interval of requests for the same lease."""
+        return self.staleness_bound * RENEW_INTERVAL_PERCENT // PERCENT
+
+    @property
+    def least_heartbeat_interval(self) -> int:
+        """The least interval of a follower's heartbeats."""
+        return self.renew_interval * LEAST_HEARTBEAT_QUARTERS // QUARTERS
+
+    @property
+    def heartbeat_jitter(self) -> int:
+        """The random part of the interval of a follower's heartbeats is below this."""
+        return self.renew_interval * HEARTBEAT_JITTER_QUARTERS // QUARTERS
 
     @property
     def contact_timeout(self) -> int:
-        """Without a message for so long, another member counts as out of contact."""
-        return 3 * self.renew_interval
+        """The time without a message after which another member is out of contact."""
+        return CONTACT_TIMEOUT_RENEWALS * self.renew_interval
 
     @property
     def lease_expiry_wait(self) -> int:
-        """After so long on one clock, a lease granted before it has expired on any other."""
+        """The time on one clock after which a lease of full duration has expired on any other clock."""
         return with_drift_margin(self.lease_duration)
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -1,8 +1,8 @@
-"""Documents with versions: the replicated state machine.
+"""The replicated state machine: documents with versions, outcomes of proposals, machines in maintenance.
 
-The same log entries make the same state on every member. A published version is pending at first: whoever
-has applied it acts on the conservative merge of it and the versions before. It becomes active by a later
-entry, once all members that may act have applied it; see `docs/bound.md`.
+Applying the same log entries yields the same state on every member. A published version is pending at first:
+a member that has applied it acts on the conservative merge of it and the versions before. A later entry
+activates it, once every member with a lease has applied it; see `docs/bound.md`.
 """
 
 from functools import reduce
@@ -24,10 +24,10 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
-MAX_VERSIONS = 50  # kept of a document, besides the active one
-MAX_OUTCOMES = 1000  # of proposals, so that a repeated one takes no effect
-MAX_PENDING_VERSIONS = 8  # of a document
-MACHINES = "machines"  # reported as the changed document after a maintenance entry
+MAX_VERSIONS = 50  # retained by document; the active one is retained in addition
+MAX_OUTCOMES = 1000  # retained proposals; one that is proposed again within them takes effect once
+MAX_PENDING_VERSIONS = 8  # by document
+MACHINES = "machines"  # in place of a document name: an entry changed machines in maintenance
 
 
 class DocumentVersion(Struct, array_like=True, frozen=True):
@@ -35,12 +35,12 @@
 
     Attributes:
         number: From 1 on.
-        made_from: The version that was the newest one at the publish.
-        author: Who published it.
+        made_from: The newest version before this one.
+        author: The name of the author.
         reason: Why, in the author's words.
         at: Wall time of the publish in milliseconds; shown, never compared.
-        text: The content.
-        index: The index of its entry in the log.
+        text: The content, with the keys of the stored document.
+        index: The log index of its entry.
     """
 
     number: int
@@ -53,7 +53,12 @@
 
 
 class Document(Struct, array_like=True):
-    """The versions of a document that are kept, and the number of the active one (0 for none)."""
+    """The retained versions of a document.
+
+    Attributes:
+        versions: By ascending number.
+        active_number: The number of the active version; 0 for none.
+    """
 
     versions: list[DocumentVersion] = field(default_factory=list)
     active_number: int = 0
@@ -63,15 +68,15 @@
         return self.versions[-1].number if self.versions else 0
 
     def pending(self) -> list[DocumentVersion]:
-        """The versions that are newer than the active one."""
+        """The versions above the active one."""
         return [version for version in self.versions if version.number > self.active_number]
 
     def find(self, number: int) -> DocumentVersion | None:
-        """The version of that number, if it is kept."""
+        """The version of that number; None if it is not retained."""
         return next((version for version in self.versions if version.number == number), None)
 
     def drop_oldest(self) -> None:
-        """Keeps the newest `MAX_VERSIONS`, and the active one however many came after it."""
+        """Drops versions beyond the newest `MAX_VERSIONS`, but never the active one."""
         if len(self.versions) <= MAX_VERSIONS:
             return
         oldest = self.versions[:-MAX_VERSIONS]
@@ -80,12 +85,14 @@
 
 
 class ProposalOutcome(Struct, array_like=True, frozen=True):
-    """What became of a proposal.
+    """The outcome of a committed proposal.
 
     Attributes:
-        reason: Why it was not accepted.
-        version_number: The version that it made, or the newest one that it conflicted with; 0 for none.
-        log_index: Where in the log it stands.
+        accepted: Whether it took effect.
+        reason: Why it was not accepted; empty if it was.
+        version_number: The version that it created, or the newest version that it conflicted with; 0 for
+            none.
+        log_index: The log index of its entry.
     """
 
     accepted: bool
@@ -95,13 +102,13 @@
 
 
 class ReplicatedState(Struct, array_like=True):
-    """The whole replicated state, as a snapshot stores it.
+    """The complete replicated state, in the form of a snapshot.
 
     Attributes:
         documents: By name.
-        outcomes: Of the latest proposals, by their ids.
-        voter_folder_ids: The id of the folder by which a voter is registered, by the voter's name.
-        maintenance: Machines that are out for maintenance.
+        outcomes: Outcomes of the newest proposals, by proposal id.
+        voter_folder_ids: The registered folder ids, by voter.
+        maintenance: Machines in maintenance.
     """
 
     documents: dict[str, Document] = field(default_factory=dict)
@@ -111,10 +118,15 @@
 
 
 class VersionedDocuments:
-    """The state machine: log entries are applied in order, and what may be acted on is read."""
+    """Applies log entries in order and answers what a member may act on.
+
+    Attributes:
+        replicated: The state.
+        last_applied: The index of the last applied entry.
+    """
 
     def __init__(self, state: bytes = b"", last_applied: int = 0) -> None:
-        """Starts from the encoded state of a snapshot up to `last_applied`, or from nothing.
+        """Starts from the encoded state of a snapshot up to `last_applied`, or from an empty state.
 
         Raises:
             msgspec.DecodeError: The state cannot be decoded.
@@ -122,7 +134,7 @@
         self.restore(state, last_applied)
 
     def restore(self, state: bytes, last_applied: int) -> None:
-        """Replaces everything by the encoded state of a snapshot up to `last_applied`.
+        """Replaces the state by the encoded state of a snapshot up to `last_applied`.
 
         Raises:
             msgspec.DecodeError: The state cannot be decoded.
@@ -131,15 +143,22 @@
         self.last_applied = last_applied
 
     def encode(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Encodes the state for a snapshot."""
         return msgspec.msgpack.encode(self.replicated)
 
     def document(self, name: str) -> Document:
-        """The document of that name; an empty one if nothing was published."""
+        """The document of that name; an empty one if none was published."""
         return self.replicated.documents.get(name) or Document()
 
     def apply(self, index: int, entry: LogEntry) -> str:
-        """Applies the entry at `index`; returns the name of the document that it changed, or nothing."""
+        """Applies the entry at `index`.
+
+        Returns:
+            The name of the changed document, `MACHINES`, or the empty string for neither.
+
+        Raises:
+            msgspec.ValidationError: The data of the entry has other fields.
+        """
         self.last_applied = index
         if entry.kind == EntryKind.PUBLISH:
             return self._apply_publish(index, publish_data(entry))
@@ -172,7 +191,7 @@
 
     def _apply_publish(self, index: int, data: PublishData) -> str:
         if data.call in self.replicated.outcomes:
-            return ""  # proposed twice, takes effect once
+            return ""  # proposed twice: the first entry took effect
         document = self.replicated.documents.setdefault(data.doc, Document())
         latest = document.latest_number()
         error = ""
@@ -212,9 +231,10 @@
             )
 
     def effective_content(self, name: str) -> dict[str, Any] | None:
-        """What may be acted on: the active version, merged conservatively with each pending one.
+        """The content to act on: the active version, merged conservatively with each pending one.
 
-        None for the settings before any are active: nobody acts until then.
+        Returns:
+            The content; None for settings of which no version is active, without which no member acts.
         """
         document = self.document(name)
         active = document.find(document.active_number)
@@ -227,14 +247,14 @@
         )
 
     def version_numbers(self) -> dict[str, tuple[int, int]]:
-        """By document: the number of the active version, and of the newest."""
+        """The numbers of the active and of the newest version, by document."""
         return {
             name: (document.active_number, document.latest_number())
             for name, document in self.replicated.documents.items()
         }
 
     def pending_versions(self) -> list[tuple[str, DocumentVersion]]:
-        """The versions that are not active yet, each with its document's name."""
+        """The pending versions, each with the name of its document."""
         return [
             (name, version)
             for name, document in self.replicated.documents.items()
@@ -242,7 +262,7 @@
         ]
 
     def max_request_duration(self) -> int:
-        """How long, in ticks, a request may last under any version that is kept."""
+        """The longest deadline of any request class in the retained settings, in ticks."""
         deadlines = [
             request_class.get("cut-off", 0)
             for version in self.document(SETTINGS).versions
