--- a/crankfold/cluster/__init__.py
+++ b/crankfold/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""A cluster member's sockets, storage and clock. Not imported unless the configuration has `peers`."""
+"""Sockets, storage and clock of a cluster member. Imported only for a configuration with `peers`."""
--- a/crankfold/cluster/clock.py
+++ b/crankfold/cluster/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are counted by."""
+"""The clock of leases."""
 
 import time
 
@@ -6,8 +6,9 @@
 
 
 def boottime_ticks() -> int:
-    """Time since the boot in ticks of a tenth of a millisecond.
+    """The time since boot in ticks of a tenth of a millisecond.
 
-    Unlike the monotonic clock it goes on while the machine is suspended, as leases do.
+    Unlike the monotonic clock it includes the time during which the machine is suspended: leases expire
+    then too.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TICK
--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -1,4 +1,4 @@
-"""One cluster member at work: its consensus state machine on sockets, storage and clock."""
+"""One cluster member: runs its consensus state machine on sockets, storage and clock."""
 
 import asyncio
 import logging
@@ -23,37 +23,46 @@
 
 SEED_BITS = 62
 INCARNATION_BITS = 48
-MIN_TICK_INTERVAL = 5  # ticks
+MIN_TICK_INTERVAL_TICKS = 5
 
 logger = logging.getLogger(__name__)
 
 
 class MemberOwner(Protocol):
-    """The node that a member belongs to."""
+    """The node of a member."""
 
     def documents_changed(self, member: "ClusterMember", names: set[str]) -> None:
-        """What may be acted on of these documents changed at the member."""
+        """Handles a change of the effective contents of the named documents at the member."""
 
     def applied(self) -> None:
-        """The log may have been applied further."""
+        """Handles progress of the applied index."""
 
     def storage_failed(self, member: "ClusterMember") -> None:
-        """The member's folder failed: it takes no part any more, and is to be replaced."""
+        """Replaces a member that is disabled because its folder failed."""
 
     def proposal_answered(self, response: ProposalResponse) -> None:
-        """There is an outcome of a proposal that was made here."""
+        """Handles the response to a proposal of this process."""
 
     def propose_transitions(self, member: "ClusterMember", now: int) -> list[dict[str, Any]]:
-        """The transitions of machines in maintenance to propose at `now`."""
+        """The transitions of machines to propose at `now`, in their stored form."""
 
 
 class ClusterMember:
-    """A voter or a follower, carried out.
+    """A voter or a follower of the cluster.
+
+    Args:
+        name: The name of the member.
+        storage: The storage of a voter; None for a follower.
+        config: The settings of this process as a member.
+        metrics: Counts messages and failures.
+        owner: The node of the member.
+        host: The dispatcher that acts on the documents.
+        initial_settings: Published by the first leader if no settings were published.
 
     Attributes:
-        consensus: Its state machine.
-        storage: That of a voter; None for a follower.
-        disabled_reason: Why a voter takes no part any more; empty if it does.
+        consensus: The state machine.
+        storage: The storage of a voter; None for a follower.
+        disabled_reason: Why a voter stopped taking part; empty while it takes part.
     """
 
     def __init__(
@@ -67,32 +76,33 @@
         host: VoterHost,
         initial_settings: dict[str, Any],
     ) -> None:
-        """A voter with that storage, or a follower without one; `open` starts it.
-
-        Over 30 lines: one for each attribute.
-        """
+        """Creates a voter with `storage`, or a follower without; `open` starts it."""
         self.disabled_reason = ""
+        self.storage = storage
         self._config = config
         self._metrics = metrics
-        self.storage = storage
         self._owner = owner
         self._loop = asyncio.get_running_loop()
         self._timing = Timing(int(config.staleness_bound * TICKS_PER_SECOND))
-        self.consensus: Voter | Follower
         incarnation = secrets.randbits(INCARNATION_BITS)
+        self.consensus: Voter | Follower
         if storage:
-            if storage.startup_notice:
-                logger.info("%s", storage.startup_notice)
             self.consensus = self._make_voter(name, storage, incarnation, host, initial_settings)
         else:
             self.consensus = self._make_follower(name, incarnation, host)
-        hello = Hello(PROTOCOL_VERSION, name, incarnation, storage.folder_id if storage else "")
-        others = {voter: parse_address(address) for voter, address in config.voters.items() if voter != name}
-        self._transport = Transport(hello, others, metrics=metrics, handler=self)
+        self._transport = self._make_transport(name, incarnation)
         self._saving: asyncio.Future[None] | None = None
         self._closed = False
         self._tick_timer: asyncio.TimerHandle | None = None
 
+    def _make_transport(self, name: str, incarnation: int) -> Transport:
+        folder_id = self.storage.folder_id if self.storage else ""
+        hello = Hello(PROTOCOL_VERSION, name, incarnation, folder_id)
+        addresses = {
+            voter: parse_address(address) for voter, address in self._config.voters.items() if voter != name
+        }
+        return Transport(hello, addresses, metrics=self._metrics, handler=self)
+
     def _make_voter(
         self,
         name: str,
@@ -101,6 +111,8 @@
         host: VoterHost,
         initial_settings: dict[str, Any],
     ) -> Voter:
+        if storage.startup_notice:
+            logger.info("%s", storage.startup_notice)
         return Voter(
             name,
             storage.persistent_state,
@@ -127,21 +139,21 @@
         )
 
     async def open(self) -> None:
-        """Listens, if it is a voter, and starts.
+        """Starts the member; a voter listens.
 
         Raises:
-            OSError: The address cannot be listened at.
+            OSError: The address cannot be bound.
         """
         if self.storage:
             self._transport.open(*parse_address(self._config.listen_address))
         self._tick()
 
     def has_lease(self) -> bool:
-        """Whether it may act on its documents at this moment."""
+        """Whether the member may act on its documents now."""
         return not self.disabled_reason and self.consensus.has_lease(boottime_ticks())
 
     def inactive_reason(self) -> str:
-        """Why nothing is acted on; empty if it is."""
+        """The reason why the member does not act on its documents; empty if it does."""
         if self.disabled_reason:
             return self.disabled_reason
         if not self.consensus.has_lease(boottime_ticks()):
@@ -151,7 +163,7 @@
         return "" if self.consensus.effective_content("settings") else "no settings count yet"
 
     def status(self) -> dict[str, Any]:
-        """The cluster as this member sees it."""
+        """The state of the cluster at this member, as an answer of the admin API."""
         return cluster_status(
             self.consensus,
             boottime_ticks(),
@@ -160,24 +172,28 @@
         )
 
     def propose(self, proposal_id: str, kind: str, data: dict[str, Any]) -> None:
-        """Proposes an entry; the owner gets the outcome."""
+        """Proposes an entry; its outcome goes to `MemberOwner.proposal_answered`.
+
+        Args:
+            proposal_id: Proposals with the same id take effect once.
+            kind: The kind of the entry.
+            data: Its fields, with the keys and the order of the stored entry.
+        """
         self.consensus.propose(boottime_ticks(), proposal_id, kind, data)
         self._process_output()
 
-    # --- events ---
-
     def admission_error(self, hello: Hello) -> str:
-        """Why the sender of a hello is not admitted; empty if it is."""
+        """The reason why the sender of a hello is not admitted; empty if it is."""
         if not isinstance(self.consensus, Voter):
             return "no voter"
         return self.consensus.admission_error(hello.name, hello.folder_id) if hello.folder_id else ""
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions of machines in maintenance to propose now."""
+        """The transitions of machines to propose at `now`, in their stored form."""
         return self._owner.propose_transitions(self, now)
 
     def handle_message(self, sender: str, message: Message) -> None:
-        """Takes a message of another member."""
+        """Handles a message from another member."""
         if self.disabled_reason or self._closed:
             return
         try:
@@ -193,13 +209,11 @@
             return
         self.consensus.tick(boottime_ticks())
         self._process_output()
-        wait = max(self.consensus.next_deadline() - boottime_ticks(), MIN_TICK_INTERVAL)
+        wait = max(self.consensus.next_deadline() - boottime_ticks(), MIN_TICK_INTERVAL_TICKS)
         self._tick_timer = self._loop.call_later(wait / TICKS_PER_SECOND, self._tick)
 
-    # --- output ---
-
     def _process_output(self) -> None:
-        """Carries out what an event brought: what is acted on first, then storage, then messages."""
+        """Carries out the output of an event: notifications, then immediate messages, then storage."""
         consensus = self.consensus
         if consensus.changed_documents:
             changed = consensus.changed_documents
@@ -218,7 +232,7 @@
             self._store_and_send(consensus, consensus.take_ready(boottime_ticks()))
 
     def _learn_addresses(self, voter: Voter) -> None:
-        """Voters may have been added since this process started."""
+        """Adds the addresses of voters that joined after the start of this process."""
         for name, address in voter.raft.voters.items():
             if name not in self._transport.addresses and name != voter.name and address:
                 self._transport.addresses[name] = parse_address(address)
@@ -236,7 +250,7 @@
             return
         error = done.exception()
         if error:
-            # Nobody knows now what is stored: this process says nothing more, and acts on nothing.
+            # Part of the data may be stored, so this voter sends no more messages and does not act.
             self.disabled_reason = f"the voter's folder failed: {error}"
             self._metrics.increment("cluster-storage-failures")
             logger.error("%s; this voter takes no part until the folder works", self.disabled_reason)
@@ -251,7 +265,7 @@
             self._transport.send(receiver, message)
 
     async def close(self) -> None:
-        """Ends it; a follower gives its lease back."""
+        """Closes connections and storage; a follower releases its lease first."""
         self._closed = True
         if self._tick_timer:
             self._tick_timer.cancel()
@@ -267,9 +281,11 @@
 
 
 def open_storage(config: ClusterConfig) -> RaftStorage:
-    """The storage of the voter that is configured.
+    """Opens the storage of the configured voter.
 
     Raises:
-        StorageError: It cannot be used.
+        FolderInUseError: Another process uses it.
+        StorageUnavailableError: A system call failed.
+        StorageError: It is damaged, incomplete, or the folder of another voter.
     """
     return RaftStorage(Path(config.storage_folder), config.name)
--- a/crankfold/cluster/config.py
+++ b/crankfold/cluster/config.py
@@ -7,30 +7,31 @@
 
 from crankfold.errors import CrankfoldError
 
-MAX_NAME_LENGTH = 100
+MAX_NAME_CHARACTERS = 100
 VOTER_COUNTS = (3, 5, 7)
-MIN_STALENESS_BOUND = 0.5  # seconds; elections and leases have to fit in
-MAX_STALENESS_BOUND = 60  # seconds
+MIN_STALENESS_BOUND_SECONDS = 0.5  # elections and leases are fractions of it
+MAX_STALENESS_BOUND_SECONDS = 60
 
 
 class ClusterConfigError(CrankfoldError, ValueError):
-    """The `peers` part of the configuration cannot be used; the text says why, with the key."""
+    """The `peers` part of the configuration is invalid; the text names the key and the reason."""
 
 
 class ClusterConfig(Struct, rename="kebab", forbid_unknown_fields=True):
-    """How this process takes part in its cluster.
+    """The settings of this process as a member of its cluster.
 
     Attributes:
-        name: Its name in the cluster.
+        name: The name of the member.
         voters: Addresses of the voters, HOST:PORT by name.
-        address: Where a voter listens, if not at its address in `voters`.
-        zone: Where it stands, for maintenance of dispatchers.
-        storage_folder: Where a voter stores its state.
-        staleness_bound: How long, in seconds, two dispatchers may act on contradicting versions.
-        isolation_policy: Whether to go on under the last settings, or to shed, without a lease.
-        is_successor: Whether it replaces another process; set by the process itself.
-        event_log_path: A file to which everything done is written, for `crankfold trial`; "-" for the
-            standard output, empty for none.
+        address: The address at which a voter listens; empty for its address in `voters`.
+        zone: The zone of the dispatcher, for maintenance of dispatchers.
+        storage_folder: The folder for the state of a voter.
+        staleness_bound: The longest time, in seconds, for which two dispatchers act on contradicting
+            versions.
+        isolation_policy: Whether a member without a lease sheds, or continues with the last settings.
+        is_successor: Whether this process replaces another one; set by the process itself.
+        event_log_path: The file of the event log for `crankfold trial`; "-" for standard output, empty for
+            none.
     """
 
     name: str
@@ -45,55 +46,59 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether it has a vote."""
+        """Whether the member is a voter."""
         return self.name in self.voters
 
     @property
     def listen_address(self) -> str:
-        """Where a voter listens."""
+        """The address at which a voter listens, HOST:PORT."""
         return self.address or self.voters[self.name]
 
     def config_error(self) -> str:
-        """What is wrong, with the key, the value found and those allowed; empty if nothing is."""
-        if not self.name or len(self.name) > MAX_NAME_LENGTH:
-            return f"peers.name: found {self.name!r}; 1 to {MAX_NAME_LENGTH} characters"
+        """The first invalid setting: its key, its value and the permitted values; empty for none."""
+        if not self.name or len(self.name) > MAX_NAME_CHARACTERS:
+            return f"peers.name: found {self.name!r}; 1 to {MAX_NAME_CHARACTERS} characters"
         if self.is_voter and not self.storage_folder:
             return "peers.folder: missing; a voter needs one for what must last"
         if self.is_voter and not self.listen_address:
-            return "peers.address: missing; a voter has to be heard"
+            return "peers.address: missing; the other members connect to a voter"
         if len(self.voters) not in VOTER_COUNTS:
             return f"peers.voters: found {len(self.voters)}; 3, 5 or 7"
-        if self.staleness_bound < MIN_STALENESS_BOUND:
+        if self.staleness_bound < MIN_STALENESS_BOUND_SECONDS:
             return (
-                f"peers.stated-time: found {self.staleness_bound}; at least {MIN_STALENESS_BOUND} s, as "
-                f"elections and leases have to fit in"
+                f"peers.stated-time: found {self.staleness_bound}; at least {MIN_STALENESS_BOUND_SECONDS} s, "
+                f"as elections and leases have to fit in"
             )
-        if self.staleness_bound > MAX_STALENESS_BOUND:
-            return f"peers.stated-time: found {self.staleness_bound}; {MAX_STALENESS_BOUND} s at most"
+        if self.staleness_bound > MAX_STALENESS_BOUND_SECONDS:
+            return f"peers.stated-time: found {self.staleness_bound}; {MAX_STALENESS_BOUND_SECONDS} s at most"
+        return self._address_error()
+
+    def _address_error(self) -> str:
         for name, address in [*self.voters.items(), ("address", self.address)]:
-            if address:
-                try:
-                    parse_address(address)
-                except ValueError:
-                    return f"peers: {name}: found {address!r}; HOST:PORT"
+            if not address:
+                continue
+            try:
+                parse_address(address)
+            except ValueError:
+                return f"peers: {name}: found {address!r}; HOST:PORT"
         return ""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT; an IPv6 address stands in brackets.
+    """Returns host and port of HOST:PORT; an IPv6 address is in brackets.
 
     Raises:
-        ValueError: The port is no number.
+        ValueError: The port is not a number.
     """
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def read_cluster_config(given: object) -> ClusterConfig:
-    """The `peers` part of a configuration.
+    """Decodes and validates the `peers` part of a configuration.
 
     Raises:
-        ClusterConfigError: It cannot be used.
+        ClusterConfigError: It is invalid.
     """
     try:
         config = msgspec.convert(given, ClusterConfig)
--- a/crankfold/cluster/framing.py
+++ b/crankfold/cluster/framing.py
@@ -1,4 +1,4 @@
-"""Frames between cluster members: a length of four bytes, then a message in MessagePack.
+"""Frames between cluster members: the length in four bytes, then a message in MessagePack.
 
 Members do not authenticate each other.
 """
@@ -10,12 +10,19 @@
 from crankfold.errors import CrankfoldError
 
 PROTOCOL_VERSION = 1
-MAX_FRAME_SIZE = 8 * 1024 * 1024  # bytes
-LENGTH_SIZE = 4  # bytes
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # of a message, without its length
+LENGTH_BYTES = 4
 
 
 class Hello(Struct, array_like=True, frozen=True, tag="h"):
-    """The first frame of a connection. `folder_id` is that of a voter's storage, empty for others."""
+    """The first message of a connection, which identifies the sender.
+
+    Attributes:
+        protocol_version: `PROTOCOL_VERSION` of the sender.
+        name: The name of the sender.
+        incarnation: A random number of the sender's process.
+        folder_id: The id of a voter's storage folder; empty for a follower.
+    """
 
     protocol_version: int
     name: str
@@ -24,7 +31,7 @@
 
 
 class ProtocolError(CrankfoldError):
-    """A connection brought something that is no message; it is of no further use, others are."""
+    """A connection received bytes that are not a message of the protocol; it is closed."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -32,38 +39,38 @@
 
 
 def encode_frame(message: Message | Hello) -> bytes:
-    """The frame of a message.
+    """Returns the frame of a message.
 
     Raises:
-        ProtocolError: The message is too long.
+        ProtocolError: The message exceeds `MAX_FRAME_BYTES`.
     """
     body = _encoder.encode(message)
-    if len(body) > MAX_FRAME_SIZE:
-        raise ProtocolError(f"a message of {len(body)} bytes")
-    return len(body).to_bytes(LENGTH_SIZE, "big") + body
+    if len(body) > MAX_FRAME_BYTES:
+        raise ProtocolError(f"a message of {len(body)} bytes exceeds {MAX_FRAME_BYTES}")
+    return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 class FrameDecoder:
-    """Makes messages of the bytes of one connection, as they arrive."""
+    """Decodes the bytes of one connection incrementally."""
 
     def __init__(self) -> None:
-        """Starts at the begin of a frame."""
+        """Starts at the beginning of a frame."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message | Hello]:
-        """The messages that these bytes complete.
+        """Returns the messages that `data` completes.
 
         Raises:
-            ProtocolError: The bytes are no frames of messages.
+            ProtocolError: A frame is too long or does not contain a message.
         """
         self._buffer += data
         messages: list[Message | Hello] = []
         start = 0
-        while len(self._buffer) - start >= LENGTH_SIZE:
-            size = int.from_bytes(self._buffer[start : start + LENGTH_SIZE], "big")
-            if size > MAX_FRAME_SIZE:
-                raise ProtocolError(f"a frame of {size} bytes")
-            body_start = start + LENGTH_SIZE
+        while len(self._buffer) - start >= LENGTH_BYTES:
+            size = int.from_bytes(self._buffer[start : start + LENGTH_BYTES], "big")
+            if size > MAX_FRAME_BYTES:
+                raise ProtocolError(f"a frame of {size} bytes exceeds {MAX_FRAME_BYTES}")
+            body_start = start + LENGTH_BYTES
             if len(self._buffer) - body_start < size:
                 break
             messages.append(self._decode(bytes(self._buffer[body_start : body_start + size])))
--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -1,4 +1,4 @@
-"""The cluster node of a dispatcher: the member by which it acts, and the one that it may take over."""
+"""The cluster node of a dispatcher: its present member, and the change from follower to voter."""
 
 import asyncio
 import logging
@@ -22,35 +22,35 @@
 from crankfold.consensus.voter import Voter
 from crankfold.network.metrics import Metrics
 
-PROPOSAL_RETRY_INTERVAL = 0.5  # seconds; the outcome may have been lost
-TAKEOVER_RETRY_INTERVAL = 0.1  # seconds
-MIN_WAIT = 0.01  # seconds
+PROPOSAL_RETRY_SECONDS = 0.5
+TAKEOVER_RETRY_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.01
 SUCCESSOR_SUFFIX_BYTES = 3
 
 logger = logging.getLogger(__name__)
 
 
 class Dispatcher(VoterHost, Protocol):
-    """The dispatcher that acts on the documents of its cluster node."""
+    """The dispatcher that acts on the documents of its node."""
 
     def documents_changed(self, names: set[str]) -> None:
-        """What may be acted on of these documents changed."""
+        """Handles a change of the effective contents of the named documents."""
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The transitions of machines in maintenance to propose at `now`; none unless this node leads."""
+        """The transitions of machines to propose at `now`, in their stored form; none unless it leads."""
 
 
 class ClusterNode:
-    """What a dispatcher has to do with its cluster.
+    """A dispatcher's part in its cluster.
 
-    A process that replaces another is a follower under a name of its own while that one is there. If it is to
-    be a voter, it takes the folder and the name over once they are free, and acts by them when it has applied
-    as much as the follower. A voter whose folder fails does the same: it goes on as a follower, and as a
-    voter that was restarted once the folder works.
+    A process that replaces another one joins as a follower under a name of its own. If it is configured as a
+    voter, it opens the voter's folder once the predecessor has released it, and switches to the voter once
+    that holds a lease and has applied as much of the log as the follower. A voter whose folder fails is
+    replaced by a follower, and later by a voter, in the same way.
 
     Attributes:
-        config: How this process takes part.
-        member: The member by which it acts.
+        config: The settings of this process as a member.
+        member: The member through which the dispatcher acts.
     """
 
     def __init__(
@@ -61,10 +61,11 @@
         dispatcher: Dispatcher,
         initial_settings: dict[str, Any],
     ) -> None:
-        """Opens the storage of a voter.
+        """Creates the first member, and opens the storage of a voter.
 
         Raises:
-            StorageError: It cannot be used, and that will not pass by itself.
+            StorageError: The folder is damaged or belongs to another voter. Where a system call on it
+                fails, the node starts as a follower.
         """
         self.config = config
         self._metrics = metrics
@@ -87,7 +88,7 @@
             return self._make_stand_in()
 
     def _make_stand_in(self) -> ClusterMember:
-        """A follower under a name of its own, while the voter is not there."""
+        """A follower under a name of its own, until the voter can be opened."""
         return self._make_member(f"{self.config.name}+{secrets.token_hex(SUCCESSOR_SUFFIX_BYTES)}", None)
 
     def _make_member(self, name: str, storage: RaftStorage | None) -> ClusterMember:
@@ -102,21 +103,21 @@
         )
 
     async def open(self) -> None:
-        """Starts; a voter listens.
+        """Starts the member; a voter listens.
 
         Raises:
-            OSError: The address cannot be listened at.
+            OSError: The address cannot be bound.
         """
         await self.member.open()
         if self.config.is_voter and self.member.storage is None:
             self._takeover_task = asyncio.get_running_loop().create_task(self._take_over())
 
     async def _take_over(self) -> None:
-        """Becomes the voter, once its folder and address are free and work."""
+        """Switches to the voter once its folder and address are available and it may act."""
         successor = await self._open_voter()
         # No event marks that a lease has expired, so it is polled.
         while successor and not self._may_act_by(successor):
-            await asyncio.sleep(TAKEOVER_RETRY_INTERVAL)
+            await asyncio.sleep(TAKEOVER_RETRY_SECONDS)
             if successor.disabled_reason:
                 await successor.close()
                 successor = await self._open_voter()
@@ -129,7 +130,7 @@
         logger.info("%s is a voter again", self.config.name)
 
     async def _replace_failed_voter(self, failed: ClusterMember) -> None:
-        """Goes on as a follower, and takes over as a voter that was restarted once the folder works."""
+        """Switches to a follower, and back to the voter once the folder works."""
         self.member = self._make_stand_in()
         await failed.close()
         await self.member.open()
@@ -141,9 +142,9 @@
         return successor.has_lease() and applied_as_much
 
     async def _open_voter(self) -> ClusterMember | None:
-        """The voter, as soon as folder and address are free; None if its folder cannot be used."""
+        """Opens the voter once folder and address are available; None if the folder is unusable."""
         while True:
-            await asyncio.sleep(TAKEOVER_RETRY_INTERVAL)
+            await asyncio.sleep(TAKEOVER_RETRY_SECONDS)
             try:
                 storage = open_storage(self.config)
             except (FolderInUseError, StorageUnavailableError):
@@ -154,50 +155,50 @@
             voter = self._make_member(self.config.name, storage)
             try:
                 await voter.open()
-            except OSError:  # the address is not free yet
+            except OSError:  # the predecessor still listens at the address
                 await voter.close()
                 continue
             return voter
 
     @property
     def consensus(self) -> Voter | Follower:
-        """The state machine of the member by which this node acts."""
+        """The state machine of the present member."""
         return self.member.consensus
 
     def has_lease(self) -> bool:
-        """Whether the documents may be acted on at this moment; to be asked at each act."""
+        """Whether the dispatcher may act on the documents now; to be called before each act."""
         return self.member.has_lease()
 
     def inactive_reason(self) -> str:
-        """Why nothing is acted on; empty if it is."""
+        """The reason why the dispatcher does not act on the documents; empty if it does."""
         return self.member.inactive_reason()
 
     def status(self) -> dict[str, Any]:
-        """The cluster as this node sees it."""
+        """The state of the cluster at this node, as an answer of the admin API."""
         return self.member.status()
 
     # --- called by members ---
 
     def documents_changed(self, member: ClusterMember, names: set[str]) -> None:
-        """Informs the dispatcher, if it acts by that member."""
+        """Notifies the dispatcher of changes at the present member."""
         if member is self.member:
             self._dispatcher.documents_changed(names)
 
     def applied(self) -> None:
-        """Wakes whoever waits until something is applied."""
+        """Wakes the tasks that wait for an applied index or version."""
         self._progress.set()
 
     def storage_failed(self, member: ClusterMember) -> None:
-        """Replaces the member by which this node acts; one that is to be taken over is opened anew."""
+        """Replaces the present member; a voter that is not in use yet is reopened by `_take_over`."""
         if member is self.member:
             self._takeover_task = asyncio.get_running_loop().create_task(self._replace_failed_voter(member))
 
     def propose_transitions(self, member: ClusterMember, now: int) -> list[dict[str, Any]]:
-        """Asks the dispatcher, if it acts by that member."""
+        """The transitions that the dispatcher proposes, for the present member only."""
         return self._dispatcher.propose_transitions(now) if member is self.member else []
 
     def proposal_answered(self, response: ProposalResponse) -> None:
-        """Passes an outcome to whoever waits for it; without a leader there is none yet."""
+        """Ends the wait for an outcome; a response without a leader is not final."""
         future = self._pending_proposals.get(response.proposal_id)
         if future and not future.done() and (response.accepted or response.reason != NO_LEADER):
             future.set_result(response)
@@ -207,9 +208,13 @@
     async def propose(
         self, kind: str, data: dict[str, Any], proposal_id: str, max_seconds: float
     ) -> ProposalResponse:
-        """Proposes until there is an outcome, or `max_seconds` have passed.
+        """Proposes an entry, repeatedly, until there is an outcome.
 
-        The same `proposal_id` takes effect once, however often it is proposed.
+        Args:
+            kind: The kind of the entry.
+            data: Its fields, with the keys and the order of the stored entry.
+            proposal_id: Proposals with the same id take effect once.
+            max_seconds: The time after which a response without an outcome is returned.
         """
         loop = asyncio.get_running_loop()
         future = self._pending_proposals.setdefault(proposal_id, loop.create_future())
@@ -217,7 +222,7 @@
             async with asyncio.timeout(max_seconds):
                 while not future.done():
                     self.member.propose(proposal_id, kind, data)
-                    await asyncio.wait([future], timeout=PROPOSAL_RETRY_INTERVAL)
+                    await asyncio.wait([future], timeout=PROPOSAL_RETRY_SECONDS)
                 return future.result()
         except TimeoutError:
             return rejected(proposal_id, "no outcome yet; ask again with the same call")
@@ -229,8 +234,8 @@
         """Waits until a version is active.
 
         Returns:
-            The index up to which all must have applied the log for all to act on it alone; 0 if it is not
-            active after `max_seconds`.
+            The applied index here. Once it is applied in the whole cluster, all members act on that version
+            alone. 0 if the version is not active after `max_seconds`.
         """
         active = await self._wait_until(
             lambda: self.consensus.documents.document(document).active_number >= number, max_seconds
@@ -238,18 +243,18 @@
         return self.consensus.last_applied if active else 0
 
     async def wait_until_known(self, document: str, number: int, max_seconds: float) -> bool:
-        """Whether a version is known here within `max_seconds`."""
+        """Waits until a version is applied here; False after `max_seconds`."""
         return await self._wait_until(
             lambda: self.consensus.documents.document(document).latest_number() >= number, max_seconds
         )
 
     async def wait_until_cluster_applied(self, index: int, max_seconds: float) -> bool:
-        """Whether all that may act have applied the log up to `index` within `max_seconds`."""
+        """Waits until each member with a lease has applied `index`; False after `max_seconds`."""
         return await self._wait_until(lambda: self.consensus.cluster_applied_index >= index, max_seconds)
 
     async def _wait_until(self, condition: Callable[[], bool], max_seconds: float) -> bool:
         try:
-            async with asyncio.timeout(max(max_seconds, MIN_WAIT)):
+            async with asyncio.timeout(max(max_seconds, MIN_WAIT_SECONDS)):
                 while not condition():
                     self._progress.clear()
                     await self._progress.wait()
@@ -258,7 +263,7 @@
         return True
 
     async def close(self) -> None:
-        """Leaves the cluster."""
+        """Closes the member; a follower releases its lease."""
         if self._takeover_task:
             self._takeover_task.cancel()
         await self.member.close()
--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -1,4 +1,4 @@
-"""The cluster as one member sees it, for operators; the keys are those of the admin API."""
+"""The state of the cluster at one member, as an answer of the admin API, whose keys are used here."""
 
 from typing import Any
 
@@ -7,19 +7,19 @@
 from crankfold.consensus.voter import Voter
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-_SHOWN_OF_OTHERS = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
+_REPORTED_REMOTE_STATES = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
 
 
 def cluster_status(
     consensus: Voter | Follower, now: int, *, acts: bool, inactive_reason: str
 ) -> dict[str, Any]:
-    """What a member knows of the cluster.
+    """Returns the answer of the admin API.
 
     Args:
-        consensus: The member.
-        now: The time, in ticks.
-        acts: Whether it holds a lease.
-        inactive_reason: Why it does not act on its documents; empty if it does.
+        consensus: The state machine of the member.
+        now: Ticks.
+        acts: Whether the member holds a lease.
+        inactive_reason: Why the member does not act on its documents; empty if it does.
     """
     status: dict[str, Any] = {
         "name": consensus.name,
@@ -84,5 +84,5 @@
         }
         for other, statuses in sorted(voter.remote_lease_holders.by_voter.items())
         for status in statuses
-        if status.state in _SHOWN_OF_OTHERS and status.name != other
+        if status.state in _REPORTED_REMOTE_STATES and status.name != other
     ]
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -1,8 +1,8 @@
 """Connections between cluster members.
 
-Each voter connects to each other one; a follower connects to a voter and hears from it on the same
-connection. What waits to be sent is bounded: a receiver that does not read is disconnected, and connected to
-again.
+A voter connects to each other voter and sends on that connection. A follower connects to its voter, which
+sends to the follower on the same connection. The send buffer is bounded: the connection of a receiver that
+does not read is aborted, and the next message opens a new one.
 """
 
 import asyncio
@@ -24,34 +24,35 @@
 from crankfold.network.acceptor import Acceptor
 from crankfold.network.metrics import Metrics
 
-READ_SIZE = 64 * 1024  # bytes
+READ_BYTES = 64 * 1024
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-MAX_INCOMING = 2048  # connections
-ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the loop
-HELLO_TIMEOUT = 2.0  # seconds
-CONNECT_TIMEOUT = 1.0  # seconds
-MIN_RECONNECT_DELAY = 0.05  # seconds
-MAX_RECONNECT_DELAY = 0.5  # seconds
+MAX_INCOMING_CONNECTIONS = 2048
+ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the event loop
+HELLO_TIMEOUT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+MIN_RECONNECT_DELAY_SECONDS = 0.05
+MAX_RECONNECT_DELAY_SECONDS = 0.5
+RECONNECT_BACKOFF_FACTOR = 2
 
 logger = logging.getLogger(__name__)
 LOG_CATEGORY = {"category": "cluster"}
 
 
 class TransportHandler(Protocol):
-    """The member that the connections are for."""
+    """The member that receives the messages."""
 
     def admission_error(self, hello: Hello) -> str:
-        """Why the sender of a hello is not admitted; empty if it is."""
+        """The reason why the sender of a hello is not admitted; empty if it is."""
 
     def handle_message(self, sender: str, message: Message) -> None:
-        """Takes a message."""
+        """Handles a message from `sender`."""
 
 
 class Transport:
     """The connections of one member.
 
     Attributes:
-        addresses: Host and port of the voters that it connects to, by name.
+        addresses: Host and port, by name, of the voters to which the member connects.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         metrics: Metrics,
         handler: TransportHandler,
     ) -> None:
-        """Connects to nobody yet; `hello` is how the member introduces itself."""
+        """Starts without connections; `hello` is the first message on each outgoing one."""
         self.addresses = addresses
         self._hello = hello
         self._metrics = metrics
@@ -78,22 +79,25 @@
         self._acceptor: Acceptor | None = None
 
     def open(self, host: str, port: int) -> None:
-        """Listens for connections of other members.
+        """Listens for connections from other members.
 
         Raises:
-            OSError: The address cannot be listened at.
+            OSError: The address cannot be bound.
         """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._acceptor = Acceptor(
             socket.create_server((host, port), family=family),
             self._run_incoming,
             metrics=self._metrics,
-            read_limit=READ_SIZE,
+            read_limit=READ_BYTES,
             accepts_per_iteration=ACCEPTS_PER_ITERATION,
         )
 
     def send(self, receiver: str, message: Message) -> None:
-        """Sends a message; it is lost without a connection, as whoever needs an answer asks again."""
+        """Sends a message, or drops it and connects where there is no connection.
+
+        Requests are repeated by their senders, so messages are not queued for a later connection.
+        """
         connections = self._outgoing if receiver in self.addresses else self._incoming
         writer = connections.get(receiver)
         if writer is None:
@@ -124,8 +128,8 @@
     async def _run_outgoing(self, receiver: str) -> None:
         writer = None
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
-                reader, writer = await asyncio.open_connection(*self.addresses[receiver], limit=READ_SIZE)
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+                reader, writer = await asyncio.open_connection(*self.addresses[receiver], limit=READ_BYTES)
             writer.write(encode_frame(self._hello))
             self._outgoing[receiver] = writer
             self._reconnect_delay.pop(receiver, None)
@@ -133,7 +137,7 @@
         except ProtocolError as error:
             logger.warning("protocol error from %s: %s", receiver, error, extra=LOG_CATEGORY)
         except (OSError, TimeoutError):
-            pass  # nobody there, or the connection broke: the next message connects again
+            pass  # the connection failed or was reset: a later message connects again
         finally:
             self._connecting.discard(receiver)
             self._outgoing.pop(receiver, None)
@@ -142,15 +146,16 @@
             self._delay_reconnect(receiver)
 
     def _delay_reconnect(self, receiver: str) -> None:
-        """The next attempt is later each time, and not at the same time as those of others."""
-        delay = min(2 * self._reconnect_delay.get(receiver, MIN_RECONNECT_DELAY), MAX_RECONNECT_DELAY)
+        """Exponential backoff, with jitter so that members do not reconnect at the same time."""
+        previous = self._reconnect_delay.get(receiver, MIN_RECONNECT_DELAY_SECONDS)
+        delay = min(RECONNECT_BACKOFF_FACTOR * previous, MAX_RECONNECT_DELAY_SECONDS)
         self._reconnect_delay[receiver] = delay
         self._reconnect_not_before[receiver] = self._loop.time() + self._jitter.uniform(delay / 2, delay)
 
     async def _run_incoming(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name = ""
         try:
-            if len(self._incoming) >= MAX_INCOMING:
+            if len(self._incoming) >= MAX_INCOMING_CONNECTIONS:
                 return
             decoder = FrameDecoder()
             messages = await self._read_first(reader, decoder)
@@ -171,10 +176,10 @@
 
     @staticmethod
     async def _read_first(reader: asyncio.StreamReader, decoder: FrameDecoder) -> list[Message | Hello]:
-        """The hello and what came with it; nothing if the connection ends before."""
-        async with asyncio.timeout(HELLO_TIMEOUT):
+        """Returns the first messages of a connection; none if it ends before."""
+        async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
             while True:
-                data = await reader.read(READ_SIZE)
+                data = await reader.read(READ_BYTES)
                 if not data:
                     return []
                 messages = decoder.feed(data)
@@ -182,13 +187,13 @@
                     return messages
 
     def _admit(self, hello: Message | Hello, writer: asyncio.StreamWriter) -> str:
-        """The name of the member that a new connection is from; empty if it is not admitted.
+        """Returns the name of the sender of a new connection; empty if it is not admitted.
 
         Raises:
-            ProtocolError: The first message is no hello of this version.
+            ProtocolError: The first message is not a hello of this protocol version.
         """
         if not isinstance(hello, Hello) or hello.protocol_version != PROTOCOL_VERSION:
-            raise ProtocolError("no hello of this form")
+            raise ProtocolError(f"the first message is not a hello of protocol version {PROTOCOL_VERSION}")
         error = self._handler.admission_error(hello)
         if error:
             logger.warning("%s not admitted: %s", hello.name, error, extra=LOG_CATEGORY)
@@ -197,7 +202,7 @@
         previous = self._incoming.get(hello.name)
         self._incoming[hello.name] = writer
         if previous:
-            previous.transport.abort()  # its bytes are from an earlier process, or from before a break
+            previous.transport.abort()  # a member has one connection, so the earlier one is broken
         return hello.name
 
     async def _read_messages(
@@ -213,13 +218,13 @@
                     raise ProtocolError("a second hello")
                 self._metrics.increment("cluster-messages-received")
                 self._handler.handle_message(sender, message)
-            data = await reader.read(READ_SIZE)
+            data = await reader.read(READ_BYTES)
             if not data:
                 return
             messages = decoder.feed(data)
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Stops listening and closes all connections."""
         if self._acceptor:
             self._acceptor.close()
             self._acceptor = None
--- a/tests/cluster/test_framing.py
+++ b/tests/cluster/test_framing.py
@@ -3,7 +3,7 @@
 import unittest
 
 from crankfold.cluster.framing import (
-    MAX_FRAME_SIZE,
+    MAX_FRAME_BYTES,
     PROTOCOL_VERSION,
     FrameDecoder,
     Hello,
@@ -27,7 +27,7 @@
 
     def test_bytes_that_are_no_messages_raise_a_protocol_error(self) -> None:
         for invalid in (
-            (MAX_FRAME_SIZE + 1).to_bytes(4, "big"),
+            (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
             b"\0\0\0\1\xc1",
             b"\0\0\0\0",
             b"\0\0\0\2\x91\xa1",
