--- a/crankfold/consensus/__init__.py
+++ b/crankfold/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""What dispatchers agree on: one history, documents with versions, leases. No I/O, clock or chance."""
+"""The consensus of dispatchers: Raft, versioned documents and leases, without I/O or clock."""
--- a/crankfold/maintenance/__init__.py
+++ b/crankfold/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Takes machines out of service for maintenance, within agreed bounds. No I/O, clock or random numbers."""
+"""Maintenance of machines within the bounds of jobs, without I/O, clock or random numbers."""
--- a/crankfold/maintenance/coordinator.py
+++ b/crankfold/maintenance/coordinator.py
@@ -1,8 +1,7 @@
-"""Proposes the transitions of machines in maintenance, at whichever voter leads. No I/O, no clock of its own.
+"""Proposes transitions of machines in maintenance at the leader, without I/O and without a clock.
 
-It is told the time and all that is known, and proposes transitions; one is acted on once it is committed.
-What it remembers itself is only since when it has known of each transition, so that any voter can go on
-where another was.
+A run takes the state of the fleet and proposes transitions, which take effect when they are committed. The
+only state of its own are the times of first observation, so that each voter can continue as the leader.
 """
 
 from collections.abc import Sequence
@@ -22,13 +21,13 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
-REPROPOSE_AFTER: Final = TICKS_PER_SECOND  # the first proposal may be lost
-SHED_COOLDOWN: Final = 5 * TICKS_PER_SECOND  # without too much shedding, before machines go out again
+REPROPOSE_TICKS: Final = TICKS_PER_SECOND  # until the same transition is proposed again
+SHED_COOLDOWN_TICKS: Final = 5 * TICKS_PER_SECOND  # after excess shedding, until machines are drained again
 
 
 @dataclass(frozen=True, slots=True)
 class DepartureBasis:
-    """What the last departures were decided on, and when."""
+    """The state on which the last departures were decided, and the time of their proposal."""
 
     change_count: int
     jobs_version: int
@@ -36,17 +35,23 @@
 
 
 class Coordinator:
-    """Decides on maintenance. Times are ticks of the voter's own clock."""
+    """Proposes transitions. Times are ticks of the voter's clock.
+
+    Attributes:
+        member_name: The name of the voter.
+        wait_reasons: Why machines and jobs wait, as of the last run.
+        last_departures: The state on which the last departures were decided; None before any.
+    """
 
     def __init__(self, member_name: str, progress: type[MachineProgress] = MachineProgress) -> None:
-        """Begins with nothing observed.
+        """Starts without observations.
 
         Args:
-            member_name: The voter's name.
-            progress: Chooses the next transition of each machine.
+            member_name: The name of the voter.
+            progress: Decides the next transition of each machine.
         """
         self.member_name = member_name
-        self.wait_reasons: Sequence[WaitReason] = ()  # as the last look found them
+        self.wait_reasons: Sequence[WaitReason] = ()
         self.last_departures: DepartureBasis | None = None
         self._progress = progress
         self._observations = Observations()
@@ -54,20 +59,20 @@
         self._cooldown_until = 0
 
     def observe(self, now: int, state: MaintenanceState, machines: Sequence[Machine]) -> None:
-        """Takes note of what is known, at a voter that does not lead."""
+        """Records observations at a voter that does not lead."""
         self._observations.observe(now, state, machines)
 
     def propose(self, view: FleetView) -> list[Transition]:
-        """The transitions to propose now; none of them may be acted on before it is committed."""
+        """Returns the transitions to propose; they take effect when they are committed."""
         self._observations.observe(view.now, view.state, view.machines)
         view = replace(view, jobs=_with_halted_stopped(view))
         findings = Findings(excess_shedding=view.excess_shedding())
         if findings.excess_shedding:
-            self._cooldown_until = view.now + SHED_COOLDOWN
+            self._cooldown_until = view.now + SHED_COOLDOWN_TICKS
         transitions = self._next_of_each(view, findings)
         transitions += self._halts(view, findings)
         transitions = [
-            transition for transition in transitions if self._is_new_proposal(view.now, transition)
+            transition for transition in transitions if self._record_proposal(view.now, transition)
         ]
         transitions += self._departures(view, findings)
         self.wait_reasons = findings.wait_reasons()
@@ -81,16 +86,19 @@
         ]
         return [transition for transition in transitions if transition]
 
-    def _is_new_proposal(self, now: int, transition: Transition) -> bool:
-        """Not proposed a moment ago: that is on its way to the disks of the others."""
+    def _record_proposal(self, now: int, transition: Transition) -> bool:
+        """Whether a transition was not proposed recently, so that an uncommitted one is not repeated.
+
+        Records the proposal.
+        """
         key = transition.machine_id or transition.job, transition.last_index or 0, transition.phase
         before = self._proposed_at.get(key)
-        if before is not None and now - before < REPROPOSE_AFTER:
+        if before is not None and now - before < REPROPOSE_TICKS:
             return False
         self._proposed_at = {
             known: proposed_at
             for known, proposed_at in self._proposed_at.items()
-            if now - proposed_at < REPROPOSE_AFTER
+            if now - proposed_at < REPROPOSE_TICKS
         }
         self._proposed_at[key] = now
         return True
@@ -110,7 +118,7 @@
         ]
 
     def _departures(self, view: FleetView, findings: Findings) -> list[Transition]:
-        """Machines to take out, unless some were proposed a moment ago on the same basis."""
+        """The machines to drain, unless some were proposed recently on the same state."""
         in_cooldown = view.now < self._cooldown_until
         transitions = propose_departures(view, self.member_name, findings, in_cooldown=in_cooldown)
         if not transitions:
@@ -120,7 +128,7 @@
         if (
             last
             and (last.change_count, last.jobs_version) == (basis.change_count, basis.jobs_version)
-            and view.now - last.proposed_at < REPROPOSE_AFTER
+            and view.now - last.proposed_at < REPROPOSE_TICKS
         ):
             return []
         self.last_departures = basis
@@ -128,7 +136,7 @@
 
 
 def _with_halted_stopped(view: FleetView) -> dict[str, JobSpecification]:
-    """The jobs, those that stopped by themselves as if operators had stopped them."""
+    """The jobs, of which halted ones have the state that operators give to stop a job."""
     return {
         name: structs.replace(job, state=JobState.STOPPED) if name in view.state.halted_jobs else job
         for name, job in view.jobs.items()
@@ -136,7 +144,7 @@
 
 
 def _halt_reason(view: FleetView, findings: Findings, name: str, job: JobSpecification) -> str:
-    """Why a job stops by itself, or ""."""
+    """The reason why a job halts; empty if it continues."""
     streak = view.state.unhealthy_streaks.get(name, 0)
     if streak >= job.max_unhealthy_streak:
         return f"{streak} unwell in a row"
--- a/crankfold/maintenance/departures.py
+++ b/crankfold/maintenance/departures.py
@@ -1,4 +1,4 @@
-"""Which machines go out next, with the checks that hold beside the jobs' own bounds."""
+"""Decides which machines are drained next: jobs' bounds, quorum, capacity and areas."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
@@ -11,19 +11,19 @@
 from crankfold.maintenance.state import is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Placement, Transition
 
-VOTER: Final = "voter"  # the instance type of dispatchers that vote
+VOTER: Final = "voter"  # the instance type of a dispatcher that is a voter
 
 
 def propose_departures(
     view: FleetView, member_name: str, findings: Findings, *, in_cooldown: bool
 ) -> list[Transition]:
-    """The machines to take out now, by jobs that may go on; notes why the others wait.
+    """Returns the transitions that drain machines, and records why the other machines wait.
 
     Args:
-        view: What is known now.
-        member_name: Who proposes.
-        findings: With the jobs that are stuck already.
-        in_cooldown: Whether requests were shed a moment ago.
+        view: The state of the fleet.
+        member_name: The proposer.
+        findings: Has the stuck jobs; receives the reasons for waiting.
+        in_cooldown: Whether too many requests were shed recently.
     """
     going = _jobs_that_go(view, findings, in_cooldown)
     transitions: list[Transition] = []
@@ -53,7 +53,7 @@
 
 
 class _Departures:
-    """Departures of backends, or of dispatchers."""
+    """Decides the departures of backends, or of dispatchers."""
 
     def __init__(self, view: FleetView, member_name: str, target: Target) -> None:
         self._view = view
@@ -62,7 +62,7 @@
         present = view.dispatchers if target == Target.DISPATCHERS else view.machines
         absent = view.state.machines
         present_ids = {machine.machine_id for machine in present}
-        # One that is out may be on no endpoint list any more: it counts all the same.
+        # Machines in maintenance count in bounds even if the endpoint list does not have them.
         self._machines = [
             *present,
             *(
@@ -137,7 +137,7 @@
 
 
 class _ReserveCheck:
-    """What holds a machine beside the jobs' bounds: a majority, room for the load, and its zone or cell."""
+    """Checks beside the jobs' bounds: a quorum of voters, capacity for the load, the machine's areas."""
 
     def __init__(self, view: FleetView, machines: Sequence[Machine], target: Target) -> None:
         self._view = view
@@ -147,7 +147,12 @@
         self._areas: Collection[Area] = (Area.ZONE,) if self._of_dispatchers else view.deduplication_scopes
 
     def __call__(self, machine: Machine, out: Collection[str]) -> str:
-        """Why the machine may not go out beside those that are out, or ""."""
+        """The reason why the machine may not be drained; empty if it may.
+
+        Args:
+            machine: The machine.
+            out: The ids of absent machines.
+        """
         remaining = [
             other
             for other in self._machines
--- a/crankfold/maintenance/findings.py
+++ b/crankfold/maintenance/findings.py
@@ -1,4 +1,4 @@
-"""What a coordinator finds while it looks at the fleet once, besides the transitions that it proposes."""
+"""The results of one coordinator run besides transitions: reasons for waiting, stuck jobs."""
 
 from dataclasses import dataclass, field
 
@@ -7,25 +7,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitReason:
-    """Why a machine, or a whole job, does not go on; `text` is shown to operators."""
+    """The reason why a machine or a job waits; answers as JSON repeat `text`."""
 
-    machine_id: str  # "" for the whole job
+    machine_id: str  # empty for a job
     job: str
     text: str
 
 
 @dataclass(slots=True)
 class Findings:
-    """Collected during one look."""
+    """Collected during one run."""
 
-    excess_shedding: str = ""  # why the fleet sheds too much for any maintenance
-    stuck_jobs: dict[str, str] = field(default_factory=dict)  # that miss a machine, and which
+    excess_shedding: str = ""  # why no machine may be drained; empty if shedding is within the bounds
+    stuck_jobs: dict[str, str] = field(default_factory=dict)  # the overdue machine and its state, by job
     _texts: dict[MachineJob, str] = field(default_factory=dict)
 
     def wait(self, machine_id: str, job: str, text: str) -> None:
-        """Notes why a machine waits; a later reason takes the place of an earlier one."""
+        """Records why a machine waits; replaces an earlier reason."""
         self._texts[MachineJob(machine_id, job)] = text
 
     def wait_reasons(self) -> list[WaitReason]:
-        """All of them, by machine and job."""
+        """The recorded reasons, sorted by machine and job."""
         return [WaitReason(*pair, text) for pair, text in sorted(self._texts.items())]
--- a/crankfold/maintenance/forecast.py
+++ b/crankfold/maintenance/forecast.py
@@ -1,4 +1,4 @@
-"""The order in which a job would take its machines, if nothing fails and each machine takes what it may."""
+"""The schedule of a job if no machine fails and each takes its longest time."""
 
 from collections.abc import Mapping, Sequence, Set
 from dataclasses import dataclass, replace
@@ -11,43 +11,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ForecastDeparture:
-    """One machine's turn."""
+    """The forecast absence of one machine."""
 
     begin_seconds: float  # from now
     end_seconds: float
     machine_id: str
     zone: str
-    waited_for: str  # until then
+    waited_for: str  # the reason for waiting until then; empty for none
 
 
 @dataclass(frozen=True, slots=True)
 class Forecast:
-    """All turns of a job, and who never gets one."""
+    """The forecast of a job."""
 
     departures: list[ForecastDeparture]
-    wait_reasons: dict[str, str]  # by machine that never goes out, the bound that holds it
+    wait_reasons: dict[str, str]  # the bound, by machine that is never drained
 
 
 @dataclass(frozen=True, slots=True)
 class ForecastInputs:
-    """What a forecast begins from."""
+    """The state from which a forecast starts."""
 
     jobs: Mapping[str, JobSpecification]
     machines: Sequence[Machine]
-    out_for: Mapping[str, str]  # by machine, the job for which it is out now
+    out_for: Mapping[str, str]  # the job, by absent machine
     completed: Set[tuple[str, str]]  # machine and job
     now_ms: int  # since the epoch
-    drain_seconds: float  # until a machine is drained
-    warm_up_seconds: float  # until one that is back is warm
+    drain_seconds: float  # from the start of draining to drained
+    warm_up_seconds: float  # the slow start of a returned machine
 
 
 def forecast_job(name: str, inputs: ForecastInputs) -> Forecast:
-    """The turns of one job, beside all others that go on."""
+    """Forecasts one job beside the other active jobs."""
     return _ForecastRun(name, inputs).run()
 
 
 class _ForecastRun:
-    """Plays the schedule forward, from one end of a machine's absence to the next."""
+    """Simulates the scheduler from one change to the next."""
 
     def __init__(self, name: str, inputs: ForecastInputs) -> None:
         self._name = name
@@ -104,7 +104,7 @@
         }
 
     def _next_changes(self, seconds: float) -> list[float]:
-        """When machines come back, and when the job's time begins; seconds from now."""
+        """When machines return and when the job's time window opens; seconds from now."""
         later = [self._ends[machine_id] for machine_id in self._out_for]
         not_before_ms = self._inputs.jobs[self._name].not_before_ms
         now_ms = self._inputs.now_ms
--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -1,4 +1,4 @@
-"""What is to happen next with a machine in maintenance."""
+"""Decides the next transition of a machine in maintenance. Times are ticks."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
@@ -15,37 +15,37 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
-COMMAND_OUTCOME_MARGIN: Final = 5 * TICKS_PER_SECOND  # beyond a command's time, for its outcome to be told
-UNOBSERVED_WATCH_FACTOR: Final = 4  # times the watch, for a machine of which no answer was seen
-MAX_REQUESTS_NAMED: Final = 5
+COMMAND_OUTCOME_MARGIN_TICKS: Final = 5 * TICKS_PER_SECOND  # from a command's time limit to its outcome
+MAX_WATCH_FACTOR: Final = 4  # times the watch, for a machine with too few responses
+MAX_LISTED_REQUESTS: Final = 5  # ids in a text
 
 _REPLACEABLE: Final = (MaintenancePhase.DRAINED, MaintenancePhase.IN_WORK, MaintenancePhase.WORK_FAILED)
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """A machine in maintenance, with what is known of it."""
+    """A machine in maintenance, with its record, job and listing."""
 
     machine_id: str
     record: MachineInMaintenance
-    job: JobSpecification | None  # None if its job was taken away
-    machine: Machine | None  # None if no endpoint list has it
-    known_for: int  # ticks since its last transition was known here
+    job: JobSpecification | None  # None for a removed job
+    machine: Machine | None  # None if the endpoint list does not have it
+    known_for: int  # ticks since this voter observed its last transition
 
 
 class MachineProgress:
-    """Chooses the next transition of each machine in maintenance, or notes why it waits."""
+    """Decides the next transition of each machine in maintenance, or records why it waits."""
 
     def __init__(
         self, member_name: str, view: FleetView, observations: Observations, findings: Findings
     ) -> None:
-        """Begins one look at the fleet.
+        """Starts one run.
 
         Args:
-            member_name: Who proposes.
-            view: What is known now.
-            observations: Since when it is known; readiness is tracked there.
-            findings: Collects why machines wait, and which jobs miss a machine.
+            member_name: The proposer.
+            view: The state of the fleet.
+            observations: Times of first observation; readiness is recorded there.
+            findings: Receives the reasons for waiting and the stuck jobs.
         """
         self._member_name = member_name
         self._view = view
@@ -63,7 +63,7 @@
         }
 
     def next_transition(self, machine_id: str, record: MachineInMaintenance) -> Transition | None:
-        """The machine's next transition; None while it waits."""
+        """Returns the next transition of a machine; None while it waits. Records its readiness."""
         machine = self._machines.get(machine_id)
         ready = machine is not None and machine.available and machine_id not in self._view.unavailable
         self._observations.track_ready(self._view.now, machine_id, machine if ready else None)
@@ -90,22 +90,20 @@
         self._findings.wait(subject.machine_id, subject.record.job, text)
 
     def _overdue(self, subject: Subject, text: str) -> None:
-        """It does not come back: what its job wants then."""
+        """Records an overdue machine, which makes its job stuck unless the job continues by policy."""
         self._wait(subject, text)
         if subject.job and subject.job.overdue_policy != OverduePolicy.CONTINUE:
             self._findings.stuck_jobs.setdefault(subject.record.job, f"{subject.machine_id}: {text}")
 
-    # --- from any phase ---
-
     def _return_early(self, subject: Subject) -> Transition | None:
-        """Brings back a machine before work on it begins, if its job stopped or the fleet sheds too much."""
+        """Returns a machine before work on it begins, if its job stopped or the fleet sheds too much."""
         phase = subject.record.phase
         if phase not in (MaintenancePhase.DRAINING, MaintenancePhase.DRAINED):
             return None
         job = subject.job
         stopping = "its work is over" if job is None or job.state == JobState.STOPPED else ""
         reason = stopping or self._findings.excess_shedding
-        # Who works by the endpoint list does not tell when it begins.
+        # Another system that works by the endpoint list does not report the start of its work.
         untouched = not subject.record.unhealthy and (job is None or job.method != WorkMethod.ENDPOINT_LIST)
         if reason and (phase == MaintenancePhase.DRAINING or untouched):
             return self._propose(subject, MaintenancePhase.RETURNING, reason)
@@ -121,11 +119,11 @@
         return self._propose(subject, MaintenancePhase.REPLACED, f"{replacement} came in its place")
 
     def _find_replacement(self, subject: Subject) -> str:
-        """One that came up in the place of a machine that is listed no longer, and of no other's."""
+        """A machine that was first listed after the draining of an unlisted one and replaces no other."""
         observations = self._observations
         out_since = observations.out_since(subject.machine_id, subject.record.out_index)
         if out_since == observations.first_observed_at:
-            return ""  # who was listed before it went out is not known here: an operator has to say
+            return ""  # this voter did not observe the list before the draining: an operator decides
         state = self._view.state
         replacements = {
             record.reason.partition(" ")[0]
@@ -142,15 +140,13 @@
         )
         return min(candidates, default="")
 
-    # --- each phase ---
-
     def _finish_drain(self, subject: Subject) -> Transition | None:
         holders = self._view.blocking_holders(subject.machine_id, subject.record.out_index)
         if holders:
             self._wait(subject, holders)
             return None
         unresolved = self._view.unresolved_requests.get(subject.machine_id, [])
-        named = ", ".join(unresolved[:MAX_REQUESTS_NAMED])
+        named = ", ".join(unresolved[:MAX_LISTED_REQUESTS])
         return self._propose(subject, MaintenancePhase.DRAINED, f"may go on there: {named}" if named else "")
 
     def _start_work(self, subject: Subject) -> Transition | None:
@@ -187,7 +183,7 @@
         )
 
     def _choose_executor(self, machine_id: str) -> str:
-        """The proposer itself, or else another voter; none that is in maintenance."""
+        """The proposer, or another voter, that is not in maintenance; empty for none."""
         present = [
             name
             for name in self._view.executors
@@ -210,7 +206,7 @@
         died = incarnation != record.executor_incarnation
         if died:
             lost = f"{record.executor} died over its command"
-        elif subject.known_for > work_ticks + COMMAND_OUTCOME_MARGIN:
+        elif subject.known_for > work_ticks + COMMAND_OUTCOME_MARGIN_TICKS:
             lost = f"nothing heard of its command from {record.executor}"
         else:
             self._wait(subject, f"its command runs at {record.executor}")
@@ -227,7 +223,7 @@
         )
 
     def _share_absence(self, subject: Subject) -> Transition | None:
-        """Another job that covers the machine takes it while it is out anyway, if both allow that."""
+        """Assigns an absent machine to a further job that covers it, if both jobs allow that."""
         own = subject.job
         if not own or not own.joint_absence_allowed or not subject.machine:
             return None
@@ -247,7 +243,7 @@
         return None
 
     def _may_join(self, specification: JobSpecification, job: MaintenanceJob, machine: Machine) -> bool:
-        """Whether a job could take a machine that is out for another one."""
+        """Whether a job may work on a machine during its absence for another job."""
         view = self._view
         return (
             job.covers(machine)
@@ -281,13 +277,13 @@
         good = answers - bad
         if answers >= max(job.min_answers, 1) and good < job.min_good_share * answers:
             return self._propose(subject, MaintenancePhase.UNHEALTHY, f"{bad} of {answers} answers were bad")
-        # Lost and started anew while it is watched, it is cold again.
+        # A restart during the watch begins a new slow start.
         ready_for = self._view.now - self._observations.ready_since(subject.machine_id)
         watched_for = min(subject.known_for, ready_for)
         if watched_for < watch_ticks:
             self._wait(subject, f"watched and warming for {watch_ticks / TICKS_PER_SECOND:g} s")
             return None
-        if answers < job.min_answers and watched_for < UNOBSERVED_WATCH_FACTOR * watch_ticks:
+        if answers < job.min_answers and watched_for < MAX_WATCH_FACTOR * watch_ticks:
             self._wait(subject, f"{answers} of {job.min_answers} answers seen")
             return None
         seen = f"{good} of {answers} answers were good" if answers else "no answer of it was seen"
--- a/crankfold/maintenance/observations.py
+++ b/crankfold/maintenance/observations.py
@@ -1,4 +1,4 @@
-"""Since when a voter has known of machines and transitions: all that a coordinator remembers of them."""
+"""The times at which a voter first observed machines, transitions and starts."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,22 +12,22 @@
     """A start of a machine that is listed as ready."""
 
     started_at: int  # as listed
-    since: int  # when it was seen first; ticks of the voter's own clock
+    since: int  # when it was first observed
 
 
 class Observations:
-    """Kept by every voter, so that any one can go on where another was. Times are ticks of its own clock."""
+    """Recorded at every voter, so that each can continue as the leader. Times are ticks of its clock."""
 
     def __init__(self) -> None:
-        """Begins with nothing observed."""
+        """Starts without observations."""
         self.first_observed_at: int | None = None
-        self._first_seen: dict[str, int] = {}  # by machine, since when any list had it
-        self._known_since: dict[tuple[str, int], int] = {}  # by machine and its last transition
-        self._out_since: dict[tuple[str, int], int] = {}  # by machine and the transition by which it is out
+        self._first_seen: dict[str, int] = {}  # by machine: when an endpoint list first had it
+        self._known_since: dict[tuple[str, int], int] = {}  # by machine and index of its last transition
+        self._out_since: dict[tuple[str, int], int] = {}  # by machine and index of its draining
         self._ready: dict[str, ReadyStart] = {}
 
     def observe(self, now: int, state: MaintenanceState, machines: Sequence[Machine]) -> None:
-        """Takes note of what is new, and forgets what is over."""
+        """Records new machines and transitions, and drops those of ended maintenance."""
         if self.first_observed_at is None:
             self.first_observed_at = now
         for machine in machines:
@@ -41,7 +41,7 @@
         }
 
     def track_ready(self, now: int, machine_id: str, machine: Machine | None) -> None:
-        """Takes note of a machine in maintenance that is ready now; `machine` is None for one that is not."""
+        """Records whether a machine in maintenance is ready; `machine` is None for one that is not."""
         if machine is None:
             self._ready.pop(machine_id, None)
             return
@@ -50,17 +50,17 @@
             self._ready[machine_id] = ReadyStart(machine.started_at, now)
 
     def known_since(self, machine_id: str, last_index: int) -> int:
-        """When the machine's last transition was known here first."""
+        """When this voter first observed the machine's last transition."""
         return self._known_since[machine_id, last_index]
 
     def out_since(self, machine_id: str, out_index: int) -> int:
-        """When the transition by which the machine is out was known here first."""
+        """When this voter first observed the draining of the machine."""
         return self._out_since[machine_id, out_index]
 
     def first_seen(self, machine_id: str) -> int:
-        """When any list had the machine first."""
+        """When this voter first observed the machine on an endpoint list."""
         return self._first_seen[machine_id]
 
     def ready_since(self, machine_id: str) -> int:
-        """When the present start of a machine was seen as ready first."""
+        """When this voter first observed the present start of a machine as ready."""
         return self._ready[machine_id].since
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -1,51 +1,51 @@
-"""Which machines may go out next, and why the others wait. The same facts give the same answer everywhere."""
+"""Decides which machines may be drained next, and why the others wait: a function of its inputs."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass, field, replace
 from typing import Final, NamedTuple
 
-SHARE_TOLERANCE: Final = 1e-9  # for the rounding of sums of sizes
+SHARE_TOLERANCE: Final = 1e-9  # covers the rounding of sums of sizes
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A backend or a dispatcher as the endpoint list or the fleet shows it."""
+    """A backend on the endpoint list, or a dispatcher of the cluster."""
 
     machine_id: str
     zone: str = ""
-    instance_type: str = ""  # of a dispatcher "voter" or "follower"
+    instance_type: str = ""  # for a dispatcher "voter" or "follower"
     cell: str = ""
     size: float = 1.0  # as listed
-    started_at: int = 0  # tenths of a millisecond; of a dispatcher its incarnation
-    available: bool = True  # gets requests: neither out nor lost, and warm
-    discovered: bool = True  # on the endpoint list now, not only remembered from earlier ones
+    started_at: int = 0  # ticks; for a dispatcher its incarnation
+    available: bool = True  # gets requests: ready, not absent and past its slow start
+    discovered: bool = True  # on the present endpoint list
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceJob:
-    """What is wanted, and within which bounds. A bound of 0 is none."""
+    """A job with its machines and bounds; 0 for no bound."""
 
     name: str
-    machine_ids: frozenset[str] = frozenset()  # these, or by what follows; nothing of it is all
+    machine_ids: frozenset[str] = frozenset()  # empty for any, as for the next three
     zones: frozenset[str] = frozenset()
     instance_types: frozenset[str] = frozenset()
     cells: frozenset[str] = frozenset()
-    started_before: int = 0  # tenths of a millisecond
+    started_before: int = 0  # ticks
     max_out: int = 1
     max_out_per_zone: int = 0
     max_out_per_instance_type: int = 0
     max_out_per_cell: int = 0
-    min_remaining_share: float = 0.0  # of the listed sizes that stays available, in all
-    min_remaining_zone_share: float = 0.0  # and in each zone
+    min_remaining_share: float = 0.0  # of the listed sizes, to remain available
+    min_remaining_zone_share: float = 0.0  # the same in each zone
     not_before_ms: int = 0  # since the epoch
     not_after_ms: int = 0
-    exclusive_with: frozenset[str] = frozenset()  # jobs that may not be under way at the same time
-    after: frozenset[str] = frozenset()  # jobs that have to be done first
-    last_machine_id: str = ""  # goes when all others are done
+    exclusive_with: frozenset[str] = frozenset()  # jobs that may not be active at the same time
+    after: frozenset[str] = frozenset()  # jobs to be completed before
+    last_machine_id: str = ""  # drained after all others
 
     def covers(self, machine: Machine) -> bool:
-        """Whether the job is about this machine."""
+        """Whether the job includes the machine."""
         return (
             (not self.machine_ids or machine.machine_id in self.machine_ids)
             and (not self.zones or machine.zone in self.zones)
@@ -56,7 +56,7 @@
 
 
 class MachineJob(NamedTuple):
-    """A machine and the name of a job that is about it."""
+    """A machine and the name of a job that covers it."""
 
     machine_id: str
     job: str
@@ -64,33 +64,33 @@
 
 @dataclass(slots=True)
 class Schedule:
-    """Who goes out, and who waits."""
+    """The result of scheduling."""
 
-    departures: list[MachineJob] = field(default_factory=list)  # in this order
-    wait_reasons: dict[MachineJob, str] = field(default_factory=dict)  # of the others
+    departures: list[MachineJob] = field(default_factory=list)  # machines to drain, in order
+    wait_reasons: dict[MachineJob, str] = field(default_factory=dict)  # why each other machine waits
 
 
 def no_extra_check(_machine: Machine, _out: Collection[str]) -> str:
-    """Nothing but the jobs' own bounds holds a machine."""
+    """Permits every machine."""
     return ""
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulingFacts:
-    """What is known at the moment when machines are chosen."""
+    """The input of scheduling."""
 
     machines: Sequence[Machine]
-    out: Iterable[tuple[str, str]]  # machine and job of what is out
-    completed: Collection[tuple[str, str]]  # machine and job of what is done with
+    out: Iterable[tuple[str, str]]  # absent machines, each with its job
+    completed: Collection[tuple[str, str]]  # completed machines, each with the job
     now_ms: int  # since the epoch
-    # What else holds a machine, given the ids of those that are out already; "" for nothing.
+    # Given a machine and the ids of absent ones: why it may not be drained; empty if it may.
     extra_check: Callable[[Machine, Collection[str]], str] = no_extra_check
-    # Take no more machines, but their bounds hold while theirs are out.
+    # Jobs that drain no more machines; their bounds apply while machines are absent for them.
     halted_jobs: Sequence[MaintenanceJob] = ()
 
 
 def infeasibility_reason(job: MaintenanceJob, machines: Sequence[Machine]) -> str:
-    """The bound under which the job could never take a single one of its machines out, or ""."""
+    """The bound that prevents the job from ever draining some machine of its own; empty for none."""
     covered = [machine for machine in machines if job.covers(machine)]
     if not covered:
         return "no machine is meant"
@@ -105,33 +105,32 @@
 
 
 def outside_time_window(job: MaintenanceJob, now_ms: int) -> str:
-    """Why the job may take no machine out at this time, or ""."""
+    """The reason why the job may not drain machines at `now_ms`; empty if it may."""
     if now_ms < job.not_before_ms:
         return "not before its time"
     return "after its time" if job.not_after_ms and now_ms >= job.not_after_ms else ""
 
 
 def schedule(jobs: Sequence[MaintenanceJob], facts: SchedulingFacts) -> Schedule:
-    """Chooses the machines that go out now, and says why each other one waits.
+    """Decides which machines to drain now.
 
-    Jobs take turns, the one with the least part of its machines done first, so that a small one does not
-    wait for a large one. A machine that two jobs want goes out for the first; the other finds it out and
-    waits.
+    The job with the smallest completed share of its machines is served first, so that a small job does not
+    wait for a large one. A machine of two jobs is drained for the first of them; the second job waits.
     """
     return _SchedulingRun(jobs, facts).run()
 
 
 class _Occupancy:
-    """What is available and what is out, counted once and kept as machines go."""
+    """Available sizes and absent machines by area and group, updated as machines are drained."""
 
     def __init__(
         self, jobs: Sequence[MaintenanceJob], machines: Sequence[Machine], out_for: dict[str, str]
     ) -> None:
-        self.out_for = out_for  # by machine, the job for which it is out
+        self.out_for = out_for  # the job, by absent machine
         self.total_size: dict[str, float] = defaultdict(float)  # by area
         self.available_size: dict[str, float] = defaultdict(float)
         self.covered = {job.name: [machine for machine in machines if job.covers(machine)] for job in jobs}
-        # Of each job's machines those that are out or lost: in all, and by zone, instance type and cell.
+        # By job: its unavailable machines, in total and by zone, instance type and cell.
         self.out_counts: dict[str, Counter[tuple[str, str]]] = {job.name: Counter() for job in jobs}
         self.jobs = jobs
         for machine in machines:
@@ -145,7 +144,7 @@
 
     @staticmethod
     def _areas(machine: Machine) -> tuple[str, str]:
-        """The whole fleet, which is "", and the machine's zone."""
+        """The areas of a machine: the fleet, with the empty name, and its zone."""
         return "", f"zone {machine.zone}"
 
     def _count_out(self, machine: Machine) -> None:
@@ -160,7 +159,7 @@
                 self.out_counts[job.name].update(groups)
 
     def take_out(self, machine: Machine, job: str) -> None:
-        """Counts a machine as out from now on."""
+        """Counts a machine as absent."""
         self.out_for[machine.machine_id] = job
         if machine.available:
             for area in self._areas(machine):
@@ -168,12 +167,12 @@
             self._count_out(machine)
 
     def available_share(self, zone: str) -> float:
-        """Of the listed sizes of a zone."""
+        """The available share of the listed sizes of a zone."""
         return self.available_size[f"zone {zone}"] / (self.total_size[f"zone {zone}"] or 1.0)
 
     def exceeded_bound(self, job: MaintenanceJob, machine: Machine) -> str:
-        """The bound of the job that would not hold with this machine out, or ""."""
-        # An unplanned loss takes a place too: what is out of a zone is out, whoever took it.
+        """The bound of the job that draining the machine would exceed; empty for none."""
+        # Machines that failed or are absent for other jobs count as well.
         counts = self.out_counts[job.name]
         own = 0 if machine.available else 1
         out = counts["", ""] - own
@@ -190,7 +189,7 @@
         return self.exceeded_capacity(job, machine)
 
     def exceeded_capacity(self, job: MaintenanceJob, machine: Machine) -> str:
-        """The least share that would not stay available with this machine out, or ""."""
+        """The least available share that draining the machine would violate; empty for none."""
         leaves = machine.available and machine.machine_id not in self.out_for
         for label, area, min_share in (
             ("all", "", job.min_remaining_share),
@@ -204,7 +203,7 @@
 
 
 class _SchedulingRun:
-    """One choice of machines; the occupancy changes as they go."""
+    """One run of the scheduler; the occupancy changes with each drained machine."""
 
     def __init__(self, jobs: Sequence[MaintenanceJob], facts: SchedulingFacts) -> None:
         self._jobs = jobs
@@ -240,7 +239,7 @@
         return result
 
     def _in_order(self, job: MaintenanceJob) -> list[Machine]:
-        """Spread over zones: from where the most is available, then by id."""
+        """The remaining machines, from the zone with the largest available share first, then by id."""
         remaining = self._remaining[job.name]
         availability = {machine.zone: self._occupancy.available_share(machine.zone) for machine in remaining}
         return sorted(
@@ -278,7 +277,7 @@
         return self._occupancy.exceeded_bound(job, machine)
 
     def _wait_reason_of_others(self, job: MaintenanceJob, machine: Machine) -> str:
-        """Another job's bounds hold for its machines, whoever takes them out."""
+        """The bounds of another active job also apply to machines that this job drains."""
         for other in self._all_jobs:
             if other.name != job.name and other.name in self._under_way and other.covers(machine):
                 reason = self._occupancy.exceeded_bound(other, machine)
--- a/crankfold/maintenance/specification.py
+++ b/crankfold/maintenance/specification.py
@@ -1,4 +1,4 @@
-"""Maintenance jobs as operators hand them in: decoded once, and checked as a whole.
+"""Maintenance jobs as operators submit them: decoding and validation.
 
 `docs/maintenance.md` explains each key; the keys and their values are those of the users' pages.
 """
@@ -21,38 +21,38 @@
 
 
 class JobState(StrEnum):
-    """What the operators last called for."""
+    """The state of a job that operators requested last."""
 
     GO = "go"
-    HOLD = "hold"  # takes no more machines out
-    STOPPED = "stop"  # and brings back those on which no work has begun
+    HOLD = "hold"  # drains no more machines
+    STOPPED = "stop"  # also returns machines on which no work has begun
 
 
 class WorkMethod(StrEnum):
-    """Who does the work on a machine."""
+    """How the work on a machine is done."""
 
-    OPERATOR = "hand"  # operators, who call when it begins and ends
-    COMMAND = "command"  # a command that a dispatcher runs
-    ENDPOINT_LIST = "list"  # somebody else: a new start on the endpoint list shows that it is done
+    OPERATOR = "hand"  # by operators, who report its start and end
+    COMMAND = "command"  # by a command that a dispatcher runs
+    ENDPOINT_LIST = "list"  # by another system; a new start on the endpoint list ends it
 
 
 class Target(StrEnum):
-    """Which machines a job is about."""
+    """The kind of machines of a job."""
 
     BACKENDS = "runners"
     DISPATCHERS = "dispatchers"
 
 
 class OverduePolicy(StrEnum):
-    """What a job does when a machine does not come back in time."""
+    """The reaction of a job to a machine that is not back in time."""
 
-    HOLD = "hold"  # takes no more machines out until it is back
+    HOLD = "hold"  # drains no more machines until it is back
     CONTINUE = "go-on"
-    GIVE_UP = "give-up"  # the job stops by itself
+    GIVE_UP = "give-up"  # the job halts
 
 
 class JobSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
-    """One maintenance job as it was handed in."""
+    """A maintenance job as submitted; the field names are the users' keys."""
 
     reason: Annotated[str, Meta(max_length=500)] = field(name="why", default="")
     target: Target = field(name="of", default=Target.BACKENDS)
@@ -60,7 +60,7 @@
     zones: list[str] = field(default_factory=list)
     instance_types: list[str] = field(name="kinds", default_factory=list)
     cells: list[str] = field(default_factory=list)
-    started_before_ms: Count = field(name="listed-before", default=0)  # since the epoch, as lists tell starts
+    started_before_ms: Count = field(name="listed-before", default=0)  # since the epoch, as starts are listed
     max_out: Annotated[int, Meta(ge=1)] = field(name="at-once", default=1)
     max_out_per_zone: Count = field(name="a-zone", default=0)
     max_out_per_instance_type: Count = field(name="a-kind", default=0)
@@ -76,23 +76,23 @@
     )  # another job may work on a machine while out
     method: WorkMethod = field(name="way", default=WorkMethod.OPERATOR)
     command: list[str] = field(default_factory=list)
-    # The command may be run again where nobody knows whether it has run.
+    # The command may be run again if its executor died during it.
     command_repeatable: bool = field(name="again", default=False)
-    work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # at the most
+    work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # at most
     overdue_policy: OverduePolicy = field(name="not-back", default=OverduePolicy.HOLD)
     watch_seconds: Seconds = field(name="watch", default=5.0)  # after a return
     min_answers: Count = field(name="least-answers", default=5)
-    min_good_share: Fraction = field(name="well", default=0.9)  # of the answers, for a healthy machine
-    # Unhealthy machines in a row; then the job stops by itself.
+    min_good_share: Fraction = field(name="well", default=0.9)  # of the responses of a healthy machine
+    # The number of consecutive unhealthy machines at which the job halts.
     max_unhealthy_streak: Annotated[int, Meta(ge=1)] = field(name="most-unwell", default=2)
     max_shed_share: Fraction = field(name="shed-over", default=0.05)
-    # Requests that a listed size of 1 has in flight at once; 0 if that is not known.
+    # The number of concurrent requests for a listed size of 1; 0 if unknown.
     requests_per_size: Seconds = field(name="carries", default=0.0)
     state: JobState = JobState.GO
-    control_count: Count = field(name="called", default=0)  # how often operators called for a state
+    control_count: Count = field(name="called", default=0)  # counts requests for a state by operators
 
     def to_job(self, name: str) -> MaintenanceJob:
-        """What the scheduler has to know of it."""
+        """Returns the job in the scheduler's form."""
         if self.target == Target.DISPATCHERS:
             machine_ids = frozenset(f"@{machine}" for machine in self.machines)
         else:
@@ -118,7 +118,7 @@
 
 
 class JobsDocument(Struct, forbid_unknown_fields=True):
-    """The document that operators publish: all jobs by name."""
+    """The document that operators publish: jobs by name."""
 
     jobs: dict[Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,60}$")], JobSpecification] = field(
         name="works", default_factory=dict
@@ -126,22 +126,22 @@
 
 
 def parse_jobs(text: dict[str, Any]) -> dict[str, JobSpecification]:
-    """The jobs of a document, by name.
+    """Decodes the jobs of a document, by name.
 
     Raises:
-        msgspec.ValidationError: It can't be used; the message has the path, what was found and what is
-            allowed.
+        msgspec.ValidationError: The document is invalid; the message has the path, the value found and the
+            values allowed.
     """
     return msgspec.convert(text, JobsDocument).jobs
 
 
 def validation_error(text: dict[str, Any], before: dict[str, Any], machines: Sequence[Machine]) -> str:
-    """Why a jobs document could not be carried out, with path, found and allowed; or "".
+    """The first error in a jobs document: path, value found and values allowed; empty for none.
 
     Args:
         text: The document.
-        before: The version before it.
-        machines: The backends by the endpoint list; none if there is no list.
+        before: The previous version.
+        machines: The backends on the endpoint list; empty without a list.
     """
     try:
         jobs = parse_jobs(text)
@@ -181,7 +181,7 @@
 def _infeasibility_error(
     name: str, job: JobSpecification, known: JobSpecification | None, machines: Sequence[Machine]
 ) -> str:
-    # A job that goes on was checked when it was handed in; its machines may be gone by now.
+    # An unchanged job was validated before; its machines may have been removed since.
     if known and msgspec.structs.replace(known, state=job.state, control_count=job.control_count) == job:
         return ""
     if job.target != Target.BACKENDS or not machines:
@@ -191,7 +191,7 @@
 
 
 def _find_cycle(jobs: dict[str, JobSpecification], name: str, before: list[str]) -> list[str]:
-    """The jobs that wait for one another, if this one is among them."""
+    """A cycle of `after` through the named job; empty for none."""
     if name in before:
         return [*before, name] if name == before[0] else []
     for other in jobs[name].after:
--- a/crankfold/maintenance/state.py
+++ b/crankfold/maintenance/state.py
@@ -1,7 +1,7 @@
-"""The replicated state of machines in maintenance; each transition is one entry of the replicated log.
+"""The replicated state of machines in maintenance, changed by transitions in the replicated log.
 
-The same entries make the same state at every voter. A transition that does not follow from what went before
-is void: whoever proposed it decided on something that is no longer so.
+Applying the same entries yields the same state at every member. A transition whose conditions do not hold is
+void: its proposer decided on an earlier state.
 """
 
 from collections.abc import Iterable
@@ -18,11 +18,11 @@
     is_known_step,
 )
 
-IN_ROTATION: Final = (MaintenancePhase.RETURNING,)  # gets requests again, as one that warms up
-MAX_TRANSITIONS: Final = 2000
+IN_ROTATION: Final = (MaintenancePhase.RETURNING,)  # phases in which a machine gets requests
+MAX_TRANSITIONS: Final = 2000  # retained records
 
 _ENDS: Final = (MaintenancePhase.HEALTHY, MaintenancePhase.REPLACED, MaintenancePhase.CANCELLED)
-# Transitions after which the bounds of jobs have to be looked at again.
+# Transitions that change which machines are absent, and with that the bounds of jobs.
 _CHANGES_ABSENCE: Final = (
     MaintenancePhase.DRAINING,
     MaintenancePhase.RETURNING,
@@ -32,23 +32,23 @@
 
 
 def is_dispatcher_id(machine_id: str) -> bool:
-    """Whether it names a dispatcher ("@name"); no backend's id begins so."""
+    """Whether the id is that of a dispatcher ("@name"); ids of backends do not begin with "@"."""
     return machine_id.startswith("@")
 
 
 class TransitionRecord(Struct, array_like=True, frozen=True):
-    """One transition as it was committed."""
+    """A committed transition."""
 
     index: int  # in the replicated log
     machine_id: str
     job: str
     phase: MaintenancePhase
-    by: str  # the dispatcher that led, or the operator
+    by: str  # the proposing dispatcher, or the operator
     reason: str
-    at_ms: int  # wall time of whoever proposed it; shown, never compared
+    at_ms: int  # wall time of the proposer; shown, never compared
 
     def to_document(self) -> dict[str, Any]:
-        """As operators are shown it, under the names of the users' pages."""
+        """Returns the record as an answer of the admin API, whose keys are used here."""
         return {
             "index": self.index,
             "uid": self.machine_id,
@@ -61,24 +61,24 @@
 
 
 class MachineInMaintenance(Struct, array_like=True):
-    """A machine between its departure and the end of its maintenance."""
+    """A machine from the start of its draining to the end of its maintenance."""
 
     job: str
     phase: MaintenancePhase
-    out_index: int  # of the transition by which it went out; from then on requests go elsewhere
-    last_index: int  # of its last transition
-    drain_number: int = 0  # under which it was called drained; rises with each time in the whole fleet
+    out_index: int  # log index of its draining; members that applied it send no requests
+    last_index: int  # log index of its last transition
+    drain_number: int = 0  # log index of its last DRAINED transition; commands and operators refer to it
     executor: str = ""  # the dispatcher that runs its command
     executor_incarnation: int = 0
-    worked: bool = False  # the work on it has been done
-    earlier_jobs: list[str] = field(default_factory=list)  # done during the same absence
-    started_at: int = 0  # as listed when it went out, tenths of a millisecond
+    worked: bool = False  # whether the work on it is finished
+    earlier_jobs: list[str] = field(default_factory=list)  # finished during the same absence
+    started_at: int = 0  # the listed start as of its draining, in ticks
     placement: Placement = Placement()
-    unhealthy: bool = False  # found so after its return: the next transition is an operator's
+    unhealthy: bool = False  # was unhealthy after its return: the next transition is an operator's
     reason: str = ""
 
     def to_document(self) -> dict[str, Any]:
-        """As operators are shown it, under the names of the users' pages."""
+        """Returns the record as an answer of the admin API, whose keys are used here."""
         return {
             "work": self.job,
             "state": self.phase,
@@ -97,31 +97,31 @@
 
 
 class MaintenanceState(Struct, array_like=True):
-    """All of the replicated state of maintenance, as a snapshot has it."""
+    """The replicated state of maintenance, in the form of a snapshot."""
 
     machines: dict[str, MachineInMaintenance] = field(default_factory=dict)
-    # By job and machine, by which transition its maintenance ended.
+    # The final phase, by job and machine.
     completed: dict[str, dict[str, MaintenancePhase]] = field(default_factory=dict)
-    unhealthy_streaks: dict[str, int] = field(default_factory=dict)  # by job, unhealthy machines in a row
-    halted_jobs: dict[str, str] = field(default_factory=dict)  # that stopped by themselves, and why
-    begun_jobs: list[str] = field(default_factory=list)  # that have taken a machine out
-    change_count: int = 0  # of departures and returns so far
+    unhealthy_streaks: dict[str, int] = field(default_factory=dict)  # consecutive unhealthy machines, by job
+    halted_jobs: dict[str, str] = field(default_factory=dict)  # the reason, by job that halted by itself
+    begun_jobs: list[str] = field(default_factory=list)  # jobs that have drained a machine
+    change_count: int = 0  # counts transitions that change which machines are absent
     latest_wall_ms: int = 0  # the latest wall time of any transition
     transitions: list[TransitionRecord] = field(default_factory=list)
 
     def apply(self, index: int, data: dict[str, Any], jobs_version: int) -> str:
-        """Applies the transitions of a log entry, leaving out those that do not follow.
+        """Applies the transitions of a log entry, except void ones.
 
         Args:
-            index: Of the entry in the replicated log.
-            data: The entry's document; its "steps" are stored transitions.
+            index: The log index of the entry.
+            data: The data of the entry; its "steps" are stored transitions.
             jobs_version: The newest version of the jobs document.
 
         Returns:
-            Why the first void transition is void, or "".
+            The reason why the first void transition is void; empty for none.
 
         Raises:
-            msgspec.ValidationError: A step of a known name is not a stored transition.
+            msgspec.ValidationError: A step with a defined name is not a stored transition.
         """
         change_count = self.change_count
         first_void = ""
@@ -143,7 +143,13 @@
         return f"{step} does not follow {phase or 'carrying work'}"
 
     def _void_reason(self, transition: Transition, change_count: int, jobs_version: int) -> str:
-        """Why a transition does not follow, or ""; `change_count` is that before its whole entry."""
+        """The reason why a transition is void; empty if it takes effect.
+
+        Args:
+            transition: The proposed transition.
+            change_count: The count before the entry: its transitions were decided together.
+            jobs_version: The newest version of the jobs document.
+        """
         if transition.phase == MaintenancePhase.HALTED:
             return ""
         machine = self.machines.get(transition.machine_id)
@@ -152,7 +158,7 @@
             return self._does_not_follow(transition.machine_id, transition.phase)
         made_from = transition.change_count, transition.jobs_version
         if transition.phase == MaintenancePhase.DRAINING and made_from != (change_count, jobs_version):
-            # Bounds were kept by what was known then, and something else is so by now.
+            # The bounds of jobs were checked against an earlier state.
             return "decided before the last change"
         if machine is None:
             return ""
@@ -227,20 +233,24 @@
         del self.transitions[:-MAX_TRANSITIONS]
 
     def out_of_rotation(self) -> set[str]:
-        """The ids of machines that get no requests."""
+        """The ids of machines to which no requests are sent."""
         return {
             machine_id for machine_id, machine in self.machines.items() if machine.phase not in IN_ROTATION
         }
 
     def completed_pairs(self) -> set[tuple[str, str]]:
-        """Machines whose maintenance has ended, each with the job that it ended for."""
+        """Machines with completed maintenance, each with the job."""
         return {(machine_id, job) for job, ended in self.completed.items() for machine_id in ended}
 
     def jobs_changed(self, before: dict[str, Any], jobs: dict[str, Any]) -> None:
-        """Takes note of another version of the jobs document, of which both are the stored jobs by name.
+        """Handles a new version of the jobs document.
+
+        A removed job is forgotten, so that a later job of that name is new. A changed job that had halted
+        continues.
 
-        A job under the name of one that was taken away is new. One that was changed goes on, though it had
-        stopped by itself.
+        Args:
+            before: The stored jobs of the previous version, by name.
+            jobs: The stored jobs of the new version, by name.
         """
         self._forget(name for name in self._remembered_jobs() if name not in jobs)
         self.begun_jobs = [name for name in self.begun_jobs if name in jobs]
@@ -260,7 +270,7 @@
 
 def _drained(machine: MachineInMaintenance, index: int, job: str) -> None:
     machine.drain_number = index
-    if job != machine.job:  # another job's turn, during the same absence
+    if job != machine.job:  # the machine stays out for a further job
         machine.earlier_jobs.append(machine.job)
         machine.job = job
         machine.worked = False
--- a/crankfold/maintenance/transitions.py
+++ b/crankfold/maintenance/transitions.py
@@ -1,7 +1,7 @@
 """The transitions of a machine through maintenance, and their stored form in the replicated log.
 
-`docs/maintenance.md` has the table of transitions. The stored names and the order of the stored keys stay as
-they are, so that a log entry has the same bytes whichever version of the program wrote it.
+`docs/maintenance.md` has the table of transitions. Stored names and the order of stored keys are a file
+format: each version of the program writes the same bytes for the same log entry.
 """
 
 from enum import StrEnum
@@ -12,23 +12,31 @@
 
 
 class MaintenancePhase(StrEnum):
-    """Where a machine is in maintenance; also the name of the transition that leads there."""
+    """The phase of a machine in maintenance, and the transition into it; values are stored."""
 
-    IN_SERVICE = ""  # not in maintenance at all; never stored
+    IN_SERVICE = ""  # not in maintenance; never stored
     DRAINING = "out"  # gets no new requests
-    DRAINED = "free"  # nobody sends or holds requests there any more
+    DRAINED = "free"  # no member sends requests to it or has one in flight there
     IN_WORK = "work"
     WORK_DONE = "ended"
     WORK_FAILED = "failed"
-    RETURNING = "back"  # gets requests again, and is watched while it warms up
-    HEALTHY = "well"  # the end: worked on and back
-    UNHEALTHY = "unwell"  # answered badly after its return, and is out again
-    REPLACED = "gone"  # the end: another machine came in its place
-    CANCELLED = "undone"  # the end: back without having been worked on
-    HALTED = "halt"  # of a job, not of a machine: it takes no more machines out
-
-
-# From where each transition may be made. HEALTHY, REPLACED and CANCELLED end a machine's maintenance.
+    RETURNING = "back"  # gets requests again, under observation while it warms up
+    HEALTHY = "well"  # final: in service again after the work
+    UNHEALTHY = "unwell"  # gave bad responses after its return, so it is drained again
+    REPLACED = "gone"  # final: another machine replaces it
+    CANCELLED = "undone"  # final: in service again without work
+    HALTED = "halt"  # a transition of a job, not of a machine: the job drains no more machines
+
+
+# Phases of a machine that is drained and on which no work runs.
+_IDLE_PHASES: Final = (
+    MaintenancePhase.DRAINED,
+    MaintenancePhase.WORK_DONE,
+    MaintenancePhase.WORK_FAILED,
+    MaintenancePhase.UNHEALTHY,
+)
+
+# The phases from which each transition is allowed. HEALTHY, REPLACED and CANCELLED are final.
 ALLOWED_FROM: dict[MaintenancePhase, tuple[MaintenancePhase, ...]] = {
     MaintenancePhase.DRAINING: (MaintenancePhase.IN_SERVICE,),
     MaintenancePhase.DRAINED: (
@@ -44,13 +52,7 @@
         MaintenancePhase.IN_WORK,
         MaintenancePhase.WORK_FAILED,
     ),
-    MaintenancePhase.RETURNING: (
-        MaintenancePhase.DRAINING,
-        MaintenancePhase.DRAINED,
-        MaintenancePhase.WORK_DONE,
-        MaintenancePhase.WORK_FAILED,
-        MaintenancePhase.UNHEALTHY,
-    ),
+    MaintenancePhase.RETURNING: (MaintenancePhase.DRAINING, *_IDLE_PHASES),
     MaintenancePhase.HEALTHY: (MaintenancePhase.RETURNING,),
     MaintenancePhase.CANCELLED: (MaintenancePhase.RETURNING,),
     MaintenancePhase.UNHEALTHY: (
@@ -58,21 +60,14 @@
         MaintenancePhase.WORK_FAILED,
         MaintenancePhase.DRAINED,
     ),
-    MaintenancePhase.REPLACED: (
-        MaintenancePhase.DRAINED,
-        MaintenancePhase.IN_WORK,
-        MaintenancePhase.WORK_DONE,
-        MaintenancePhase.WORK_FAILED,
-        MaintenancePhase.RETURNING,
-        MaintenancePhase.UNHEALTHY,
-    ),
+    MaintenancePhase.REPLACED: (MaintenancePhase.IN_WORK, MaintenancePhase.RETURNING, *_IDLE_PHASES),
 }
 
 _STEP_NAMES: Final = frozenset(phase.value for phase in MaintenancePhase)
 
 
 class Placement(NamedTuple):
-    """What the endpoint list said of a machine when it went out; stored as an array of four."""
+    """The listed attributes of a machine as of its draining; stored as an array of four."""
 
     zone: str = ""
     instance_type: str = ""
@@ -81,13 +76,13 @@
 
 
 class Transition(Struct, frozen=True, kw_only=True):
-    """A transition that somebody proposes; it holds once it is committed and does follow.
+    """A proposed transition. It takes effect when it is committed, if its conditions hold then.
 
-    Fields that are None are left out of the stored form. The conditions (`last_index`, `drain_number`,
-    `change_count`, `jobs_version`) say what the proposer knew: if it is no longer so, the transition is void.
+    The conditions are `last_index`, `drain_number`, `change_count` and `jobs_version`: the state that the
+    proposer decided on. Fields that are None are left out of the stored form.
     """
 
-    machine_id: str = field(name="uid")  # "" for a halt, "@name" for a dispatcher
+    machine_id: str = field(name="uid")  # empty for a halt, "@name" for a dispatcher
     job: str = field(name="work")
     phase: MaintenancePhase = field(name="step")
     by: str  # the dispatcher that leads or runs the command, or an operator
@@ -102,7 +97,7 @@
     placement: Placement | None = field(name="place", default=None)
 
 
-# The order of the stored keys, by who proposes.
+# The order of the stored keys, by proposer.
 _DEPARTURE_KEYS: Final = ("step", "by", "made_from", "plan", "why", "uid", "work", "start", "place", "at")
 _HALT_KEYS: Final = ("uid", "work", "step", "by", "why", "at")
 _COORDINATOR_KEYS: Final = ("uid", "work", "last", "by", "why", "step", "life", "at")
@@ -111,7 +106,7 @@
 
 
 def coordinator_document(transition: Transition) -> dict[str, Any]:
-    """The stored form of a transition that a coordinator proposes."""
+    """Returns the stored form of a transition that the coordinator proposes."""
     if transition.phase == MaintenancePhase.DRAINING:
         return _document(transition, _DEPARTURE_KEYS)
     if transition.phase == MaintenancePhase.HALTED:
@@ -120,12 +115,12 @@
 
 
 def operator_document(transition: Transition) -> dict[str, Any]:
-    """The stored form of a transition that an operator calls for."""
+    """Returns the stored form of a transition that an operator requests."""
     return _document(transition, _OPERATOR_KEYS)
 
 
 def outcome_document(transition: Transition) -> dict[str, Any]:
-    """The stored form of the transition by which a dispatcher reports what became of a command."""
+    """Returns the stored form of the outcome of a command, which its executor proposes."""
     return _document(transition, _OUTCOME_KEYS)
 
 
@@ -135,14 +130,14 @@
 
 
 def is_known_step(name: object) -> bool:
-    """Whether a stored step name is one that this version of the program knows."""
+    """Whether this version of the program defines a stored step name."""
     return name in _STEP_NAMES
 
 
 def decode_transition(document: dict[str, Any]) -> Transition:
-    """The transition of a stored document.
+    """Decodes the stored form of a transition.
 
     Raises:
-        msgspec.ValidationError: The document is not a transition.
+        msgspec.ValidationError: The document is not a stored transition.
     """
     return msgspec.convert(document, Transition)
