--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -4,20 +4,21 @@
 import logging
 import secrets
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Protocol
 
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.cluster.config import ClusterConfig, parse_address
 from crankfold.cluster.framing import PROTOCOL_VERSION, Hello
 from crankfold.cluster.raft_storage import RaftStorage
-from crankfold.cluster.status import cluster_status
+from crankfold.cluster.status import StatusDocument, cluster_status
 from crankfold.cluster.transport import Transport
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import VoterHost
-from crankfold.consensus.messages import Message, ProposalResponse
-from crankfold.consensus.raft_state import Ready
+from crankfold.consensus.messages import DocumentContent, EntryData, Message, ProposalResponse
+from crankfold.consensus.raft_state import OutgoingMessage, Ready
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
+from crankfold.maintenance.transitions import TransitionDocument
 from crankfold.network.metrics import Metrics
 from crankfold.time_units import TICKS_PER_SECOND
 
@@ -43,7 +44,7 @@
     def proposal_answered(self, response: ProposalResponse) -> None:
         """Handles the response to a proposal of this process."""
 
-    def propose_transitions(self, member: "ClusterMember", now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, member: "ClusterMember", now: int) -> list[TransitionDocument]:
         """The transitions of machines to propose at `now`, in their stored form."""
 
 
@@ -74,7 +75,7 @@
         metrics: Metrics,
         owner: MemberOwner,
         host: VoterHost,
-        initial_settings: dict[str, Any],
+        initial_settings: DocumentContent,
     ) -> None:
         """Creates a voter with `storage`, or a follower without; `open` starts it."""
         self.disabled_reason = ""
@@ -109,7 +110,7 @@
         storage: RaftStorage,
         incarnation: int,
         host: VoterHost,
-        initial_settings: dict[str, Any],
+        initial_settings: DocumentContent,
     ) -> Voter:
         if storage.startup_notice:
             logger.info("%s", storage.startup_notice)
@@ -162,7 +163,7 @@
             return self.consensus.rejection_reason or isolated
         return "" if self.consensus.effective_content("settings") else "no settings count yet"
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> StatusDocument:
         """The state of the cluster at this member, as an answer of the admin API."""
         return cluster_status(
             self.consensus,
@@ -171,7 +172,7 @@
             inactive_reason=self.inactive_reason(),
         )
 
-    def propose(self, proposal_id: str, kind: str, data: dict[str, Any]) -> None:
+    def propose(self, proposal_id: str, kind: str, data: EntryData) -> None:
         """Proposes an entry; its outcome goes to `MemberOwner.proposal_answered`.
 
         Args:
@@ -188,7 +189,7 @@
             return "no voter"
         return self.consensus.admission_error(hello.name, hello.folder_id) if hello.folder_id else ""
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """The transitions of machines to propose at `now`, in their stored form."""
         return self._owner.propose_transitions(self, now)
 
@@ -260,7 +261,7 @@
         voter.advance(boottime_ticks(), ready)
         self._process_output()
 
-    def _send(self, messages: list[tuple[str, Message]]) -> None:
+    def _send(self, messages: list[OutgoingMessage]) -> None:
         for receiver, message in messages:
             self._transport.send(receiver, message)
 
--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -4,7 +4,7 @@
 import logging
 import secrets
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from crankfold.cluster.cluster_member import ClusterMember, open_storage
 from crankfold.cluster.config import ClusterConfig
@@ -14,12 +14,14 @@
     StorageError,
     StorageUnavailableError,
 )
+from crankfold.cluster.status import StatusDocument
 from crankfold.consensus.conservative_merge import DOCUMENTS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import VoterHost
-from crankfold.consensus.messages import ProposalResponse
+from crankfold.consensus.messages import DocumentContent, EntryData, ProposalResponse
 from crankfold.consensus.proposals import NO_LEADER, rejected
 from crankfold.consensus.voter import Voter
+from crankfold.maintenance.transitions import TransitionDocument
 from crankfold.network.metrics import Metrics
 
 PROPOSAL_RETRY_SECONDS = 0.5
@@ -36,7 +38,7 @@
     def documents_changed(self, names: set[str]) -> None:
         """Handles a change of the effective contents of the named documents."""
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """The transitions of machines to propose at `now`, in their stored form; none unless it leads."""
 
 
@@ -59,7 +61,7 @@
         *,
         metrics: Metrics,
         dispatcher: Dispatcher,
-        initial_settings: dict[str, Any],
+        initial_settings: DocumentContent,
     ) -> None:
         """Creates the first member, and opens the storage of a voter.
 
@@ -173,7 +175,7 @@
         """The reason why the dispatcher does not act on the documents; empty if it does."""
         return self.member.inactive_reason()
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> StatusDocument:
         """The state of the cluster at this node, as an answer of the admin API."""
         return self.member.status()
 
@@ -193,7 +195,7 @@
         if member is self.member:
             self._takeover_task = asyncio.get_running_loop().create_task(self._replace_failed_voter(member))
 
-    def propose_transitions(self, member: ClusterMember, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, member: ClusterMember, now: int) -> list[TransitionDocument]:
         """The transitions that the dispatcher proposes, for the present member only."""
         return self._dispatcher.propose_transitions(now) if member is self.member else []
 
@@ -206,7 +208,7 @@
     # --- called by the dispatcher ---
 
     async def propose(
-        self, kind: str, data: dict[str, Any], proposal_id: str, max_seconds: float
+        self, kind: str, data: EntryData, proposal_id: str, max_seconds: float
     ) -> ProposalResponse:
         """Proposes an entry, repeatedly, until there is an outcome.
 
--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -7,12 +7,14 @@
 from crankfold.consensus.voter import Voter
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
+StatusDocument = dict[str, Any]  # a JSON object with the keys of the admin API
+
 _REPORTED_REMOTE_STATES = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
 
 
 def cluster_status(
     consensus: Voter | Follower, now: int, *, acts: bool, inactive_reason: str
-) -> dict[str, Any]:
+) -> StatusDocument:
     """Returns the answer of the admin API.
 
     Args:
@@ -21,7 +23,7 @@
         acts: Whether the member holds a lease.
         inactive_reason: Why the member does not act on its documents; empty if it does.
     """
-    status: dict[str, Any] = {
+    status: StatusDocument = {
         "name": consensus.name,
         "acts": acts,
         "why-not": inactive_reason,
@@ -42,7 +44,7 @@
     return status
 
 
-def _leader_status(voter: Voter, now: int) -> dict[str, Any]:
+def _leader_status(voter: Voter, now: int) -> StatusDocument:
     raft = voter.raft
     return {
         "leases-ms": {
@@ -57,7 +59,7 @@
     }
 
 
-def _own_lease_holders(voter: Voter, now: int) -> list[dict[str, Any]]:
+def _own_lease_holders(voter: Voter, now: int) -> list[StatusDocument]:
     return [
         {
             "name": name,
@@ -72,7 +74,7 @@
     ]
 
 
-def _remote_lease_holders(voter: Voter) -> list[dict[str, Any]]:
+def _remote_lease_holders(voter: Voter) -> list[StatusDocument]:
     return [
         {
             "name": status.name,
--- a/crankfold/consensus/conservative_merge.py
+++ b/crankfold/consensus/conservative_merge.py
@@ -8,7 +8,8 @@
 """
 
 from collections.abc import Callable
-from typing import Any
+
+from crankfold.consensus.messages import DocumentContent
 
 SETTINGS = "settings"
 DRAINED_BACKENDS = "runners-out"
@@ -26,8 +27,6 @@
 _BOUNDED_SETTINGS = ("most-dispatches", "most-held", "max-retry-after")
 _PERMISSION_SETTINGS = ("second-copies", "probing", "cancel")
 
-Content = dict[str, Any]
-
 
 def _rank(scale: tuple[str, ...], value: object) -> int:
     """The position of a value on a scale from most to least permissive."""
@@ -43,7 +42,7 @@
     return min(first, second)
 
 
-def merge_request_class(old: Content, new: Content) -> Content:
+def merge_request_class(old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges two versions of one request class."""
     merged = dict(new)
     rank = max(_rank(IDEMPOTENCY_LEVELS, version.get("effect")) for version in (old, new))
@@ -57,7 +56,7 @@
     return merged
 
 
-def merge_settings(old: Content, new: Content) -> Content:
+def merge_settings(old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges two versions of the settings: the request classes of both, and the tighter permissions."""
     merged = dict(new)
     old_classes = {request_class["name"]: request_class for request_class in old.get("service-grades", ())}
@@ -80,12 +79,12 @@
     return merged
 
 
-def merge_backend_lists(old: Content, new: Content) -> Content:
+def merge_backend_lists(old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges two sets of drained or excluded backends: their union."""
     return {"runners": {**old.get("runners", {}), **new.get("runners", {})}}
 
 
-def merge_limits(old: Content, new: Content) -> Content:
+def merge_limits(old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges the cluster-wide limits on open requests: the lower limit of each name."""
     old_limits = old.get("limits", {})
     new_limits = new.get("limits", {})
@@ -97,7 +96,7 @@
     }
 
 
-def merge_quotas(old: Content, new: Content) -> Content:
+def merge_quotas(old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges two allocations: a member has the lower of its two quotas of each limit.
 
     A member that only one of them names has no quota.
@@ -116,12 +115,12 @@
     return {"shares": merged}
 
 
-def merge_maintenance(old: Content, new: Content) -> Content:  # noqa: ARG001 - as all merge functions
+def merge_maintenance(old: DocumentContent, new: DocumentContent) -> DocumentContent:  # noqa: ARG001 - as all merge functions
     """Returns the newer jobs: only the leader acts on them, and a transition names the version it is from."""
     return new
 
 
-_MERGE_FUNCTIONS: dict[str, Callable[[Content, Content], Content]] = {
+_MERGE_FUNCTIONS: dict[str, Callable[[DocumentContent, DocumentContent], DocumentContent]] = {
     SETTINGS: merge_settings,
     DRAINED_BACKENDS: merge_backend_lists,
     EXCLUDED_BACKENDS: merge_backend_lists,
@@ -131,7 +130,7 @@
 }
 
 
-def conservative_merge(document: str, old: Content, new: Content) -> Content:
+def conservative_merge(document: str, old: DocumentContent, new: DocumentContent) -> DocumentContent:
     """Merges version `old` of the named document with the later version `new`.
 
     Raises:
--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -3,10 +3,9 @@
 Times and durations are ticks of a tenth of a millisecond.
 """
 
-from typing import Any
-
 from crankfold.consensus.member import Member, MemberHost
 from crankfold.consensus.messages import (
+    EntryData,
     FollowerHeartbeat,
     FollowerUpdate,
     Leave,
@@ -15,6 +14,7 @@
     ProposalResponse,
     Rejection,
 )
+from crankfold.consensus.raft_state import OutgoingMessage
 from crankfold.consensus.random_numbers import RandomNumbers
 from crankfold.consensus.timing import Timing
 
@@ -42,7 +42,7 @@
         self._voters = sorted(voters)
         self._random = RandomNumbers(seed)
         self.voter = self._voters[self._random.below(len(self._voters))]
-        self._messages: list[tuple[str, Message]] = []
+        self._messages: list[OutgoingMessage] = []
         self._voter_contact_at = now
         self._heartbeat_due_at = now + self._random.below(timing.renew_interval)
 
@@ -50,8 +50,8 @@
         """The time at which `tick` is due."""
         return self._heartbeat_due_at
 
-    def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """Returns the messages to send, each with its receiver."""
+    def take_immediate_messages(self) -> list[OutgoingMessage]:
+        """Returns the messages to send."""
         messages = self._messages
         self._messages = []
         return messages
@@ -87,22 +87,24 @@
             quota_usage=self.host.quota_usage(),
             maintenance_report=self.host.maintenance_report(),
         )
-        self._messages.append((self.voter, heartbeat))
+        self._messages.append(OutgoingMessage(self.voter, heartbeat))
 
     def propose(
         self,
         now: int,  # noqa: ARG002 - the signature of Voter.propose
         proposal_id: str,
         kind: str,
-        data: dict[str, Any],
+        data: EntryData,
     ) -> None:
         """Sends a proposal to the voter; its outcome is added to `proposal_responses`."""
-        self._messages.append((self.voter, ProposalRequest(proposal_id, kind, data)))
+        request = ProposalRequest(proposal_id, kind, data)
+        self._messages.append(OutgoingMessage(self.voter, request))
 
     def leave(self, now: int) -> None:
         """Releases the lease and the name."""
         self.lease_expires_at = min(self.lease_expires_at, now)
-        self._messages.append((self.voter, Leave(self.name, self.incarnation)))
+        leave = Leave(self.name, self.incarnation)
+        self._messages.append(OutgoingMessage(self.voter, leave))
 
     def receive(self, now: int, sender: str, message: Message) -> None:
         """Handles a message from a voter."""
--- a/crankfold/consensus/leader_proposals.py
+++ b/crankfold/consensus/leader_proposals.py
@@ -3,14 +3,12 @@
 Times are ticks of a tenth of a millisecond.
 """
 
-from typing import Any
-
 from crankfold.consensus.activation import VersionActivator
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import EntryKind, PublishData, RegisterFolderData, entry_data
-from crankfold.consensus.messages import LeaseHolderStatus
+from crankfold.consensus.messages import DocumentContent, LeaseHolderStatus
 from crankfold.consensus.quotas import QuotaAllocator
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.timing import Timing
@@ -28,7 +26,7 @@
         documents: VersionedDocuments,
         timing: Timing,
         leases: LeaderLeases,
-        initial_settings: dict[str, Any] | None,
+        initial_settings: DocumentContent | None,
     ) -> None:
         """Starts without proposals.
 
--- a/crankfold/consensus/log_entries.py
+++ b/crankfold/consensus/log_entries.py
@@ -4,12 +4,11 @@
 """
 
 from enum import StrEnum
-from typing import Any
 
 import msgspec
-from msgspec import Struct
+from msgspec import UNSET, Struct, UnsetType
 
-from crankfold.consensus.messages import LogEntry
+from crankfold.consensus.messages import DocumentContent, EntryData, LogEntry
 
 
 class EntryKind(StrEnum):
@@ -23,6 +22,18 @@
     MAINTENANCE = "step"  # transitions of machines in maintenance
 
 
+class NoOpData(Struct):
+    """Data of a `NO_OP` entry.
+
+    Attributes:
+        by: The name of the leader.
+        folders: The folder ids, by name, of the voters that elected it; in the first entry of a log only.
+    """
+
+    by: str
+    folders: dict[str, str] | UnsetType = UNSET
+
+
 class PublishData(Struct):
     """Data of a `PUBLISH` entry.
 
@@ -42,7 +53,7 @@
     author: str
     reason: str
     at: int
-    text: dict[str, Any]
+    text: DocumentContent
 
 
 class ActivateData(Struct):
@@ -69,9 +80,9 @@
     folder: str
 
 
-def entry_data(data: PublishData | ActivateData | RegisterFolderData) -> dict[str, Any]:
-    """Returns the data of a log entry, with its keys in the stored order."""
-    return msgspec.structs.asdict(data)
+def entry_data(data: NoOpData | PublishData | ActivateData | RegisterFolderData) -> EntryData:
+    """Returns the data of a log entry: the fields in their order, which is the stored order of the keys."""
+    return {key: value for key, value in msgspec.structs.asdict(data).items() if value is not UNSET}
 
 
 def publish_data(entry: LogEntry) -> PublishData:
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -3,12 +3,19 @@
 Times are ticks of a tenth of a millisecond.
 """
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from crankfold.consensus.conservative_merge import DOCUMENTS
-from crankfold.consensus.messages import LogEntry, MaintenanceReport, ProposalResponse, Snapshot
+from crankfold.consensus.messages import (
+    DocumentContent,
+    LogEntry,
+    MaintenanceReport,
+    ProposalResponse,
+    Snapshot,
+)
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import MACHINES, VersionedDocuments
+from crankfold.maintenance.transitions import TransitionDocument
 
 
 class MemberHost(Protocol):
@@ -31,14 +38,14 @@
 class VoterHost(MemberHost, Protocol):
     """The dispatcher of a voter, which also validates documents before they are published."""
 
-    def validate_document(self, name: str, content: dict[str, Any]) -> str:
+    def validate_document(self, name: str, content: DocumentContent) -> str:
         """The reason why the content of a document is invalid; empty if it is valid."""
 
 
 class MaintenanceCoordinator(Protocol):
     """Proposes transitions of machines in maintenance at the leader."""
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """The transitions to propose at `now`, in their stored form; none unless this member leads."""
 
 
@@ -85,7 +92,7 @@
         """
         return now < self.lease_expires_at
 
-    def effective_content(self, document: str) -> dict[str, Any] | None:
+    def effective_content(self, document: str) -> DocumentContent | None:
         """The effective content of a document; None for settings of which no version is active."""
         return self.documents.effective_content(document)
 
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -11,6 +11,10 @@
 
 from msgspec import Struct, field
 
+# JSON objects with stored keys in their stored order. The modules that read their fields decode them.
+EntryData = dict[str, Any]  # the fields of a log entry
+DocumentContent = dict[str, Any]  # the content of a document
+
 MAX_UNRESOLVED_REPORTED = 5  # request ids by report and machine
 
 
@@ -20,12 +24,12 @@
     Attributes:
         term: The term of the leader that appended it.
         kind: A `log_entries.EntryKind`.
-        data: The fields of that kind. A plain dictionary, as the order of its keys is stored.
+        data: The fields of that kind.
     """
 
     term: int
     kind: str
-    data: dict[str, Any]
+    data: EntryData
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
@@ -229,7 +233,7 @@
 
     proposal_id: str
     kind: str
-    data: dict[str, Any]
+    data: EntryData
 
 
 class ProposalResponse(Struct, array_like=True, frozen=True, tag="P"):
@@ -255,7 +259,7 @@
 
     proposal_id: str
     document_name: str
-    content: dict[str, Any]
+    content: DocumentContent
 
 
 class ValidationResponse(Struct, array_like=True, frozen=True, tag="C"):
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -1,6 +1,6 @@
 """Proposals: sent by any member to the leader, validated by a majority, answered when committed."""
 
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta, Struct
@@ -9,6 +9,7 @@
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.member import VoterHost
 from crankfold.consensus.messages import (
+    DocumentContent,
     ProposalRequest,
     ProposalResponse,
     ValidationRequest,
@@ -50,7 +51,7 @@
     author: Annotated[str, Meta(max_length=MAX_AUTHOR_CHARACTERS)]
     reason: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)]
     at: int
-    text: dict[str, Any]
+    text: DocumentContent
 
 
 def read_publish(request: ProposalRequest) -> PublishProposal:
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -10,14 +10,13 @@
 on stable storage. Times and durations are ticks of a tenth of a millisecond.
 """
 
-from typing import Any
-
 from crankfold.consensus.election_timer import ElectionTimer
 from crankfold.consensus.errors import MembershipChangeError
-from crankfold.consensus.log_entries import EntryKind
+from crankfold.consensus.log_entries import EntryKind, NoOpData, entry_data
 from crankfold.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
+    EntryData,
     InstallSnapshot,
     LogEntry,
     Message,
@@ -26,7 +25,7 @@
 )
 from crankfold.consensus.progress import ProgressTracker
 from crankfold.consensus.raft_log import RaftLog
-from crankfold.consensus.raft_state import PersistentState, Ready, ReadyBuilder, Role
+from crankfold.consensus.raft_state import OutgoingMessage, PersistentState, Ready, ReadyBuilder, Role
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter_registry import VoterRegistry
 
@@ -180,11 +179,12 @@
         self.leader_since = now
         self.progress.reset(self.voters, self.log.last_index())
         self.term_start_index = self.log.last_index() + 1
-        data: dict[str, Any] = {"by": self.name}
+        data = NoOpData(by=self.name)
         if self.term_start_index == 1:
             # Registers the voters of the first election, as only registered voters may vote later.
-            data["folders"] = self.registry.folder_ids_of(self.votes_granted)
-        self._write_entries(self.term_start_index, [LogEntry(self.term, EntryKind.NO_OP, data)])
+            data.folders = self.registry.folder_ids_of(self.votes_granted)
+        entry = LogEntry(self.term, EntryKind.NO_OP, entry_data(data))
+        self._write_entries(self.term_start_index, [entry])
         self.broadcast_append(now)
 
     def _handle_request_vote(self, now: int, sender: str, request: RequestVote) -> None:
@@ -232,8 +232,8 @@
             self.log.compact(index, state)
             self._output.replace_log(self.log.snapshot, self.log.entries)
 
-    def propose(self, now: int, kind: EntryKind, data: dict[str, Any]) -> int:
-        """Appends an entry at the leader; `data` is a dictionary, as the order of its keys is stored.
+    def propose(self, now: int, kind: EntryKind, data: EntryData) -> int:
+        """Appends an entry at the leader.
 
         Returns:
             The index of the entry; 0 where this node is not the leader.
@@ -381,8 +381,8 @@
         """Returns state to write to stable storage, with messages to send after it; then call `advance`."""
         return self._output.take_ready(now)
 
-    def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """Returns the messages that do not depend on stable storage, each with its receiver."""
+    def take_immediate_messages(self) -> list[OutgoingMessage]:
+        """Returns the messages that do not depend on stable storage."""
         return self._output.take_immediate_messages()
 
     def advance(self, now: int, ready: Ready) -> None:
--- a/crankfold/consensus/raft_state.py
+++ b/crankfold/consensus/raft_state.py
@@ -1,6 +1,7 @@
 """The persistent state of a Raft node, and the batches of state and messages that it emits."""
 
 from enum import StrEnum
+from typing import NamedTuple
 
 from msgspec import Struct, field
 
@@ -27,6 +28,13 @@
     LEADER = "leader"
 
 
+class OutgoingMessage(NamedTuple):
+    """A message with the name of its receiver."""
+
+    receiver: str
+    message: Message
+
+
 class PersistentState(Struct):
     """The content of a voter's stable storage when its process starts; fields as in `Ready`."""
 
@@ -48,7 +56,7 @@
         snapshot: Replaces the stored snapshot and all stored entries; None for no change.
         first_index: The index of the first of `entries`.
         entries: Replace all stored entries from `first_index` on.
-        messages: Each with its receiver.
+        messages: Sent after the sync.
     """
 
     term: int
@@ -58,7 +66,7 @@
     snapshot: Snapshot | None = None
     first_index: int = 0
     entries: list[LogEntry] = field(default_factory=list)
-    messages: list[tuple[str, Message]] = field(default_factory=list)
+    messages: list[OutgoingMessage] = field(default_factory=list)
 
     def must_sync(self) -> bool:
         """Whether there is state to write."""
@@ -76,7 +84,7 @@
     def __init__(self, stored: PersistentState) -> None:
         """Starts without changes to the stored state."""
         self._ready = Ready(stored.term, stored.vote, stored.founding_member)
-        self._immediate: list[tuple[str, Message]] = []
+        self._immediate: list[OutgoingMessage] = []
         self._sync_started_at = NOT_SYNCING
         self.sync_duration = 0
         self.hard_state_unsynced = False
@@ -114,13 +122,13 @@
         """Queues a message; one that depends on this node's stable storage is sent after the sync."""
         is_vote = isinstance(message, RequestVote | RequestVoteResponse) and not message.pre_vote
         if is_vote or (isinstance(message, AppendEntriesResponse) and self.hard_state_unsynced):
-            self._ready.messages.append((receiver, message))
+            self._ready.messages.append(OutgoingMessage(receiver, message))
         else:
-            self._immediate.append((receiver, message))
+            self._immediate.append(OutgoingMessage(receiver, message))
 
     def send_after_sync(self, receiver: str, message: Message) -> None:
         """Queues a message that is sent after the next sync."""
-        self._ready.messages.append((receiver, message))
+        self._ready.messages.append(OutgoingMessage(receiver, message))
 
     def take_ready(self, now: int) -> Ready:
         """Returns the state and messages collected since the last call."""
@@ -130,8 +138,8 @@
             self._sync_started_at = now
         return ready
 
-    def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """Returns the messages that do not depend on stable storage, each with its receiver."""
+    def take_immediate_messages(self) -> list[OutgoingMessage]:
+        """Returns the messages that do not depend on stable storage."""
         messages = self._immediate
         self._immediate = []
         return messages
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -6,7 +6,7 @@
 """
 
 from functools import reduce
-from typing import Any
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct, field
@@ -20,7 +20,7 @@
     proposal_id_of,
     publish_data,
 )
-from crankfold.consensus.messages import LogEntry
+from crankfold.consensus.messages import DocumentContent, LogEntry
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
@@ -48,7 +48,7 @@
     author: str
     reason: str
     at: int
-    text: dict[str, Any]
+    text: DocumentContent
     index: int
 
 
@@ -101,6 +101,13 @@
     log_index: int
 
 
+class PendingVersion(NamedTuple):
+    """A pending version with the name of its document."""
+
+    document: str
+    version: DocumentVersion
+
+
 class ReplicatedState(Struct, array_like=True):
     """The complete replicated state, in the form of a snapshot.
 
@@ -230,7 +237,7 @@
                 previous.text.get("works", {}) if previous else {}, data.text.get("works", {})
             )
 
-    def effective_content(self, name: str) -> dict[str, Any] | None:
+    def effective_content(self, name: str) -> DocumentContent | None:
         """The content to act on: the active version, merged conservatively with each pending one.
 
         Returns:
@@ -247,16 +254,16 @@
         )
 
     def version_numbers(self) -> dict[str, tuple[int, int]]:
-        """The numbers of the active and of the newest version, by document."""
+        """The numbers of the active and of the newest version, by document; event logs store the pairs."""
         return {
             name: (document.active_number, document.latest_number())
             for name, document in self.replicated.documents.items()
         }
 
-    def pending_versions(self) -> list[tuple[str, DocumentVersion]]:
-        """The pending versions, each with the name of its document."""
+    def pending_versions(self) -> list[PendingVersion]:
+        """The pending versions of all documents."""
         return [
-            (name, version)
+            PendingVersion(name, version)
             for name, document in self.replicated.documents.items()
             for version in document.pending()
         ]
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -3,8 +3,6 @@
 Times and durations are ticks of a tenth of a millisecond.
 """
 
-from typing import Any
-
 from crankfold.consensus.incarnations import IncarnationTracker
 from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leader_proposals import LeaderProposals
@@ -19,6 +17,8 @@
 from crankfold.consensus.member import MaintenanceCoordinator, Member, VoterHost
 from crankfold.consensus.membership import RemoteLeaseHolders
 from crankfold.consensus.messages import (
+    DocumentContent,
+    EntryData,
     FollowerHeartbeat,
     FollowerUpdate,
     LeaseGrant,
@@ -35,7 +35,7 @@
 )
 from crankfold.consensus.proposals import THIS_VOTER, ProposalHandler
 from crankfold.consensus.raft import Raft
-from crankfold.consensus.raft_state import PersistentState, Ready, Role
+from crankfold.consensus.raft_state import OutgoingMessage, PersistentState, Ready, Role
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter_registry import FolderRegistry
 
@@ -82,7 +82,7 @@
         folder_id: str,
         host: VoterHost,
         coordinator: MaintenanceCoordinator | None = None,
-        initial_settings: dict[str, Any] | None = None,
+        initial_settings: DocumentContent | None = None,
     ) -> None:
         """Starts as a Raft follower, without a lease."""
         super().__init__(name, timing=timing, now=now, incarnation=incarnation, host=host)
@@ -130,8 +130,8 @@
         """Returns state to write to stable storage, with messages to send after it; then call `advance`."""
         return self.raft.take_ready(now)
 
-    def take_immediate_messages(self) -> list[tuple[str, Message]]:
-        """Returns the messages that do not depend on stable storage, each with its receiver."""
+    def take_immediate_messages(self) -> list[OutgoingMessage]:
+        """Returns the messages that do not depend on stable storage."""
         return self.raft.take_immediate_messages()
 
     def advance(self, now: int, ready: Ready) -> None:
@@ -337,7 +337,7 @@
             quota_usage=self.host.quota_usage(),
         )
 
-    def propose(self, now: int, proposal_id: str, kind: str, data: dict[str, Any]) -> None:
+    def propose(self, now: int, proposal_id: str, kind: str, data: EntryData) -> None:
         """Proposes an entry; its outcome is added to `proposal_responses`.
 
         An entry that is proposed again under the same id takes effect once.
--- a/crankfold/maintenance/transitions.py
+++ b/crankfold/maintenance/transitions.py
@@ -10,6 +10,9 @@
 import msgspec
 from msgspec import Struct, field
 
+# The stored form of a transition, as a JSON object.
+TransitionDocument = dict[str, Any]
+
 
 class MaintenancePhase(StrEnum):
     """The phase of a machine in maintenance, and the transition into it; values are stored."""
@@ -105,7 +108,7 @@
 _OUTCOME_KEYS: Final = ("uid", "work", "step", "number", "by", "why", "at")
 
 
-def coordinator_document(transition: Transition) -> dict[str, Any]:
+def coordinator_document(transition: Transition) -> TransitionDocument:
     """Returns the stored form of a transition that the coordinator proposes."""
     if transition.phase == MaintenancePhase.DRAINING:
         return _document(transition, _DEPARTURE_KEYS)
@@ -114,17 +117,17 @@
     return _document(transition, _COORDINATOR_KEYS)
 
 
-def operator_document(transition: Transition) -> dict[str, Any]:
+def operator_document(transition: Transition) -> TransitionDocument:
     """Returns the stored form of a transition that an operator requests."""
     return _document(transition, _OPERATOR_KEYS)
 
 
-def outcome_document(transition: Transition) -> dict[str, Any]:
+def outcome_document(transition: Transition) -> TransitionDocument:
     """Returns the stored form of the outcome of a command, which its executor proposes."""
     return _document(transition, _OUTCOME_KEYS)
 
 
-def _document(transition: Transition, keys: tuple[str, ...]) -> dict[str, Any]:
+def _document(transition: Transition, keys: tuple[str, ...]) -> TransitionDocument:
     values = msgspec.to_builtins(transition)
     return {key: values[key] for key in keys if values[key] is not None}
 
@@ -134,7 +137,7 @@
     return name in _STEP_NAMES
 
 
-def decode_transition(document: dict[str, Any]) -> Transition:
+def decode_transition(document: TransitionDocument) -> Transition:
     """Decodes the stored form of a transition.
 
     Raises:
