--- a/crankfold/cluster/raft_storage.py
+++ b/crankfold/cluster/raft_storage.py
@@ -155,7 +155,7 @@
             raise StorageError(f"{self._log_path}: {error}") from None
         torn_bytes = len(data) - valid_bytes
         if torn_bytes:
-            self.startup_notice = f"{self._log_path.name}: a torn tail of {torn_bytes} bytes was cut off"
+            self.startup_notice = f"{self._log_path.name}: truncated a torn tail of {torn_bytes} bytes"
         if data:
             # After a failed sync the page cache may hold data that is not on the disk: a new file is synced.
             self._replace_file(self._log_path, data[:valid_bytes])
--- a/crankfold/maintenance/departures.py
+++ b/crankfold/maintenance/departures.py
@@ -136,6 +136,10 @@
     )
 
 
+def _area_of(machine: Machine, area: Area) -> str:
+    return machine.zone if area == Area.ZONE else machine.cell
+
+
 class _ReserveCheck:
     """Checks beside the jobs' bounds: a quorum of voters, capacity for the load, the machine's areas."""
 
@@ -182,11 +186,11 @@
 
     def _area_reason(self, machine: Machine, remaining: Sequence[Machine]) -> str:
         for area in self._areas:
-            own_area = getattr(machine, area)
+            own_area = _area_of(machine, area)
             shared = any(
-                getattr(other, area) == own_area and other.machine_id != machine.machine_id
+                _area_of(other, area) == own_area and other.machine_id != machine.machine_id
                 for other in self._machines
             )
-            if shared and not any(getattr(other, area) == own_area for other in remaining):
+            if shared and not any(_area_of(other, area) == own_area for other in remaining):
                 return f"the last that is up in its {area}"
         return ""
--- a/crankfold/maintenance/fleet_view.py
+++ b/crankfold/maintenance/fleet_view.py
@@ -13,7 +13,7 @@
 
 
 class Area(StrEnum):
-    """An area in which a retry needs another machine; the value is a field of `Machine`."""
+    """An area in which a retry of an idempotent request needs another machine."""
 
     ZONE = "zone"
     CELL = "cell"
