--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -80,7 +80,7 @@
             "name": status.name,
             "state": status.state,
             "incarnation": status.incarnation,
-            "for-s": status.held_for // TICKS_PER_SECOND,
+            "for-s": status.contact_ticks // TICKS_PER_SECOND,
             "lag": max(voter.last_applied - status.last_applied, 0),
             "at": other,
         }
--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -219,7 +219,7 @@
             LeaseHolderStatus(
                 name=name,
                 incarnation=holder.incarnation,
-                held_for=now - holder.first_contact_at,
+                contact_ticks=now - holder.first_contact_at,
                 last_applied=holder.last_applied,
                 state=self.state_of(now, holder),
                 quota_usage=holder.quota_usage,
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -280,14 +280,14 @@
     """The state of a lease holder at its voter.
 
     Attributes:
-        held_for: The time since its first contact, in ticks.
+        contact_ticks: The time since its first contact.
         state: A `leases.LeaseHolderState`.
         quota_usage: The number of open and wanted requests, by cluster-wide limit.
     """
 
     name: str
     incarnation: int
-    held_for: int
+    contact_ticks: int
     last_applied: int
     state: str
     quota_usage: dict[str, int]
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -331,7 +331,7 @@
         return LeaseHolderStatus(
             name=self.name,
             incarnation=self.incarnation,
-            held_for=now - self.started_at,
+            contact_ticks=now - self.started_at,
             last_applied=self.last_applied,
             state=LeaseHolderState.ALIVE,
             quota_usage=self.host.quota_usage(),
--- a/crankfold/maintenance/fleet_view.py
+++ b/crankfold/maintenance/fleet_view.py
@@ -42,7 +42,7 @@
     unresolved_requests: dict[str, list[str]] = field(
         default_factory=dict
     )  # abandoned requests that may still run, by machine
-    answers: dict[str, tuple[int, int]] = field(
+    response_counts: dict[str, tuple[int, int]] = field(
         default_factory=dict
     )  # by returned machine: the number of all and of bad responses
     unavailable: Collection[str] = ()  # machines that are not ready on some dispatcher's endpoint list
--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -273,20 +273,22 @@
 
     def _verify_backend_return(self, subject: Subject, job: JobSpecification) -> Transition | None:
         watch_ticks = max(int(job.watch_seconds * TICKS_PER_SECOND), self._view.warm_up_ticks)
-        answers, bad = self._view.answers.get(subject.machine_id, (0, 0))
-        good = answers - bad
-        if answers >= max(job.min_answers, 1) and good < job.min_good_share * answers:
-            return self._propose(subject, MaintenancePhase.UNHEALTHY, f"{bad} of {answers} answers were bad")
+        responses, bad = self._view.response_counts.get(subject.machine_id, (0, 0))
+        good = responses - bad
+        if responses >= max(job.min_responses, 1) and good < job.min_good_share * responses:
+            return self._propose(
+                subject, MaintenancePhase.UNHEALTHY, f"{bad} of {responses} answers were bad"
+            )
         # A restart during the watch begins a new slow start.
         ready_for = self._view.now - self._observations.ready_since(subject.machine_id)
         watched_for = min(subject.known_for, ready_for)
         if watched_for < watch_ticks:
             self._wait(subject, f"watched and warming for {watch_ticks / TICKS_PER_SECOND:g} s")
             return None
-        if answers < job.min_answers and watched_for < MAX_WATCH_FACTOR * watch_ticks:
-            self._wait(subject, f"{answers} of {job.min_answers} answers seen")
+        if responses < job.min_responses and watched_for < MAX_WATCH_FACTOR * watch_ticks:
+            self._wait(subject, f"{responses} of {job.min_responses} answers seen")
             return None
-        seen = f"{good} of {answers} answers were good" if answers else "no answer of it was seen"
+        seen = f"{good} of {responses} answers were good" if responses else "no answer of it was seen"
         return self._propose(subject, MaintenancePhase.HEALTHY, seen)
 
     def _verify_dispatcher_return(
--- a/crankfold/maintenance/specification.py
+++ b/crankfold/maintenance/specification.py
@@ -81,7 +81,7 @@
     work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # at most
     overdue_policy: OverduePolicy = field(name="not-back", default=OverduePolicy.HOLD)
     watch_seconds: Seconds = field(name="watch", default=5.0)  # after a return
-    min_answers: Count = field(name="least-answers", default=5)
+    min_responses: Count = field(name="least-answers", default=5)
     min_good_share: Fraction = field(name="well", default=0.9)  # of the responses of a healthy machine
     # The number of consecutive unhealthy machines at which the job halts.
     max_unhealthy_streak: Annotated[int, Meta(ge=1)] = field(name="most-unwell", default=2)
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -219,7 +219,7 @@
             stale_reason=self._stale_reason(),
             blocking_holders=blocking_holders,
             unresolved_requests=report.unresolved,
-            answers=report.response_counts,
+            response_counts=report.response_counts,
             unavailable=report.unavailable,
             requests_in_flight=report.open_requests,
             admitted_count=report.recent_accepted,
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -138,7 +138,7 @@
             voter_count=len(member.raft.voters),
             blocking_holders=cluster_report.blocking_reason,
             unresolved_requests=report.unresolved,
-            answers=report.response_counts,
+            response_counts=report.response_counts,
             unavailable=report.unavailable,
             requests_in_flight=report.open_requests,
             admitted_count=report.recent_accepted,
--- a/crankfold/simulation/maintenance/study.py
+++ b/crankfold/simulation/maintenance/study.py
@@ -211,7 +211,7 @@
         self._state = MaintenanceState()
         self._log_index = 1
         self._job = JobSpecification(
-            max_out=self._max_out, min_remaining_share=0.5, watch_seconds=0.0, min_answers=0
+            max_out=self._max_out, min_remaining_share=0.5, watch_seconds=0.0, min_responses=0
         )
         self._outcome_counts: list[tuple[int, int]] = []  # completed and shed, at each decision
 
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -189,13 +189,18 @@
                 LeaseHolderStatus(
                     name="n0",
                     incarnation=3,
-                    held_for=900,
+                    contact_ticks=900,
                     last_applied=42,
                     state="there",
                     quota_usage={"all": 1},
                 ),
                 LeaseHolderStatus(
-                    name="f", incarnation=9, held_for=70000, last_applied=40, state="cut off", quota_usage={}
+                    name="f",
+                    incarnation=9,
+                    contact_ticks=70000,
+                    last_applied=40,
+                    state="cut off",
+                    quota_usage={},
                 ),
             ]
         )
@@ -369,7 +374,7 @@
         work_seconds=900.5,
         overdue_policy=OverduePolicy.CONTINUE,
         watch_seconds=6.5,
-        min_answers=7,
+        min_responses=7,
         min_good_share=0.75,
         max_unhealthy_streak=3,
         max_shed_share=0.125,
