--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -4,7 +4,7 @@
 """
 
 from crankfold.consensus.conservative_merge import QUOTAS
-from crankfold.consensus.leader_leases import LeaderLeases
+from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import ActivateData, EntryKind, entry_data
 from crankfold.consensus.raft import Raft
@@ -40,8 +40,7 @@
             now: Ticks.
             own: The bounds of the leader and the holders of its leases.
         """
-        earlier_leases_until = self._raft.leader_since + self._timing.lease_expiry_wait
-        if now < earlier_leases_until:
+        if now < earlier_leases_until(self._raft.leader_since, self._timing):
             return  # members may hold leases from an earlier leader, and their applied index is unknown
         reports = self._leases.reports_until(now)
         lowest_applied = min([own.lowest_applied, *(report.lowest_applied_index for report in reports)])
@@ -59,8 +58,7 @@
     def _lowest_quiesced(self, now: int, own: AppliedBounds) -> int:
         """The index of the quotas that all open requests keep within, those of expired leases included."""
         request_duration = self._documents.max_request_duration()
-        earlier_leases_until = self._raft.leader_since + self._timing.lease_expiry_wait
-        if now < earlier_leases_until + request_duration:
+        if now < earlier_leases_until(self._raft.leader_since, self._timing) + request_duration:
             return 0
         reports = self._leases.reports_until(now, request_duration)
         return min([own.quiesced, *(report.quiesced_index for report in reports)])
--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -127,10 +127,8 @@
         if update.prev_log_index <= self.last_applied:
             for entry in update.entries[self.last_applied - update.prev_log_index :]:
                 self._apply(entry)
-        # A lease requested by an earlier process is granted for the log that that process had applied.
-        requested_by_this_process = update.request_sent_at >= self.started_at
-        up_to_date = self.last_applied >= update.voter_last_applied
-        if update.lease_duration and requested_by_this_process and up_to_date:
-            self._extend_lease(update.request_sent_at + update.lease_duration)
-        if self.last_applied > applied_before or not up_to_date:
+        if update.lease_duration:
+            self._accept_lease(update.request_sent_at, update.lease_duration, update.voter_last_applied)
+        is_behind = self.last_applied < update.voter_last_applied
+        if self.last_applied > applied_before or is_behind:
             self._send_heartbeat(now)  # an activation waits for this confirmation
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -100,6 +100,20 @@
         """The log index of the newest quotas that the host's open requests keep within."""
         return self.host.quiesced_index(self.last_applied)
 
+    def _accept_lease(self, request_sent_at: int, duration: int, required_index: int) -> None:
+        """Extends the lease by a grant, if this process requested it and has applied `required_index`.
+
+        A lease requested by an earlier process is granted for the log that that process had applied.
+
+        Args:
+            request_sent_at: When the lease was requested, on this member's clock. The lease counts from it.
+            duration: Ticks.
+            required_index: The last index that the granter knew to be committed.
+        """
+        requested_by_this_process = request_sent_at >= self.started_at
+        if requested_by_this_process and self.last_applied >= required_index:
+            self._extend_lease(request_sent_at + duration)
+
     def _extend_lease(self, expires_at: int) -> None:
         self.lease_expires_at = max(self.lease_expires_at, expires_at)
 
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -4,7 +4,7 @@
 """
 
 from crankfold.consensus.incarnations import IncarnationTracker
-from crankfold.consensus.leader_leases import LeaderLeases
+from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
 from crankfold.consensus.leader_proposals import LeaderProposals
 from crankfold.consensus.leases import (
     AppliedBounds,
@@ -201,10 +201,10 @@
     def cluster_report(self, now: int) -> ClusterReport:
         """At the leader: the maintenance reports of all voters and their lease holders."""
         request_duration = self.documents.max_request_duration()
-        earlier_leases_until = self.raft.leader_since + self.timing.lease_expiry_wait + request_duration
+        leases_until = earlier_leases_until(self.raft.leader_since, self.timing)
         return ClusterReport(
             [self.subtree_report(now), *self.leader_leases.subtree_reports(now, request_duration)],
-            earlier_leases_may_run=now < earlier_leases_until,
+            earlier_leases_may_run=now < leases_until + request_duration,
         )
 
     def voter_incarnations(self) -> dict[str, int]:
@@ -253,11 +253,8 @@
         self._activate_versions(now)
 
     def _handle_lease_grant(self, grant: LeaseGrant) -> None:
-        # A lease requested by an earlier process is granted for the log that that process had applied.
-        requested_by_this_process = grant.request_sent_at >= self.started_at
-        up_to_date = self.last_applied >= grant.required_index
-        if grant.term == self.raft.term and requested_by_this_process and up_to_date:
-            self._extend_lease(grant.request_sent_at + grant.lease_duration)
+        if grant.term == self.raft.term:
+            self._accept_lease(grant.request_sent_at, grant.lease_duration, grant.required_index)
 
     def admission_error(self, voter: str, folder_id: str) -> str:
         """The reason why a voter is not admitted with that folder; empty if it is."""
