--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -120,6 +120,22 @@
     return _SchedulingRun(jobs, facts).run()
 
 
+class _Group(NamedTuple):
+    """Machines with a common attribute; the kind is part of texts for operators."""
+
+    kind: str
+    name: str
+
+
+_ALL_MACHINES: Final = _Group("", "")
+_FLEET_AREA: Final = ""
+
+
+def _zone_area(zone: str) -> str:
+    """The area of a zone, as a key of sizes."""
+    return f"zone {zone}"
+
+
 class _Occupancy:
     """Available sizes and absent machines by area and group, updated as machines are drained."""
 
@@ -131,7 +147,7 @@
         self.available_size: dict[str, float] = defaultdict(float)
         self.covered = {job.name: [machine for machine in machines if job.covers(machine)] for job in jobs}
         # By job: its unavailable machines, in total and by zone, instance type and cell.
-        self.out_counts: dict[str, Counter[tuple[str, str]]] = {job.name: Counter() for job in jobs}
+        self.out_counts: dict[str, Counter[_Group]] = {job.name: Counter() for job in jobs}
         self.jobs = jobs
         for machine in machines:
             available = machine.available and machine.machine_id not in out_for
@@ -144,15 +160,15 @@
 
     @staticmethod
     def _areas(machine: Machine) -> tuple[str, str]:
-        """The areas of a machine: the fleet, with the empty name, and its zone."""
-        return "", f"zone {machine.zone}"
+        """The areas of a machine: the fleet and its zone."""
+        return _FLEET_AREA, _zone_area(machine.zone)
 
     def _count_out(self, machine: Machine) -> None:
         groups = (
-            ("", ""),
-            ("zone", machine.zone),
-            ("kind", machine.instance_type),
-            ("cell", machine.cell),
+            _ALL_MACHINES,
+            _Group("zone", machine.zone),
+            _Group("kind", machine.instance_type),
+            _Group("cell", machine.cell),
         )
         for job in self.jobs:
             if job.covers(machine):
@@ -168,32 +184,33 @@
 
     def available_share(self, zone: str) -> float:
         """The available share of the listed sizes of a zone."""
-        return self.available_size[f"zone {zone}"] / (self.total_size[f"zone {zone}"] or 1.0)
+        area = _zone_area(zone)
+        return self.available_size[area] / (self.total_size[area] or 1.0)
 
     def exceeded_bound(self, job: MaintenanceJob, machine: Machine) -> str:
         """The bound of the job that draining the machine would exceed; empty for none."""
         # Machines that failed or are absent for other jobs count as well.
         counts = self.out_counts[job.name]
         own = 0 if machine.available else 1
-        out = counts["", ""] - own
+        out = counts[_ALL_MACHINES] - own
         if out >= job.max_out:
             return f"{out} of {job.max_out} at once"
-        for group, name, max_out in (
-            ("zone", machine.zone, job.max_out_per_zone),
-            ("kind", machine.instance_type, job.max_out_per_instance_type),
-            ("cell", machine.cell, job.max_out_per_cell),
+        for group, max_out in (
+            (_Group("zone", machine.zone), job.max_out_per_zone),
+            (_Group("kind", machine.instance_type), job.max_out_per_instance_type),
+            (_Group("cell", machine.cell), job.max_out_per_cell),
         ):
-            out = counts[group, name] - own
+            out = counts[group] - own
             if max_out and out >= max_out:
-                return f"{out} of {max_out} in its {group}"
+                return f"{out} of {max_out} in its {group.kind}"
         return self.exceeded_capacity(job, machine)
 
     def exceeded_capacity(self, job: MaintenanceJob, machine: Machine) -> str:
         """The least available share that draining the machine would violate; empty for none."""
         leaves = machine.available and machine.machine_id not in self.out_for
         for label, area, min_share in (
-            ("all", "", job.min_remaining_share),
-            (machine.zone, f"zone {machine.zone}", job.min_remaining_zone_share),
+            ("all", _FLEET_AREA, job.min_remaining_share),
+            (machine.zone, _zone_area(machine.zone), job.min_remaining_zone_share),
         ):
             remaining = self.available_size[area] - (machine.size if leaves else 0)
             share = remaining / (self.total_size[area] or 1.0)
