--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -201,7 +201,7 @@
             self.consensus.receive(boottime_ticks(), sender, message)
         except Exception as error:
             self._metrics.record_exception(error)
-            if __debug__:
+            if __debug__:  # with -O a message that causes a failure does not end the connection
                 raise
         self._process_output()
 
--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -160,11 +160,11 @@
             holder.expires_at = now
 
     def in_contact(self, now: int) -> list[tuple[str, LeaseHolder]]:
-        """The holders whose newest heartbeat is younger than the contact timeout, with their names."""
+        """The holders in contact, with their names."""
         return [
             (name, holder)
             for name, holder in self.holders.items()
-            if holder.last_contact_at + self.timing.contact_timeout > now and not holder.has_left
+            if self.state_of(now, holder) == LeaseHolderState.ALIVE
         ]
 
     def applied_bounds(self, now: int, own: AppliedBounds, request_duration: int) -> AppliedBounds:
