--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -1,4 +1,4 @@
-"""The cluster as one member sees it, for operators; the keys are those of the admin API."""
+"""The state of the cluster at one member, as an answer of the admin API, whose keys are used here."""
 
 from typing import Any
 
@@ -7,21 +7,23 @@
 from crankfold.consensus.voter import Voter
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-_SHOWN_OF_OTHERS = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
+StatusDocument = dict[str, Any]  # a JSON object with the keys of the admin API
+
+_REPORTED_REMOTE_STATES = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
 
 
 def cluster_status(
     consensus: Voter | Follower, now: int, *, acts: bool, inactive_reason: str
-) -> dict[str, Any]:
-    """What a member knows of the cluster.
+) -> StatusDocument:
+    """Returns the answer of the admin API.
 
     Args:
-        consensus: The member.
-        now: The time, in ticks.
-        acts: Whether it holds a lease.
-        inactive_reason: Why it does not act on its documents; empty if it does.
+        consensus: The state machine of the member.
+        now: Ticks.
+        acts: Whether the member holds a lease.
+        inactive_reason: Why the member does not act on its documents; empty if it does.
     """
-    status: dict[str, Any] = {
+    status: StatusDocument = {
         "name": consensus.name,
         "acts": acts,
         "why-not": inactive_reason,
@@ -42,7 +44,7 @@
     return status
 
 
-def _leader_status(voter: Voter, now: int) -> dict[str, Any]:
+def _leader_status(voter: Voter, now: int) -> StatusDocument:
     raft = voter.raft
     return {
         "leases-ms": {
@@ -57,7 +59,7 @@
     }
 
 
-def _own_lease_holders(voter: Voter, now: int) -> list[dict[str, Any]]:
+def _own_lease_holders(voter: Voter, now: int) -> list[StatusDocument]:
     return [
         {
             "name": name,
@@ -72,17 +74,17 @@
     ]
 
 
-def _remote_lease_holders(voter: Voter) -> list[dict[str, Any]]:
+def _remote_lease_holders(voter: Voter) -> list[StatusDocument]:
     return [
         {
             "name": status.name,
             "state": status.state,
             "incarnation": status.incarnation,
-            "for-s": status.held_for // TICKS_PER_SECOND,
+            "for-s": status.contact_ticks // TICKS_PER_SECOND,
             "lag": max(voter.last_applied - status.last_applied, 0),
             "at": other,
         }
         for other, statuses in sorted(voter.remote_lease_holders.by_voter.items())
         for status in statuses
-        if status.state in _SHOWN_OF_OTHERS and status.name != other
+        if status.state in _REPORTED_REMOTE_STATES and status.name != other
     ]
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -225,7 +225,7 @@
             stale_reason=self._stale_reason(),
             blocking_holders=partial(_blocking_reason, member.name, cluster_report, available),
             unresolved_requests=report.unresolved,
-            answers=report.response_counts,
+            response_counts=report.response_counts,
             unavailable=report.unavailable,
             requests_in_flight=report.open_requests,
             admitted_count=report.recent_accepted,
