--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -1,4 +1,7 @@
-"""Connections to backends: kept, used again most recent first, and never used for two exchanges at once."""
+"""Persistent HTTP/1.1 connections to backends, one exchange at a time on each, without pipelining.
+
+`ExchangeResult` states which ends of an exchange prove that the backend never executed the request.
+"""
 
 import asyncio
 import errno
@@ -12,38 +15,75 @@
 from crankfold.protocol.headers import Header
 
 READ_SIZE = 64 * 1024  # bytes
-# Seconds that a connection rests after a response before it carries a request. A second response to the last
-# request, some milliseconds late, would be read as the response to the next: a late "never ran" of something
-# that did would have it run twice.
+# Seconds between a response and the next request on the same connection. A duplicate response arrives within
+# milliseconds and would be read as the response to that next request: a duplicate `X-Not-Processed` would
+# permit a retry of a request that the backend executes.
 REUSE_COOLDOWN = 0.05
-# Of this process or machine, for a moment: unlike a refused connection they say nothing of the backend.
+# Errors of connect that concern this machine (descriptors, memory, ports) and not the backend.
 LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-CONNECT_RETRY_DELAY = 0.005  # seconds from a local failure to the next try
+CONNECT_RETRY_DELAY = 0.005  # seconds between a local error and the next connect
+NEVER_ANSWERED = -REUSE_COOLDOWN  # seconds of the loop's clock: a new connection needs no cooldown
 
 
 class ExchangeResult(Enum):
-    """How an exchange ends."""
+    """How an exchange ended, and so whether the backend may have executed its request.
+
+    A request is certainly not executed only where the backend cannot have received it whole: nothing was
+    written, or its last byte never left this process (an incomplete message, RFC 9112 section 8). Once the
+    last byte is written, a close, a reset or a timeout proves nothing: the backend may have executed the
+    request and lost the response. RFC 9110 section 9.2.2 then permits an automatic retry only of an
+    idempotent request, and RFC 9112 section 9.3.1 makes no exception for persistent connections. In this
+    program the idempotency is that of the request class, not that of the HTTP method.
+
+    ================  ==========================================  =================  =====================
+    result            seen on the connection                      may be executed    charged to backend
+    ================  ==========================================  =================  =====================
+    ANSWERED          a complete response, or the header of 202   see                see
+                                                                  classify_response  classify_response
+    BROKEN            request written; then no response, an       yes: RFC 9110,     a failure
+                      incomplete one (RFC 9112, section 8) or     section 9.2.2      (`Outcome.RESET`)
+                      one that is not valid HTTP
+    STALE_CONNECTION  request written on a reused connection,     yes: RFC 9112,     nothing: an idle
+                      which closes before any response            section 9.3.1      connection may close
+                                                                                     at any time (RFC
+                                                                                     9112, section 9.5)
+    UNREACHABLE       connect refused or timed out, or closed     no: no complete    a failure, and
+                      before the request's last byte was written  request was sent   ejection
+    NOT_SENT          nothing: at the connection limit, or the    no                 nothing
+                      request ended or the backend left service
+                      before anything was written
+    ================  ==========================================  =================  =====================
+
+    Of complete responses, only 503 or 504 with `X-Not-Processed: 1` proves that the request never ran. A
+    response that breaks off proves nothing of the kind, also where that header came, but for 202: with its
+    header the backend has accepted the request. The writing side is never half-closed, so an end from the
+    backend is always a close of the whole connection (RFC 9112 section 9.6).
+
+    The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`), and
+    `NEVER_EXECUTED` there lists the outcomes with a "no" in the third column.
+    """
 
     ANSWERED = "answered"
-    BROKEN = "broken"  # no response, or not all of it: the request may have run
-    UNREACHABLE = "unreachable"  # no connection, or it broke before the request was written
-    NOT_SENT = "not sent"  # nothing was written
-    STALE_CONNECTION = "stale connection"  # a kept connection turned out to be closed: it may have run
+    BROKEN = "broken"
+    UNREACHABLE = "unreachable"
+    NOT_SENT = "not sent"
+    STALE_CONNECTION = "stale connection"
 
 
 ExchangeCallback = Callable[[ExchangeResult, BackendConnection | None], None]
 
 
 class Exchange:
-    """One exchange with a backend, from the wish to its end.
+    """One request to a backend and its response.
 
     Attributes:
-        headers: gives the headers at the moment when the request is written.
-        may_send: whether it may still be written, asked when a new connection is up.
-        on_end: is told the result, and the connection's state where there was a connection.
-        needs_cooldown: its response counts, so it is not sent on a connection that was answered a moment ago.
-        connection: that carries it, once there is one.
-        finished: its end was told, or nobody waits for it any more.
+        headers: Returns the headers; called when the request is written.
+        may_send: Whether the request may still be written; called once a new connection is established.
+        on_end: Called once with the result, and with the state of the connection if there was one.
+        needs_cooldown: Whether a connection has to rest for REUSE_COOLDOWN before it carries this request;
+            False where the response has no consequence.
+        connection: Carries the exchange, once there is one.
+        finished: Whether `on_end` was called, or the exchange was aborted.
     """
 
     __slots__ = (
@@ -80,46 +120,55 @@
         self.finished = False
 
     def finish(self, result: ExchangeResult, protocol: BackendConnection | None) -> None:
-        """Tells the result, unless an end was told before."""
+        """Calls `on_end`, unless the exchange has finished."""
         if not self.finished:
             self.finished = True
             self.on_end(result, protocol)
 
     def abort(self) -> None:
-        """Closes the connection that no response has come on; what was not written yet is not sent."""
+        """Drops the exchange without a call of `on_end`, and resets the connection that carries it."""
         self.finished = True
         if self.connection and self.connection.exchange is self:
             self.connection.writer.transport.abort()
 
 
 class CountingStreamReader(asyncio.StreamReader):
-    """Counts the bytes that came, read or not."""
+    """Counts the bytes received, whether or not they were read."""
 
     received_bytes = 0
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Takes in bytes from the transport."""
+        """Receives bytes from the transport."""
         self.received_bytes += len(data)  # type: ignore[arg-type]
         super().feed_data(data)
 
 
 class DrainNotifyingProtocol(asyncio.StreamReaderProtocol):
-    """Calls back in the very moment when nothing is left to be written.
+    """Calls `on_drained` in the loop iteration in which the transport's buffer becomes empty.
 
-    So whatever breaks after it finds the request written: taken for one that never went out whole, it would
-    be sent again.
+    A connection that breaks later in that iteration already counts as one with a complete request. Notified
+    by a task, it would count as UNREACHABLE, and the request would be retried although it may have executed.
     """
 
     on_drained: Callable[[], None] = staticmethod(lambda: None)
 
     def resume_writing(self) -> None:
-        """The transport's buffer is empty."""
+        """Called by the transport when its buffer is empty."""
         self.on_drained()
         super().resume_writing()
 
 
 class PooledConnection:
-    """One open connection to a backend."""
+    """One open connection to a backend.
+
+    Attributes:
+        exchange: The one in progress; None while the connection is idle.
+        opened_at: Seconds of the loop's clock, as the next two.
+        idle_since: When the connection last became idle; 0 before its first exchange has ended.
+        answered_at: When the last response ended.
+        consumed_bytes: Received and read; fewer than the reader received if bytes came unsolicited.
+        request_written: Whether all bytes of the request have left this process.
+    """
 
     def __init__(
         self,
@@ -133,14 +182,14 @@
         self.writer = writer
         self.protocol = BackendConnection()
         self.exchange: Exchange | None = None
-        self.opened_at = pool.loop.time()  # this and the next two in seconds of the loop's clock
+        self.opened_at = pool.loop.time()
         self.idle_since = 0.0
-        self.answered_at = -REUSE_COOLDOWN
+        self.answered_at = NEVER_ANSWERED
         self.consumed_bytes = 0
         self.request_written = True
-        # Set after it was made: the connection needs the streams, which asyncio makes with this protocol.
+        # Not an argument of its constructor: asyncio creates the streams, which this object needs, with it.
         stream_protocol.on_drained = self._on_drained
-        writer.transport.set_write_buffer_limits(high=0)  # so that drained means that nothing is left
+        writer.transport.set_write_buffer_limits(high=0)  # resume_writing is called at an empty buffer only
         self.task = pool.loop.create_task(self._run())
 
     def start(self, exchange: Exchange) -> None:
@@ -154,14 +203,15 @@
         self.request_written = self.writer.transport.get_write_buffer_size() == 0
 
     def _on_drained(self) -> None:
-        """What left the program's own buffer counts as written: from there on the backend may have it.
+        """Notes that the backend may have the complete request: the kernel has its last byte.
 
-        The transport drops its buffer when a connection breaks, so what is left then tells nothing.
+        Recorded here because the transport clears its buffer when the connection breaks: after that, an
+        empty buffer is no proof that the request was written.
         """
         self.request_written = True
 
     def is_reusable(self) -> bool:
-        """Whether it is as it was left: bytes nobody asked for, or its end, may have come unread."""
+        """Whether the connection is open and nothing was received on it since the last response."""
         if self.reader.at_eof() or self.writer.is_closing() or self.reader.exception() is not None:
             return False
         if self.reader.received_bytes != self.consumed_bytes:
@@ -169,7 +219,7 @@
         return not has_pending(self.writer, ANY_INPUT)
 
     def close(self) -> None:
-        """Closes it while it is idle."""
+        """Closes the idle connection."""
         self.pool.remove_idle(self)
         self.writer.close()
 
@@ -202,10 +252,10 @@
         exchange.finish(result, self.protocol)
 
     def _is_answered(self) -> bool:
-        """Whether the response may be relied on.
+        """Whether the response is complete, or its header alone proves that the backend has the request.
 
-        What broke off in the middle tells nothing, least of all that something never ran. But after the
-        header that says so the backend has the request.
+        Only 202 is that proof. Any other incomplete response is discarded with its header: an
+        `X-Not-Processed` in it must not permit a retry.
         """
         if self.protocol.complete:
             return True
@@ -213,22 +263,30 @@
         return verdict is Acceptance.ACCEPTED
 
     def _break_result(self) -> ExchangeResult:
+        """The result for a connection that closed before a usable response; see `ExchangeResult`."""
         if not self.request_written:
             return ExchangeResult.UNREACHABLE
-        # Kept connections die at the backend or on the way, seen only at the next use. Held against backends,
-        # these resets had all of a sound fleet ejected.
-        if self.idle_since and not self.protocol.status:
+        is_reused = self.idle_since > 0
+        if is_reused and not self.protocol.status:
             return ExchangeResult.STALE_CONNECTION
         return ExchangeResult.BROKEN
 
 
 class ConnectionLimiter:
-    """All connections to backends: how many there are, and which are idle, longest first."""
+    """Limits the open connections to all backends together.
+
+    Attributes:
+        max_connections: Open at once.
+        connect_timeout: Seconds.
+        idle_timeout: Seconds after which an idle connection is closed.
+        open_count: Connections that are open or being established.
+        idle_connections: In the order in which they became idle.
+    """
 
     def __init__(
         self, max_connections: int, connect_timeout: float, idle_timeout: float, metrics: Metrics
     ) -> None:
-        """Times are in seconds."""
+        """Starts without connections; see the attributes for units."""
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout
         self.idle_timeout = idle_timeout
@@ -238,15 +296,19 @@
         self.idle_connections: dict[PooledConnection, None] = {}
 
     def make_room(self) -> bool:
-        """Whether one more may be opened; closes an idle one if there is no other way."""
+        """Makes room for one more connection, by closing the one idle longest if the limit is reached.
+
+        Returns:
+            Whether one more connection may be opened.
+        """
         if self.open_count >= self.max_connections and self.idle_connections:
             next(iter(self.idle_connections)).close()
             self.metrics.increment("backend-connections-evicted")
-            return True  # it is let go a turn later; some sockets are kept free for that
+            return True  # its socket closes an iteration of the loop later; UNCOUNTED_SOCKETS allow for it
         return self.open_count < self.max_connections
 
     def sweep(self) -> None:
-        """Closes what has been idle for long, well before the backend does."""
+        """Closes the connections that were idle for `idle_timeout`."""
         now = self.loop.time()
         while self.idle_connections:
             connection = next(iter(self.idle_connections))
@@ -256,7 +318,7 @@
 
 
 class ConnectionPool:
-    """All connections to one backend at one address."""
+    """The connections to one backend at one address; the one that became idle last is reused first."""
 
     def __init__(self, host: str, port: int, limiter: ConnectionLimiter) -> None:
         self.host = host
@@ -269,7 +331,10 @@
         self.closed = False
 
     def send(self, exchange: Exchange) -> None:
-        """Sends it at once where a connection is idle. How it ends is told later, never from in here."""
+        """Starts an exchange: on an idle connection at once, else on a new one.
+
+        `exchange.on_end` is called in a later iteration of the loop, never during this call.
+        """
         connection = self._take_idle(exchange.needs_cooldown)
         if connection:
             self.metrics.increment("backend-connections-reused")
@@ -293,7 +358,7 @@
         return None
 
     def has_connection_older_than(self, seconds: float) -> bool:
-        """Whether an idle connection is open since before then: the process there is still the same."""
+        """Whether an idle connection is open for more than that: the backend has not restarted since."""
         now = self.loop.time()
         return any(
             connection.is_reusable() and now - connection.opened_at > seconds
@@ -301,7 +366,7 @@
         )
 
     def remove_idle(self, connection: PooledConnection) -> None:
-        """The connection is no longer idle."""
+        """Removes a connection from the idle ones, if it is one."""
         if connection in self.limiter.idle_connections:
             del self.limiter.idle_connections[connection]
             self.idle_connections.remove(connection)
@@ -325,10 +390,10 @@
             connection.start(exchange)
 
     async def _open(self) -> tuple[asyncio.StreamWriter, DrainNotifyingProtocol, CountingStreamReader]:
-        """A new connection; a local failure is tried again until the caller's time is over.
+        """Opens a connection; repeats a connect that failed locally until the caller cancels it.
 
         Raises:
-            OSError: the backend can't be reached.
+            OSError: The backend is not reachable.
         """
         while True:
             reader = CountingStreamReader(limit=READ_SIZE, loop=self.loop)
@@ -344,7 +409,7 @@
                 return asyncio.StreamWriter(transport, protocol, reader, self.loop), protocol, reader
 
     def release(self, connection: PooledConnection) -> None:
-        """The connection is idle from now on, or closes if the pool is closed."""
+        """Makes a connection idle, or closes it if the pool is closed."""
         if self.closed:
             connection.writer.close()
             return
@@ -353,12 +418,15 @@
         self.limiter.idle_connections[connection] = None
 
     def connection_lost(self, connection: PooledConnection) -> None:
-        """The connection is closed."""
+        """Forgets a connection that was closed."""
         self.remove_idle(connection)
         self.limiter.open_count -= 1
 
     def close(self) -> None:
-        """The address is no longer the backend's: nothing new, what is under way runs to its end."""
+        """Closes the idle connections and opens no more; exchanges in progress run to their end.
+
+        Called when the backend has another address.
+        """
         self.closed = True
         while self.idle_connections:
             self.idle_connections[-1].close()
