--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -8,7 +8,6 @@
 import asyncio
 import contextlib
 import logging
-import socket
 from collections.abc import Coroutine
 from random import Random
 from typing import Any, Protocol
@@ -21,13 +20,13 @@
     encode_frame,
 )
 from crankfold.consensus.messages import Message, Rejection
-from crankfold.network.acceptor import Acceptor
+from crankfold.network.acceptor import AcceptLimits, Acceptor, open_listening_socket
 from crankfold.network.metrics import Metrics
 
 READ_SIZE = 64 * 1024  # bytes
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 MAX_INCOMING = 2048  # connections
-ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the loop
+LIMITS = AcceptLimits(backlog=128, read_limit=READ_SIZE, accepts_per_iteration=16)
 HELLO_TIMEOUT = 2.0  # seconds
 CONNECT_TIMEOUT = 1.0  # seconds
 MIN_RECONNECT_DELAY = 0.05  # seconds
@@ -83,14 +82,8 @@
         Raises:
             OSError: The address cannot be listened at.
         """
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        self._acceptor = Acceptor(
-            socket.create_server((host, port), family=family),
-            self._run_incoming,
-            metrics=self._metrics,
-            read_limit=READ_SIZE,
-            accepts_per_iteration=ACCEPTS_PER_ITERATION,
-        )
+        listening = open_listening_socket(host, port, LIMITS)
+        self._acceptor = Acceptor(listening, self._run_incoming, self._metrics, LIMITS)
 
     def send(self, receiver: str, message: Message) -> None:
         """Sends a message; it is lost without a connection, as whoever needs an answer asks again."""
--- a/crankfold/network/accepted_connection.py
+++ b/crankfold/network/accepted_connection.py
@@ -1,37 +1,68 @@
-"""One connection that a client or a backend opened: carries bytes between its socket and its HTTP state."""
+"""One accepted connection: moves bytes between its socket and its `ClientConnection`."""
 
 import asyncio
 from collections.abc import Sequence
 from http import HTTPStatus
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from crankfold.network.metrics import Metrics
 from crankfold.network.socket_state import PEER_CLOSED, has_pending
-from crankfold.protocol.client_connection import ClientConnection
+from crankfold.protocol.client_connection import ClientConnection, ClientRequestHandler
 from crankfold.protocol.headers import Header
 
-if TYPE_CHECKING:
-    from crankfold.network.listener import Listener
+READER_LIMIT = 16 * 1024  # bytes; asyncio's reader pauses the transport at twice as much
+READ_SIZE = 4 * READER_LIMIT  # bytes
+MAX_UNREAD_BYTES = 64 * 1024  # pipelined behind an open request, or received after the last response
+# Seconds between two reads on a connection whose input is discarded, times the number of such connections:
+# together they take a bounded share of the loop.
+THROTTLE_DELAY = 0.002
+# Seconds after the last response in which input is read and discarded. A close with unread input resets the
+# connection, and the peer could lose the response.
+CLOSE_DELAY = 0.5
+NEW_CONNECTION_GRACE = 0.1  # seconds after a response or accept in which the next request may be in transit
 
-READ_SIZE = 16 * 1024  # bytes that asyncio's reader is limited to; it holds twice as much before it pauses
-MAX_UNREAD_BYTES = 64 * 1024  # pipelined behind a request in hand, or read only to be discarded
-THROTTLE_DELAY = 0.002  # seconds between reads that are discarded, for each connection that sends such
-CLOSE_DELAY = 0.5  # seconds that what comes after the last response is read: a reset would overtake it
-NEW_CONNECTION_GRACE = 0.1  # seconds in which a connection may have its first request under way
+
+class ConnectionOwner(Protocol):
+    """What an accepted connection needs of the listener that accepted it.
+
+    Attributes:
+        loop: The running event loop.
+        metrics: Counts rejected requests and failures.
+        report_fields: Of load reports, in the order of their values.
+        closing: Whether each response is the last on its connection.
+        flooding_connections: Those whose input is discarded.
+        unidentified_connections: Those without a request or callback so far, the oldest first.
+    """
+
+    loop: asyncio.AbstractEventLoop
+    metrics: Metrics
+    report_fields: Sequence[str]
+    closing: bool
+    flooding_connections: "set[AcceptedConnection]"
+    unidentified_connections: "dict[AcceptedConnection, None]"
+
+    @property
+    def handler(self) -> ClientRequestHandler:
+        """Receives the requests and callbacks."""
+
+    def is_over_limit(self) -> bool:
+        """Whether more connections are open than allowed."""
 
 
 class AcceptedConnection:
-    """One connection that was accepted.
+    """One accepted connection. Times are seconds of the loop's clock.
 
     Attributes:
-        protocol: its HTTP state.
-        accepted_at: in seconds of the loop's clock.
-        phase_started_at: when it became idle, or the present request or response began; the same clock.
-        received_at: when bytes of a request came last; the same clock.
-        unread_bytes: that came behind a request in hand, or after the last response.
+        listener: Accepted this connection.
+        protocol: The HTTP state.
+        accepted_at: When the connection was accepted.
+        phase_started_at: When the connection became idle, or the present request or response began.
+        received_at: When bytes of a request were last received.
+        unread_bytes: Received while a request was open, or after the last response.
     """
 
     def __init__(
-        self, listener: "Listener", reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, listener: ConnectionOwner, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.listener = listener
         self.reader = reader
@@ -43,18 +74,18 @@
         self.unread_bytes = 0
 
     async def run(self) -> None:
-        """Reads until the other side ends the connection, or sends too much after the last response.
+        """Reads until the peer closes the connection or sends too much after the last response.
 
         Raises:
-            OSError: the connection broke.
+            OSError: The connection broke.
         """
         protocol = self.protocol
-        while data := await self.reader.read(4 * READ_SIZE):
+        while data := await self.reader.read(READ_SIZE):
             if protocol.closing or (protocol.awaiting_response and not protocol.discarding_input):
                 self.unread_bytes += len(data)
             if protocol.closing:
                 if self.unread_bytes > MAX_UNREAD_BYTES:
-                    # Sixty megabytes at full speed would cost the others time; left unread they wait outside.
+                    # Further input stays in the kernel: reading it would take the loop's time from others.
                     await asyncio.sleep(CLOSE_DELAY)
                     return
             elif protocol.discarding_input:
@@ -70,7 +101,7 @@
         try:
             protocol.receive_data(data)
         except Exception as error:
-            # A failure of ours must not lose a request that was accepted.
+            # An accepted request is answered, also after an internal error.
             self.listener.metrics.record_exception(error)
             if protocol.awaiting_response:
                 self.respond(HTTPStatus.INTERNAL_SERVER_ERROR)
@@ -80,32 +111,32 @@
         if protocol.identified:
             self.listener.unidentified_connections.pop(self, None)
         if self.unread_bytes > MAX_UNREAD_BYTES and protocol.awaiting_response:
-            # Its end stands behind what it sends: left unread, the client's leaving would not be seen and its
-            # request be sent on for nobody. Clients send one request at a time; here the rest is lost.
+            # Input is read on, as a disconnect of the client is received only behind it. The pipelined
+            # requests in it are lost: clients send one request at a time.
             protocol.discarding_input = True
             self.listener.flooding_connections.add(self)
 
     def is_awaiting_response(self) -> bool:
-        """Whether a request is in hand that has no answer yet."""
+        """Whether a request is open, that is, has no response yet."""
         return self.protocol.awaiting_response
 
     def peer_has_closed(self) -> bool:
-        """Whether its end has come, read or not: of one that gave up while it waited to be accepted."""
+        """Whether the peer has closed the connection, also where that is behind unread input."""
         return self.writer.is_closing() or has_pending(self.writer, PEER_CLOSED)
 
     def respond(self, status: int, headers: Sequence[Header] = (), body: bytes = b"") -> None:
-        """Answers the request in hand; what was pipelined behind it is read a turn of the loop later."""
+        """Answers the open request; a pipelined one is read in the next iteration of the loop."""
         self.protocol.close_after_response = self.protocol.close_after_response or self.listener.closing
         self.protocol.respond(status, headers, body)
         self._flush()
         self.listener.loop.call_soon(self._resume_reading)
 
     def exceeds_limit(self) -> bool:
-        """Whether more connections are open than may be: what comes on this one is to be shed."""
+        """Whether more connections are open than allowed: requests on this one are shed."""
         return self.listener.is_over_limit()
 
     def reject(self, status: int) -> None:
-        """Answers the request in hand and ends the connection."""
+        """Answers the open request and closes the connection."""
         self.protocol.close_after_response = True
         self.respond(status)
 
@@ -128,24 +159,21 @@
             self._half_close()
 
     def _half_close(self) -> None:
-        """Nothing more is written; what still comes is read and discarded.
-
-        A close over unread bytes resets the connection, and that overtakes the last response.
-        """
+        """Closes the writing side, and the connection after CLOSE_DELAY (RFC 9112, section 9.6)."""
         if not self.writer.is_closing() and self.writer.can_write_eof():
             self.writer.write_eof()
             self.listener.loop.call_later(CLOSE_DELAY, self.writer.close)
 
     def last_progress_at(self) -> float:
-        """When the request under way last got on; bytes behind an earlier one count from its response."""
+        """When bytes of the request were last received; pipelined ones count from the response before."""
         return max(self.received_at, self.phase_started_at)
 
     def has_unsent_data(self) -> bool:
-        """Whether written bytes wait because the other side does not take them."""
+        """Whether written bytes are in the buffer because the peer does not receive them."""
         return self.writer.transport.get_write_buffer_size() > 0
 
     def is_idle(self) -> bool:
-        """Whether nothing is under way on it in either direction."""
+        """Whether no request is being received, open or being answered."""
         return (
             not self.protocol.awaiting_response
             and not self.protocol.is_mid_request()
@@ -153,25 +181,25 @@
         )
 
     def expects_data(self) -> bool:
-        """Whether more is to be read from it: the rest of a request, or its first one."""
+        """Whether the rest of a request, or a new connection's first request, may be in transit."""
         if self.protocol.closing or self.protocol.awaiting_response:
             return False
         age = self.listener.loop.time() - self.phase_started_at
         return self.protocol.is_mid_request() or age <= NEW_CONNECTION_GRACE
 
     def close(self) -> None:
-        """Ends it between requests.
+        """Closes the connection between requests.
 
-        A request that crosses is not read, and its client sends it again elsewhere.
+        A request in transit is not read, and its client retries on another connection.
         """
         self.protocol.closing = True
         self._half_close()
 
     def abort(self) -> None:
-        """Ends it at once; what was not written is lost."""
+        """Closes the connection at once; unwritten bytes are lost."""
         self.protocol.closing = True
         self.writer.transport.abort()
 
     def eviction_order(self) -> tuple[bool, bool, float]:
-        """Which idle connection goes first when room is short: closing, then a client's, then a backend's."""
+        """Sort key for evictions: closing connections first, then clients', then backends', each by age."""
         return not self.protocol.closing, self.protocol.is_backend, self.phase_started_at
--- a/crankfold/network/acceptor.py
+++ b/crankfold/network/acceptor.py
@@ -1,52 +1,84 @@
-"""Accepts connections on a listening socket, also where accept fails for a while.
+"""Accepts connections on a listening socket, also while accept fails for want of descriptors or memory.
 
-After accept has failed for want of descriptors or memory an asyncio server accepts nobody for a second, in
-which requests with short deadlines are lost in the queue. Here it is asked again within milliseconds.
+An asyncio server stops accepting for a second after such a failure, and requests with short deadlines expire
+in the accept queue. An `Acceptor` retries after ACCEPT_RETRY_DELAY.
 """
 
 import asyncio
 import select
 import socket
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 from crankfold.network.metrics import Metrics
 
-ACCEPT_RETRY_DELAY = 0.005  # seconds until accept is called again, after it failed
-FAILURES_BEFORE_DELAY = 2  # in a row: the first may concern one connection, and others wait behind it
+ACCEPT_RETRY_DELAY = 0.005  # seconds between a failure of accept and the next call
+# Failures in a row, in one iteration of the loop. The first may concern only the connection at the head of
+# the queue.
+FAILURES_BEFORE_DELAY = 2
 
 ConnectionCallback = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
+class AcceptLimits(NamedTuple):
+    """Limits of one listening socket.
+
+    Attributes:
+        backlog: Connections in the kernel's accept queue.
+        read_limit: Bytes; the limit of a connection's `asyncio.StreamReader`.
+        accepts_per_iteration: Connections accepted in one iteration of the event loop.
+    """
+
+    backlog: int
+    read_limit: int
+    accepts_per_iteration: int
+
+
+def open_listening_socket(
+    host: str, port: int, limits: AcceptLimits, *, reuse_port: bool = False
+) -> socket.socket:
+    """Opens a listening TCP socket.
+
+    Args:
+        host: An IPv4 or IPv6 address.
+        port: 0 for one that the system chooses.
+        limits: With the length of the accept queue.
+        reuse_port: Whether another process may listen on the same address.
+
+    Raises:
+        OSError: The address can't be listened on.
+    """
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    return socket.create_server((host, port), family=family, backlog=limits.backlog, reuse_port=reuse_port)
+
+
 class Acceptor:
-    """Serves each connection that comes to one listening socket.
+    """Starts a task for each connection that is accepted on one listening socket.
 
     Attributes:
-        socket: the listening one, closed with the acceptor.
+        socket: The listening socket; closed with the acceptor.
     """
 
     def __init__(
         self,
         listening: socket.socket,
         on_connection: ConnectionCallback,
-        *,
         metrics: Metrics,
-        read_limit: int,
-        accepts_per_iteration: int,
+        limits: AcceptLimits,
     ) -> None:
         """Begins to accept.
 
         Args:
-            listening: that was bound and listens.
-            on_connection: serves a connection, in a task of its own.
-            metrics: counts failures of accept.
-            read_limit: bytes that a connection's reader is limited to.
-            accepts_per_iteration: connections that are accepted in one iteration of the event loop.
+            listening: Bound and listening.
+            on_connection: Serves a connection, in a task of its own.
+            metrics: Counts failures of accept.
+            limits: On accepting and on reading from the connections.
         """
         self.socket = listening
         self._on_connection = on_connection
         self._metrics = metrics
-        self._read_limit = read_limit
-        self._accepts_per_iteration = accepts_per_iteration
+        self._read_limit = limits.read_limit
+        self._accepts_per_iteration = limits.accepts_per_iteration
         self._loop = asyncio.get_running_loop()
         self._retry_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -54,11 +86,11 @@
         self._loop.add_reader(listening, self._accept_ready)
 
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port on which the socket listens."""
         return int(self.socket.getsockname()[1])
 
     def has_pending(self) -> bool:
-        """Whether connections wait to be accepted, or are just being set up."""
+        """Whether connections are in the accept queue or do not have their transport yet."""
         poll = select.poll()
         poll.register(self.socket.fileno(), select.POLLIN)
         return bool(self._tasks) or bool(poll.poll(0))
@@ -71,26 +103,29 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The connection is gone, or there are no descriptors or memory: asked again and again at
-                # once, what lasts would keep the process busy.
+                # The client closed the connection, or the process has no descriptors or memory. The latter
+                # lasts, and an immediate retry would take all of the CPU.
                 self._metrics.increment("accepts-failed")
                 failures += 1
                 if failures < FAILURES_BEFORE_DELAY:
                     continue
-                self._loop.remove_reader(self.socket)
-                self._retry_timer = self._loop.call_later(ACCEPT_RETRY_DELAY, self._retry)
+                self._pause()
                 return
             failures = 0
             task = self._loop.create_task(self._serve(accepted))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
+    def _pause(self) -> None:
+        self._loop.remove_reader(self.socket)
+        self._retry_timer = self._loop.call_later(ACCEPT_RETRY_DELAY, self._retry)
+
     def _retry(self) -> None:
         self._retry_timer = None
         self._loop.add_reader(self.socket, self._accept_ready)
 
     async def _serve(self, accepted: socket.socket) -> None:
-        """Gives the connection a transport, which starts the task that serves it."""
+        """Creates the connection's transport, which starts the task that serves the connection."""
         reader = asyncio.StreamReader(limit=self._read_limit, loop=self._loop)
         protocol = asyncio.StreamReaderProtocol(reader, self._on_connection, loop=self._loop)
         try:
@@ -100,7 +135,7 @@
             accepted.close()
 
     def close(self) -> None:
-        """Accepts nobody any more; the connections that were accepted stay."""
+        """Closes the listening socket; accepted connections stay open."""
         if self._retry_timer:
             self._retry_timer.cancel()
         self._loop.remove_reader(self.socket)
--- a/crankfold/network/admin_server.py
+++ b/crankfold/network/admin_server.py
@@ -1,84 +1,92 @@
-"""Takes operators' calls on an address of its own."""
+"""The admin server: serves operators' calls on an address of its own, one call a connection."""
 
 import asyncio
-import socket
 from http import HTTPStatus
 
-from crankfold.network.acceptor import Acceptor
+from crankfold.network.acceptor import AcceptLimits, Acceptor, open_listening_socket
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.admin_api import AdminConnection, AdminOperations, execute
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
-MAX_CALLERS = 16  # connections at once; their descriptors are kept free of clients and backends
+MAX_CALLERS = 16  # open connections; `divide_socket_limit` reserves their descriptors
 CALL_TIMEOUT = 2.0  # seconds from connecting to the end of a call
-CLOSE_DELAY = 0.2  # seconds that what comes after the response is read: a reset would overtake it
+# Seconds after the response in which input is read and discarded. A close with unread input resets the
+# connection, and the caller could lose the response.
+CLOSE_DELAY = 0.2
 READ_SIZE = 4 * 1024  # bytes
-ACCEPT_BACKLOG = 256  # connections not accepted yet
-ACCEPTS_PER_ITERATION = 2  # connections accepted in one iteration of the loop
+LIMITS = AcceptLimits(backlog=256, read_limit=READ_SIZE, accepts_per_iteration=2)
 
 
 class AdminServer:
-    """The listening socket for operators, and the calls under way on it."""
+    """The listening socket for operators, and the calls in progress on its connections.
+
+    Attributes:
+        connections: In the order in which they were accepted, with their writers.
+        acceptor: None before `open` and after `close`.
+    """
 
     def __init__(self, operations: AdminOperations, metrics: Metrics) -> None:
         self.operations = operations
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
-        # The first to come first. One that has sent its call is not closed for others.
         self.connections: dict[AdminConnection, asyncio.StreamWriter] = {}
         self.acceptor: Acceptor | None = None
 
     def open(self, host: str, port: int) -> None:
-        """Begins to accept; port 0 is one that the system picks.
+        """Begins to accept; port 0 is one that the system chooses.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: The address can't be listened on.
         """
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        listening = socket.create_server((host, port), family=family, backlog=ACCEPT_BACKLOG)
-        self.acceptor = Acceptor(
-            listening,
-            self._handle_connection,
-            metrics=self.metrics,
-            read_limit=READ_SIZE,
-            accepts_per_iteration=ACCEPTS_PER_ITERATION,
-        )
+        listening = open_listening_socket(host, port, LIMITS)
+        self.acceptor = Acceptor(listening, self._handle_connection, self.metrics, LIMITS)
 
     def port(self) -> int:
-        """The port that is listened on, 0 for none."""
+        """The port on which the server listens, 0 for none."""
         return self.acceptor.port() if self.acceptor else 0
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.metrics.increment("admin-connections")
-        if not self._make_room():
+        if not self._evict_if_full():
             writer.transport.abort()
             return
         connection = AdminConnection()
         self.connections[connection] = writer
-        started_at = self.loop.time()
         try:
-            if not await self._read_call(connection, reader, writer):
-                return
-            if connection.command:
-                await self._execute(connection)
-            writer.writelines(connection.outgoing)
-            self.metrics.increment("admin-calls" if connection.command else "admin-calls-rejected")
-            duration_ms = int((self.loop.time() - started_at) * 1000)
-            self.metrics.record_maximum("admin-longest-call-ms", duration_ms)
-            if writer.can_write_eof():
-                writer.write_eof()
-            async with asyncio.timeout(CLOSE_DELAY):
-                while await reader.read(READ_SIZE):
-                    pass
+            await self._serve_call(connection, reader, writer)
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
             self.connections.pop(connection, None)
             writer.close()
 
-    def _make_room(self) -> bool:
-        """Whether one more connection may be served; closes the oldest that has sent no call yet."""
+    async def _serve_call(
+        self, connection: AdminConnection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        started_at = self.loop.time()
+        if not await self._read_call(connection, reader, writer):
+            return
+        if connection.command:
+            await self._execute(connection)
+        writer.writelines(connection.outgoing)
+        self.metrics.increment("admin-calls" if connection.command else "admin-calls-rejected")
+        duration_ms = int((self.loop.time() - started_at) * MILLISECONDS_PER_SECOND)
+        self.metrics.record_maximum("admin-longest-call-ms", duration_ms)
+        if writer.can_write_eof():
+            writer.write_eof()
+        async with asyncio.timeout(CLOSE_DELAY):
+            while await reader.read(READ_SIZE):
+                pass
+
+    def _evict_if_full(self) -> bool:
+        """Closes the oldest connections without a call while MAX_CALLERS connections are open.
+
+        A connection whose call was read is never closed: its effect could have begun.
+
+        Returns:
+            Whether one more connection may be served.
+        """
         while len(self.connections) >= MAX_CALLERS:
-            # One that stays and says nothing would keep out the call that matters.
             oldest = next((connection for connection in self.connections if not connection.command), None)
             if oldest is None:
                 return False
@@ -89,7 +97,11 @@
     async def _read_call(
         self, connection: AdminConnection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Reads until there is a command or a response; false if the caller went before that."""
+        """Reads until the call is complete or rejected.
+
+        Returns:
+            False if the caller closed the connection before that.
+        """
         try:
             async with asyncio.timeout(CALL_TIMEOUT):
                 while not connection.command and not connection.answered:
@@ -97,8 +109,8 @@
                     if not data:
                         return False
                     connection.receive_data(data)
-                    if connection.outgoing and not connection.answered:  # the caller is to go on sending
-                        writer.writelines(connection.outgoing)
+                    if connection.outgoing and not connection.answered:
+                        writer.writelines(connection.outgoing)  # 100 Continue
                         connection.outgoing.clear()
         except TimeoutError:
             connection.respond(HTTPStatus.REQUEST_TIMEOUT)
@@ -114,7 +126,7 @@
                 raise
 
     async def close(self) -> None:
-        """Accepts nobody new and ends all connections."""
+        """Stops accepting and closes all connections."""
         if self.acceptor:
             self.acceptor.close()
             self.acceptor = None
--- a/crankfold/network/listener.py
+++ b/crankfold/network/listener.py
@@ -1,47 +1,48 @@
-"""Accepts connections from clients and backends, within a limit, and ends those that take too long."""
+"""Accepts connections from clients and backends, limits their number, and closes those that time out."""
 
 import asyncio
 import socket
 from collections.abc import Sequence
 from typing import Protocol
 
-from crankfold.network.accepted_connection import NEW_CONNECTION_GRACE, READ_SIZE, AcceptedConnection
-from crankfold.network.acceptor import Acceptor
+from crankfold.network.accepted_connection import NEW_CONNECTION_GRACE, READER_LIMIT, AcceptedConnection
+from crankfold.network.acceptor import AcceptLimits, Acceptor, open_listening_socket
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.client_connection import ClientChannel, ClientRequestHandler
 
-# A client that says nothing, or stops in the middle of a request and stays, must be out 3 seconds later; who
-# goes on, however slowly, is heard. All in seconds, and looked at once in SWEEP_INTERVAL.
+# Timeouts of accepted connections, in seconds, checked each SWEEP_INTERVAL. A client that sends nothing, or
+# stops in the middle of a request, is disconnected within 3 s; one that goes on sending has TRANSFER_TIMEOUT.
 FIRST_REQUEST_TIMEOUT = 2.0  # from connecting to the first byte of a request or callback
-STALL_TIMEOUT = 2.0  # without a byte in the middle of a request, the first on its connection or a later one
-FIRST_HEADER_TIMEOUT = 2.5  # from connecting to the end of the first header: some send one without end
-TRANSFER_TIMEOUT = 5.0  # from the first byte of a request to its last, and for a response to be taken
-IDLE_TIMEOUT = 75.0  # seconds
-SWEEP_INTERVAL = 0.25  # seconds
-ACCEPT_BACKLOG = 1024  # connections not accepted yet
-ACCEPTS_PER_ITERATION = 4  # connections accepted in one iteration of the loop
-# It takes some turns of the loop from accepting a connection to telling, and to close another for it.
-UNCOUNTED_SOCKETS = 6 * ACCEPTS_PER_ITERATION
-CLOSE_CHECKS = 20  # how often the end looks whether all is written
+STALL_TIMEOUT = 2.0  # without a byte in the middle of a request
+FIRST_HEADER_TIMEOUT = 2.5  # from connecting to the end of the first header
+TRANSFER_TIMEOUT = 5.0  # from the first byte of a request to its last, and for the peer to receive a response
+IDLE_TIMEOUT = 75.0
+SWEEP_INTERVAL = 0.25
+LIMITS = AcceptLimits(backlog=1024, read_limit=READER_LIMIT, accepts_per_iteration=4)
+RECEIVE_BUFFER_SIZE = 2 * READER_LIMIT  # bytes in the kernel, for each connection
+# Iterations of the loop between accepting a connection and the close of the one evicted for it.
+EVICTION_ITERATIONS = 6
+UNCOUNTED_SOCKETS = EVICTION_ITERATIONS * LIMITS.accepts_per_iteration  # open beyond the limits
+CLOSE_CHECKS = 20  # checks, in `close`, for connections with unwritten bytes
 CLOSE_CHECK_INTERVAL = 0.01  # seconds
 
 
 class ConnectionHandler(ClientRequestHandler, Protocol):
-    """Where requests go, and who hears of clients that leave."""
+    """Receives requests, and notices of clients that disconnect."""
 
     def client_disconnected(self, client: ClientChannel) -> None:
-        """The client has gone before its request was answered."""
+        """The client has disconnected while its request was open."""
 
 
 class Listener:
     """The listening socket and all connections accepted on it.
 
     Attributes:
-        max_connections: from which on one connection is closed for each new one.
-        flooding_connections: send more behind a request than is kept.
-        unidentified_connections: no request or callback so far, the first to come first.
-        closing: out of service or ending: responses are the last on their connections.
-        shared_socket: a copy of the listening one, to be handed to a successor.
+        max_connections: From this number on, one connection is evicted for each new one.
+        flooding_connections: Those whose input is discarded, as too much is pipelined behind a request.
+        unidentified_connections: Those without a request or callback so far, the oldest first.
+        closing: Out of service or shutting down: each response is the last on its connection.
+        shared_socket: A duplicate of the listening socket, for a successor.
     """
 
     def __init__(
@@ -69,36 +70,27 @@
         """Begins to accept.
 
         Args:
-            host: an address, of the older or the newer kind.
-            port: 0 for one that the system picks.
-            inherited: what the predecessor listened on, in place of a new socket.
-            reuse_port: processes follow one another; the listening socket can be handed on.
+            host: An IPv4 or IPv6 address.
+            port: 0 for one that the system chooses.
+            inherited: The predecessor's listening socket, in place of a new one.
+            reuse_port: Whether the listening socket can be passed to a successor.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: The address can't be listened on.
         """
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        listening = inherited or socket.create_server(
-            (host, port), family=family, backlog=ACCEPT_BACKLOG, reuse_port=reuse_port
-        )
-        # Each connection inherits it: asyncio reads all that the system holds, for each at once.
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * READ_SIZE)
+        listening = inherited or open_listening_socket(host, port, LIMITS, reuse_port=reuse_port)
+        # Accepted connections inherit the size. It bounds what asyncio reads from one of them at once.
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_SIZE)
         if reuse_port:
             self.shared_socket = listening.dup()
-        listening.listen(ACCEPT_BACKLOG)
+        listening.listen(LIMITS.backlog)
         self._start_accepting(listening)
 
     def _start_accepting(self, listening: socket.socket) -> None:
-        self.acceptor = Acceptor(
-            listening,
-            self._handle_connection,
-            metrics=self.metrics,
-            read_limit=READ_SIZE,
-            accepts_per_iteration=ACCEPTS_PER_ITERATION,
-        )
+        self.acceptor = Acceptor(listening, self._handle_connection, self.metrics, LIMITS)
 
     def pause(self) -> None:
-        """Accepts nobody new. The shared socket keeps the queue of those who wait for the next to accept."""
+        """Stops accepting. The shared socket keeps the accept queue for `resume` or a successor."""
         if self.acceptor:
             self.acceptor.close()
             self.acceptor = None
@@ -109,11 +101,11 @@
             self._start_accepting(self.shared_socket.dup())
 
     def _has_pending_connections(self) -> bool:
-        # Their requests may have come whole: closed unread, they would be lost.
+        # Complete requests may be in the kernel's buffers of such a connection.
         return self.acceptor is not None and self.acceptor.has_pending()
 
     def port(self) -> int:
-        """The port that is listened on, 0 for none."""
+        """The port on which the listener accepts, 0 for none."""
         return self.acceptor.port() if self.acceptor else 0
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -127,7 +119,7 @@
         except OSError:
             self.metrics.increment("connections-reset")
         except asyncio.CancelledError:
-            pass  # the program ends while a rejected client is still sending: no failure of ours
+            pass  # the process exits while a rejected client is still sending
         finally:
             self._remove(connection)
             if connection.protocol.awaiting_response:
@@ -136,19 +128,10 @@
             writer.close()
 
     def _evict_if_full(self) -> None:
-        """Near the limit on sockets one connection is ended; a request in hand is never dropped."""
+        """Closes one connection if the limit is reached, but never one with an open request."""
         if len(self.connections) < self.max_connections:
             return
-        # Some come by hundreds, say nothing or ask for our health once, and stay: they go before the rest.
-        # Among the young ones are callbacks under way; closed for room these were sent again 0.2 s later.
-        evicted = next(iter(self.unidentified_connections), None)
-        if not evicted or self.loop.time() - evicted.accepted_at < NEW_CONNECTION_GRACE:
-            idle = (
-                connection
-                for connection in self.connections
-                if connection.protocol.identified and connection.is_idle()
-            )
-            evicted = min(idle, key=AcceptedConnection.eviction_order, default=evicted)
+        evicted = self._eviction_candidate()
         if evicted:
             self.metrics.increment("connections-evicted")
             self._remove(evicted)
@@ -156,17 +139,32 @@
         else:
             self.metrics.increment("connections-over-limit")
 
+    def _eviction_candidate(self) -> AcceptedConnection | None:
+        """The oldest unidentified connection past its grace, else an idle one, else the oldest unidentified.
+
+        Within the grace a connection may have its first request or callback in transit.
+        """
+        oldest = next(iter(self.unidentified_connections), None)
+        if oldest and self.loop.time() - oldest.accepted_at >= NEW_CONNECTION_GRACE:
+            return oldest
+        idle = (
+            connection
+            for connection in self.connections
+            if connection.protocol.identified and connection.is_idle()
+        )
+        return min(idle, key=AcceptedConnection.eviction_order, default=oldest)
+
     def _remove(self, connection: AcceptedConnection) -> None:
         self.connections.discard(connection)
         self.flooding_connections.discard(connection)
         self.unidentified_connections.pop(connection, None)
 
     def is_over_limit(self) -> bool:
-        """Whether there are more connections than allowed, all of them with a request in hand."""
+        """Whether there are more connections than allowed, as each has an open request."""
         return len(self.connections) > self.max_connections
 
     def sweep(self) -> None:
-        """Ends the connections whose time is up; to be called once an interval."""
+        """Closes the connections that timed out; called once in SWEEP_INTERVAL."""
         now = self.loop.time()
         for connection in list(self.connections):
             if self._is_timed_out(now, connection):
@@ -180,7 +178,7 @@
     def _is_timed_out(now: float, connection: AcceptedConnection) -> bool:
         protocol = connection.protocol
         overdue = now - connection.phase_started_at > TRANSFER_TIMEOUT
-        if protocol.closing:  # else it ends after its linger time
+        if protocol.closing:  # without unsent data, the connection closes after CLOSE_DELAY
             return overdue and connection.has_unsent_data()
         if protocol.is_mid_request():
             stalled = now - connection.last_progress_at() > STALL_TIMEOUT
@@ -189,25 +187,25 @@
             return stalled or now - connection.accepted_at > FIRST_HEADER_TIMEOUT
         if protocol.identified:
             return overdue and connection.has_unsent_data()
-        # Says nothing, or asked for our health alone.
+        # The connection has sent nothing, or only health checks.
         return not protocol.awaiting_response and now - connection.accepted_at > FIRST_REQUEST_TIMEOUT
 
     def has_client_connections(self) -> bool:
-        """Whether any connection is not a backend's."""
+        """Whether any connection is a client's: one without a callback so far."""
         return any(not connection.protocol.is_backend for connection in self.connections)
 
     def has_connections(self) -> bool:
-        """Whether there is any connection, accepted or waiting to be."""
+        """Whether there is any connection, accepted or in the accept queue."""
         return bool(self.connections) or self._has_pending_connections()
 
     def expects_data(self) -> bool:
-        """Whether a request may be under way on any connection, accepted or waiting to be."""
+        """Whether a request may be in transit on any connection, accepted or in the accept queue."""
         return self._has_pending_connections() or any(
             connection.expects_data() for connection in self.connections
         )
 
     def close_idle(self, spare_backends: bool = False) -> None:
-        """Ends the connections on which nothing is under way, and which are not new."""
+        """Closes idle connections that are past NEW_CONNECTION_GRACE; backends' too if not spared."""
         for connection in self.connections:
             if spare_backends and connection.protocol.is_backend:
                 continue
@@ -217,10 +215,10 @@
                 connection.close()
 
     async def close(self) -> None:
-        """The last: no more connections, and what is written gets a moment to leave.
+        """Closes the listening socket and all connections, once written responses have left.
 
-        Whoever still waits to be accepted, or has just connected, is heard before that: the request handler
-        sheds what comes by now.
+        Connections in the accept queue, and new ones, are read before that for up to NEW_CONNECTION_GRACE;
+        the request handler sheds their requests.
         """
         end = self.loop.time() + NEW_CONNECTION_GRACE
         while self.loop.time() < end and self.expects_data():  # noqa: ASYNC110 - no event
