--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -1,41 +1,48 @@
-"""Keeps the list of endpoints up to date: asks discovery for all of it first, then for what changes."""
+"""Follows the endpoint list of discovery: first a snapshot, then deltas, by long polls or by periodic calls.
+
+Where discovery pushes lists, the watcher keeps one long poll open at all times. Where it does not, each
+watch is started from outside.
+"""
 
 import asyncio
 import logging
+import os
 from collections.abc import Callable, Sequence
 
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.discovery import DiscoveryConnection, DiscoveryError, EndpointFactory, RejectedError
 from crankfold.routing.interface import Endpoint
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
 logger = logging.getLogger(__name__)
 
-# What discovery has counts as known here 6 s after it could be reached. A watch may fall silent the moment it
-# is asked: LONG_POLL_MS and OVERDUE_GRACE pass until that shows, and the rest is for further calls, each
-# answered at once. Times are in seconds where their names don't say otherwise.
-LONG_POLL_MS = 2000  # that discovery may wait for a change
-OVERDUE_GRACE = 0.5  # an answer so long overdue is not waited for alone
-# The same for a pushed watch. Its wait may end in a short silence of the agent; what that gets at its return
-# counts at once, and this with the call that follows has to fit into the grace of a drain.
+# A change must be applied within 6 s of the moment when discovery has it and is reachable. A long poll can
+# lose its connection unnoticed as soon as it is sent: LONG_POLL_MS and OVERDUE_GRACE pass until that is
+# detected, and the rest of the 6 s is for further calls. Times are in seconds unless the name says otherwise.
+LONG_POLL_MS = 2000  # discovery may wait this long for a change
+OVERDUE_GRACE = 0.5  # after the expected end of a call, until a further call is started beside it
+# The same for long polls of a watch. The agent may be silent for a moment at the end of the poll; the grace
+# and the call that follows must fit into the grace period of a drain that it has then.
 WATCH_OVERDUE_GRACE = 0.1
 CONNECT_TIMEOUT = 1.0
-QUEUE_TIMEOUT = 6.0  # where many ask at once they are answered in turn; who hangs up sooner has asked in vain
-RETRY_INTERVAL = 0.15  # between calls where lists are pushed: what a silent agent gets at its return counts
-MAX_WATCH_CALLS = 4  # at once, where lists are pushed
-POLL_RETRY_INTERVAL = 2.5  # between calls where lists are asked for: each call costs discovery
-MAX_POLL_CALLS = 2  # at once, where lists are asked for
-MIN_CALL_INTERVAL = (
-    0.02  # an agent that answers without waiting must not keep us busy; a watch lasts over 0.2 s
-)
+QUEUE_TIMEOUT = 6.0  # discovery answers queued calls in turn: a call given up sooner loses its place
+RETRY_INTERVAL = 0.15  # between calls of a watch: the agent answers those that begin after its silence
+MAX_WATCH_CALLS = 4  # calls of a watch at once
+POLL_RETRY_INTERVAL = 2.5  # between calls without a watch: each one loads discovery
+MAX_POLL_CALLS = 2  # calls at once without a watch
+# Between the starts of two calls, where an agent answers long polls at once. Less than the 0.2 s in which
+# discovery expects the next call of a watch.
+MIN_CALL_INTERVAL = 0.02
 READ_SIZE = 64 * 1024  # bytes
+NO_REVISION = -1  # no list is known: the next call asks for a snapshot
+CATEGORY = {"category": "discovery"}  # of log records
 
 
 class DiscoveryCall:
-    """One call to discovery and the connection it goes by, which a later call may use again.
+    """One call to discovery and its connection, which a later call may reuse.
 
     Attributes:
-        sent_at: when it was last sent, in seconds of the loop's clock.
-        response_started: some of the answer has come.
+        sent_at: When the last call began, in seconds of the loop's clock.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -43,40 +50,35 @@
         self.port = port
         self.protocol = DiscoveryConnection(f"{host}:{port}")
         self.sent_at = asyncio.get_running_loop().time()
-        self.response_started = False
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
     async def fetch(self, revision: int, wait_ms: int) -> None:
-        """Asks for what changed after a revision, and returns once the answer is complete.
+        """Requests the changes after a revision and returns once the response is complete.
 
         Raises:
-            DiscoveryError: the answer can't be read or breaks off.
-            OSError: the connection did not come up or broke.
-            TimeoutError: the connection did not come up in time.
+            DiscoveryError: The response is not valid HTTP, too long, or incomplete.
+            OSError: The connection could not be established, or broke.
+            TimeoutError: The connection was not established within CONNECT_TIMEOUT.
         """
-        self.response_started = False
         self.sent_at = asyncio.get_running_loop().time()
         if self.reader is None or self.writer is None:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
         self.writer.write(self.protocol.request(revision, wait_ms))
-        while not self.protocol.receive_data(data := await self.reader.read(READ_SIZE)):
-            if not data:
-                raise DiscoveryError("the connection ended")
-            self.response_started = True
+        while not self.protocol.receive_data(await self.reader.read(READ_SIZE)):
+            pass
 
     def close(self) -> None:
-        """Ends its connection."""
+        """Closes the connection."""
         if self.writer:
             self.writer.close()
 
 
 class _CallRace:
-    """Asks by one call, then by more beside it, until the first of them is answered.
+    """Hedged calls to discovery: the first response wins, and the other calls are cancelled.
 
-    A connection that fell silent tells that by nothing: once its answer is overdue others are asked beside
-    it, and it is given up when one of them has answered.
+    A lost connection is not reported by the network, so an overdue call is not given up but hedged.
     """
 
     def __init__(self, host: str, port: int, revision: int, metrics: Metrics) -> None:
@@ -85,21 +87,32 @@
         self.revision = revision
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
-        self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}  # the first to be asked first
+        self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}  # the oldest first
         self.error: BaseException | None = None  # of the last call that failed
 
     async def first_answered(
         self, call: DiscoveryCall | None, *, interval: float, max_calls: int, is_pushed: bool
     ) -> DiscoveryCall:
-        """The first call that is answered; `call` is one whose connection may be used again.
+        """Calls discovery, and again each `interval` while no call is answered.
+
+        Args:
+            call: A finished call whose connection is reused, or None.
+            interval: Seconds between further calls.
+            max_calls: Calls at once.
+            is_pushed: Whether this is a watch; it has no end of its own.
+
+        Returns:
+            The first call with a complete response.
 
         Raises:
-            DiscoveryError, OSError, TimeoutError: as the last call failed, or none was answered in time.
+            DiscoveryError: The last call in progress failed so.
+            OSError: The last call in progress failed so.
+            TimeoutError: No call of a poll was answered in time, or the last one could not connect in time.
         """
         started_at = self.loop.time()
         has_list = self.revision >= 0
-        wait = LONG_POLL_MS / 1000 if has_list else 0.0
-        self._ask(call or DiscoveryCall(self.host, self.port), LONG_POLL_MS if has_list else 0)
+        wait = LONG_POLL_MS / MILLISECONDS_PER_SECOND if has_list else 0.0
+        self._start(call or DiscoveryCall(self.host, self.port), LONG_POLL_MS if has_list else 0)
         due = started_at + wait + _overdue_grace(is_pushed=is_pushed, has_list=has_list)
         while self.calls:
             answered = await self._next_answered(due)
@@ -107,22 +120,26 @@
                 return answered
             if self.calls and self.loop.time() >= due:
                 if not is_pushed and self.loop.time() - started_at > wait + QUEUE_TIMEOUT:
-                    raise TimeoutError("no answer")
+                    raise TimeoutError("no response")
                 self.metrics.increment("discovery-silent")
                 self._drop_surplus_calls(max_calls)
-                self._ask(DiscoveryCall(self.host, self.port), 0)
+                self._start(DiscoveryCall(self.host, self.port), 0)
                 due = self.loop.time() + interval
         assert self.error is not None
         raise self.error
 
-    def _ask(self, call: DiscoveryCall, wait_ms: int) -> None:
+    def _start(self, call: DiscoveryCall, wait_ms: int) -> None:
         task = self.loop.create_task(call.fetch(self.revision, wait_ms))
-        # Its error is looked at here, so that asyncio does not report one that nobody waits for any more.
+        # Retrieves the exception of a task that is no longer awaited, which asyncio would report.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         self.calls[task] = call
 
     async def _next_answered(self, due: float) -> DiscoveryCall | None:
-        """A call that is answered before that time, if there is one; those that failed are closed."""
+        """Waits until a call ends, but not after `due` (seconds of the loop's clock).
+
+        Returns:
+            A call with a complete response, or None. Calls that failed are closed.
+        """
         timeout = max(due - self.loop.time(), 0)
         done, _ = await asyncio.wait(self.calls, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
@@ -136,45 +153,48 @@
         return None
 
     def _drop_surplus_calls(self, max_calls: int) -> None:
-        """Makes room for one more call.
-
-        The one that waits longest may be next in turn, and one being answered, however slowly, is heard out:
-        of the others the oldest goes.
-        """
+        """Cancels calls until one more may start."""
         while len(self.calls) >= max_calls:
-            first = next(iter(self.calls))
-            latest = self.loop.time() - QUEUE_TIMEOUT - LONG_POLL_MS / 1000
-            expired = [task for task, call in self.calls.items() if call.sent_at < latest]
-            silent = [
-                task for task, call in self.calls.items() if task is not first and not call.response_started
-            ]
-            dropped = (expired or silent or [*self.calls][1:])[0]
+            dropped = self._least_promising_call()
             dropped.cancel()
             self.calls.pop(dropped).close()
 
+    def _least_promising_call(self) -> asyncio.Task[None]:
+        """The oldest expired call; else the oldest without a response so far; else the oldest but one.
+
+        The oldest call is kept unless it expired, as it may be next in the queue of discovery.
+        """
+        expired_before = self.loop.time() - QUEUE_TIMEOUT - LONG_POLL_MS / MILLISECONDS_PER_SECOND
+        expired = [task for task, call in self.calls.items() if call.sent_at < expired_before]
+        _oldest, *others = self.calls
+        silent = [task for task in others if not self.calls[task].protocol.response_started]
+        return (expired or silent or others)[0]
+
     def close(self) -> None:
-        """Gives up the calls that were not answered."""
+        """Cancels the calls in progress and closes their connections."""
         for task, call in self.calls.items():
             task.cancel()
             call.close()
 
 
 def _overdue_grace(*, is_pushed: bool, has_list: bool) -> float:
+    """Seconds from the expected end of a call until it is hedged."""
     if is_pushed:
         return WATCH_OVERDUE_GRACE if has_list else OVERDUE_GRACE
     return OVERDUE_GRACE if has_list else POLL_RETRY_INTERVAL
 
 
 class DiscoveryWatcher:
-    """Asks discovery again and again and tells what it answers.
+    """Calls discovery and passes the endpoints in its responses on.
 
     Attributes:
-        make_endpoint: turns the names in an entry into indices.
-        on_endpoints: is told the endpoints that changed, or all of them, in which case the flag is true.
-        on_failure: is told of each watch that broke.
-        retry_interval: between calls where lists are pushed, in seconds.
-        revision: of the list that is known; negative for none.
-        last_answer_at: when discovery last answered, in seconds of the loop's clock.
+        make_endpoint: Turns the names in an entry into indices.
+        on_endpoints: Called with the endpoints of a response, and whether they are a snapshot.
+        on_failure: Called at the end of each watch.
+        retry_interval: Seconds between calls of a watch.
+        revision: After which the next call asks for changes; negative to ask for a snapshot.
+        list_revision: Of the last list that was received from this agent; negative if there is none.
+        last_answer_at: When discovery last answered, in seconds of the loop's clock.
     """
 
     def __init__(
@@ -188,7 +208,7 @@
         metrics: Metrics,
         retry_interval: float = RETRY_INTERVAL,
     ) -> None:
-        """Does nothing before `start`; the address is the discovery agent's."""
+        """Is idle until `start`; the address is the discovery agent's."""
         self.host = host
         self.port = port
         self.make_endpoint = make_endpoint
@@ -196,26 +216,28 @@
         self.on_failure = on_failure
         self.metrics = metrics
         self.retry_interval = retry_interval
-        self.revision = -1
+        self.revision = NO_REVISION
+        self.list_revision = NO_REVISION
         self.task: asyncio.Task[None] | None = None
         self.last_answer_at = 0.0
 
     def start(self, keep_running: bool) -> None:
-        """Begins to watch, unless it does. With `keep_running` a watch that breaks is taken up again."""
+        """Starts a watch, unless one runs. With `keep_running` a watch that fails is started again."""
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._run(keep_running))
 
     def switch_to(self, host: str, port: int, keep_running: bool) -> None:
-        """Watches another agent, at once: what the old one says and its revisions mean nothing there."""
+        """Follows another agent at once, from a snapshot: revisions of the two are not comparable."""
         self.stop()
         self.host = host
         self.port = port
         self.task = None
-        self.revision = -1
+        self.revision = NO_REVISION
+        self.list_revision = NO_REVISION
         self.start(keep_running)
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """Cancels the watch."""
         if self.task:
             self.task.cancel()
 
@@ -224,24 +246,34 @@
             try:
                 await self._follow(keep_running)
             except (OSError, TimeoutError, DiscoveryError) as error:
-                # A call that was not answered leaves the revision as it is, and changes are a shorter answer
-                # than the whole list.
-                if isinstance(error, DiscoveryError) and not isinstance(error, RejectedError):
-                    self.revision = -1
-                self.metrics.increment("discovery-failed")
-                logger.warning(
-                    "%s: %s; the old list stands",
-                    type(error).__name__,
-                    error,
-                    extra={"category": "discovery"},
-                )
+                self._record_failure(error)
             self.on_failure()
             if not keep_running:
                 return
             await asyncio.sleep(self.retry_interval)
 
+    def _record_failure(self, error: OSError | DiscoveryError) -> None:
+        # A call without a usable response leaves the revision valid, and a delta is shorter than a snapshot.
+        if isinstance(error, DiscoveryError) and not isinstance(error, RejectedError):
+            self.revision = NO_REVISION
+        self.metrics.increment("discovery-failed")
+        reason = self._describe_failure(error)
+        if self.list_revision >= 0:
+            logger.warning(
+                "%s; keeping endpoint list of revision %s", reason, self.list_revision, extra=CATEGORY
+            )
+        else:
+            logger.warning("%s; no endpoint list received yet", reason, extra=CATEGORY)
+
+    def _describe_failure(self, error: OSError | DiscoveryError) -> str:
+        """The cause in plain words; with the address unless discovery itself has answered."""
+        if isinstance(error, DiscoveryError):
+            return str(error)
+        cause = os.strerror(error.errno).lower() if error.errno else str(error) or "connect timed out"
+        return f"{cause} ({self.host}:{self.port})"
+
     async def _follow(self, is_pushed: bool) -> None:
-        """Asks until nothing answers any more."""
+        """Makes one call after the other until one fails."""
         loop = asyncio.get_running_loop()
         call: DiscoveryCall | None = None
         try:
@@ -252,7 +284,7 @@
                 self._take_answer(call)
                 await asyncio.sleep(max(asked_at + MIN_CALL_INTERVAL - loop.time(), 0))
                 if not call.protocol.is_reusable():
-                    call.close()  # an answer may close its connection without ending the watch
+                    call.close()  # discovery may close the connection after a response without a failure
                     call = None
         finally:
             if call:
@@ -273,8 +305,9 @@
     def _take_answer(self, call: DiscoveryCall) -> None:
         update = call.protocol.decode_response(self.make_endpoint)
         if update.revision < self.revision and not update.is_snapshot:
-            raise DiscoveryError("a version older than the last")
+            raise DiscoveryError(f"received revision {update.revision} after revision {self.revision}")
         self.revision = update.revision
+        self.list_revision = update.revision
         self.metrics.increment("discovery-snapshots" if update.is_snapshot else "discovery-deltas")
         if update.endpoints or update.is_snapshot:
             self.on_endpoints(update.endpoints, update.is_snapshot)
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery's protocol, without I/O: words the calls and decodes the lists of endpoints that answer them."""
+"""The discovery protocol without I/O: encodes the calls, decodes the endpoint lists in the responses.
+
+Field names on the wire (`uid`, `az`, `model`, `pod_group`, `capacity_hint`, `rev`, `all`, `targets`) stay in
+this module.
+"""
 
 from collections.abc import Callable, Sequence
 from http import HTTPStatus
@@ -17,29 +21,30 @@
 }
 _STATE_NAMES = {state: name for name, state in _STATES.items()}
 MAX_LIST_SIZE = 16 * 1024 * 1024  # bytes
+_WireEntry = dict[str, Any]  # a JSON object with the field names of the wire
 
 
 class DiscoveryError(CrankfoldError, ValueError):
-    """An answer of discovery can't be read as a whole: the list of before stands."""
+    """A response of discovery is incomplete or can't be decoded; none of it is applied."""
 
 
 class RejectedError(DiscoveryError):
-    """Discovery did not serve the call; what it said before still holds."""
+    """Discovery rejected the call; the last revision is still valid there."""
 
 
 class DiscoveryEntry(NamedTuple):
-    """What discovery says of one backend.
+    """One backend in an endpoint list.
 
     Attributes:
-        backend_id: that names it for good.
-        host: of its address.
-        port: of its address.
-        zone: by name.
-        instance_type: by name.
-        cell: number of the group of machines that it is in.
-        state: whether it may be sent requests.
-        weight: its size, or how much it may be sent; 0 where discovery does not say.
-        boot_ms: when it started, in milliseconds since the epoch; 0 for long ago.
+        backend_id: Unique, and never reused.
+        host: Of its address.
+        port: Of its address.
+        zone: By name.
+        instance_type: By name.
+        cell: Number of the cell, a group of machines.
+        state: Whether requests may be sent to it.
+        weight: Its capacity relative to other backends; 0 where discovery does not state it.
+        boot_ms: When it started, in milliseconds since the epoch; 0 for long ago.
     """
 
     backend_id: str
@@ -57,12 +62,12 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """One answer of discovery.
+    """One response of discovery.
 
     Attributes:
-        revision: of the list that the answer leads to.
-        is_snapshot: the list as a whole; else only what changed since the revision that the call named.
-        endpoints: those in the list, or those that changed.
+        revision: Of the list with this update applied.
+        is_snapshot: Whether it is the whole list; else it is the delta since the revision in the call.
+        endpoints: All in the list, or those that changed.
     """
 
     revision: int
@@ -71,26 +76,26 @@
 
 
 def decode_endpoints(body: bytes | bytearray, make_endpoint: EndpointFactory) -> EndpointUpdate:
-    """Decodes the body of an answer.
+    """Decodes the body of a response.
 
     Raises:
-        DiscoveryError: anything in it can't be read, or a snapshot is empty.
+        DiscoveryError: A field is missing or malformed, or a snapshot is empty.
     """
     try:
         message = orjson.loads(body)
         revision = message["rev"]
         is_snapshot = message["all"]
         if type(revision) is not int or type(is_snapshot) is not bool:
-            raise DiscoveryError("rev or all")
+            raise DiscoveryError("rev is not an integer, or all is not a boolean")
         endpoints = [make_endpoint(_decode_entry(entry)) for entry in message["targets"]]
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise DiscoveryError(f"{type(error).__name__}: {error}") from None
+        raise DiscoveryError(f"unreadable endpoint list ({type(error).__name__}: {error})") from error
     if is_snapshot and not endpoints:
         raise DiscoveryError("a snapshot without a backend")
     return EndpointUpdate(revision, is_snapshot, endpoints)
 
 
-def _decode_entry(entry: dict[str, Any]) -> DiscoveryEntry:
+def _decode_entry(entry: _WireEntry) -> DiscoveryEntry:
     host, _, port = entry["endpoint"].rpartition(":")
     if not host or not isinstance(entry["uid"], str):
         raise DiscoveryError("an entry without uid or address")
@@ -107,8 +112,8 @@
     )
 
 
-def encode_entry(entry: DiscoveryEntry) -> dict[str, Any]:
-    """The entry as discovery words it."""
+def encode_entry(entry: DiscoveryEntry) -> _WireEntry:
+    """The entry in the form of the wire."""
     return {
         "uid": entry.backend_id,
         "endpoint": f"{entry.host}:{entry.port}",
@@ -122,65 +127,82 @@
 
 
 class DiscoveryConnection:
-    """The state of one connection to discovery, used for one call after the other."""
+    """The state of one connection to discovery, used for one call after the other.
+
+    Attributes:
+        status: Of the present response, 0 before its header.
+        body: Of the present response.
+        response_started: Whether any byte of the present response was received.
+    """
 
     def __init__(self, host: str) -> None:
         self.http = h11.Connection(h11.CLIENT)
         self.host = host.encode()
         self.status = 0
         self.body = bytearray()
+        self.response_started = False
 
     def request(self, revision: int, wait_ms: int) -> bytes:
-        """Begins a call; gives the bytes to be written.
+        """Begins a call; returns the bytes to be written.
 
         Args:
-            revision: asks for what changed after it, or for a snapshot if it is negative.
-            wait_ms: how long discovery may wait for a change, in milliseconds.
+            revision: The response has the changes after it, or a snapshot if it is negative.
+            wait_ms: How long discovery may wait for a change, in milliseconds.
         """
         target = "/v1/servers" if revision < 0 else f"/v1/servers?after={revision}&wait_ms={wait_ms}"
         self.status = 0
         self.body = bytearray()
+        self.response_started = False
         head = h11.Request(method=b"GET", target=target.encode(), headers=[(b"Host", self.host)])
         return (self.http.send(head) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
 
     def receive_data(self, data: bytes) -> bool:
-        """True once an answer is complete.
+        """Receives bytes of the response, or its end if there are none; True once it is complete.
 
         Raises:
-            DiscoveryError: the answer can't be read, is too long, or breaks off.
+            DiscoveryError: The response is not valid HTTP, is too long, or ends before it is complete.
         """
         try:
             self.http.receive_data(data)
-            while True:
-                event = self.http.next_event()
-                if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return False
-                if isinstance(event, h11.Response):
-                    self.status = event.status_code
-                elif isinstance(event, h11.Data):
-                    self.body += event.data
-                    if len(self.body) > MAX_LIST_SIZE:
-                        raise DiscoveryError("longer than any list")
-                elif isinstance(event, h11.EndOfMessage):
-                    if self.http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
-                        self.http.start_next_cycle()
-                    return True
-                elif isinstance(event, h11.ConnectionClosed):
-                    raise DiscoveryError("the connection ended")
+            is_complete = self._process_events()
         except h11.RemoteProtocolError as error:
-            raise DiscoveryError(str(error)) from None
+            if data:
+                raise DiscoveryError(f"response is not valid HTTP ({error})") from error
+            is_complete = False
+        if not data and not is_complete:
+            moment = "in the middle of a response" if self.response_started else "without a response"
+            raise DiscoveryError(f"connection closed {moment}")
+        self.response_started = True
+        return is_complete
+
+    def _process_events(self) -> bool:
+        """Reads the events that are complete; True at the end of the response."""
+        while True:
+            event = self.http.next_event()
+            if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
+                return False
+            if isinstance(event, h11.Response):
+                self.status = event.status_code
+            elif isinstance(event, h11.Data):
+                self.body += event.data
+                if len(self.body) > MAX_LIST_SIZE:
+                    raise DiscoveryError(f"response over {MAX_LIST_SIZE} bytes")
+            elif isinstance(event, h11.EndOfMessage):
+                if self.http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
+                    self.http.start_next_cycle()
+                return True
 
     def is_reusable(self) -> bool:
-        """Whether another call may follow on this connection."""
+        """Whether another call may be sent on this connection."""
         return self.http.our_state is h11.IDLE
 
     def decode_response(self, make_endpoint: EndpointFactory) -> EndpointUpdate:
-        """Decodes the answer that is complete.
+        """Decodes the complete response.
 
         Raises:
-            RejectedError: the call was not served; what was said before still holds.
-            DiscoveryError: the list can't be read.
+            RejectedError: Discovery rejected the call.
+            DiscoveryError: The list can't be decoded.
         """
         if self.status != HTTPStatus.OK:
-            raise RejectedError(f"status {self.status}")
+            raise RejectedError(f"call rejected with status {self.status}")
         return decode_endpoints(self.body, make_endpoint)
--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import logging
+import socket
 from typing import Any
 from unittest.mock import Mock, patch
 
@@ -51,12 +52,14 @@
             return f"{entry.backend_id} {entry.state.name.lower()}"
 
         metrics = Metrics()
-        logged = patch.object(
-            logging.getLogger("crankfold.network.discovery_watcher"),
-            "handle",
-            lambda record: self.say(f"  logged: {record.getMessage().partition(':')[0]}"),
-        )
-        self.enterContext(logged)
+        messages: list[str] = []
+
+        def record_log(record: logging.LogRecord) -> None:
+            self.say("  logged: DiscoveryError")
+            messages.append(record.getMessage())
+
+        logger = logging.getLogger("crankfold.network.discovery_watcher")
+        self.enterContext(patch.object(logger, "handle", record_log))
         watcher = DiscoveryWatcher(
             "127.0.0.1",
             await self.stand_in(discovery),
@@ -73,6 +76,34 @@
             await done.wait()
         watcher.stop()
         self.close("watch")
+        older, unreadable, empty = messages
+        self.assertEqual(older, "received revision 1 after revision 2; keeping endpoint list of revision 2")
+        self.assertRegex(
+            unreadable,
+            r"^unreadable endpoint list \(JSONDecodeError: .*\); keeping endpoint list of revision 2$",
+        )
+        self.assertEqual(empty, "a snapshot without a backend; keeping endpoint list of revision 2")
+
+    async def test_a_failed_connection_is_logged_with_its_cause_and_address(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as closed:
+            port = closed.getsockname()[1]
+        failed = asyncio.Event()
+        watcher = DiscoveryWatcher(
+            "127.0.0.1",
+            port,
+            Mock(),
+            on_endpoints=lambda *_: None,
+            on_failure=failed.set,
+            metrics=Metrics(),
+        )
+        with self.assertLogs("crankfold.network.discovery_watcher") as logged:
+            watcher.start(False)
+            async with asyncio.timeout(5):
+                await failed.wait()
+        self.assertEqual(
+            [record.getMessage() for record in logged.records],
+            [f"connection refused (127.0.0.1:{port}); no endpoint list received yet"],
+        )
 
     async def test_a_call_waits_in_the_queue_and_asks_for_changes_after_a_rejection(self) -> None:
         answered = asyncio.Event()
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -64,4 +64,40 @@
             revision, is_snapshot, endpoints = decode_endpoints(body, self.make_endpoint)
             self.say(f"version {revision}, {'whole' if is_snapshot else 'changes'}, {len(endpoints)}")
         except DiscoveryError as error:
-            self.say(f"{body.decode()}: old list stands, {str(error).partition(':')[0]}")
+            reason = str(error)
+            if error.__cause__ is not None:
+                cause = type(error.__cause__).__name__
+                self.assertEqual(reason, f"unreadable endpoint list ({cause}: {error.__cause__})")
+                reason = cause
+            self.say(f"{body.decode()}: old list stands, {reason}")
+
+    def test_a_response_that_breaks_off_or_is_malformed_is_reported_in_plain_words(self) -> None:
+        for received, reason in (
+            (b"", "connection closed without a response"),
+            (b"HTTP/1.1 2", "connection closed in the middle of a response"),
+            (
+                b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+                "connection closed in the middle of a response",
+            ),
+            (
+                b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
+                "connection closed in the middle of a response",
+            ),
+        ):
+            connection = DiscoveryConnection("10.0.0.9:85")
+            connection.request(4, 0)
+            self.assertFalse(received and connection.receive_data(received))
+            with self.assertRaises(DiscoveryError) as raised:
+                connection.receive_data(b"")
+            self.assertEqual(str(raised.exception), reason)
+        connection = DiscoveryConnection("10.0.0.9:85")
+        connection.request(4, 0)
+        with self.assertRaisesRegex(DiscoveryError, r"^response is not valid HTTP \(.+\)$"):
+            connection.receive_data(b"what?\r\n\r\n")
+
+    def test_a_response_without_a_length_ends_with_its_connection(self) -> None:
+        connection = DiscoveryConnection("10.0.0.9:85")
+        connection.request(4, 0)
+        self.assertFalse(connection.receive_data(b"HTTP/1.1 200 OK\r\n\r\n{}"))
+        self.assertTrue(connection.receive_data(b""))
+        self.assertEqual((connection.status, connection.body), (200, b"{}"))
