--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -28,8 +28,8 @@
 class ExchangeResult(Enum):
     """How an exchange ended, and so whether the backend may have executed its request.
 
-    A request is certainly not executed only where the backend cannot have received it whole: nothing was
-    written, or its last byte never left this process (an incomplete message, RFC 9112 section 8). Once the
+    It is certain that a request was not executed only if the backend cannot have the complete message: nothing
+    was written, or its last byte never left this process (an incomplete message, RFC 9112 section 8). Once the
     last byte is written, a close, a reset or a timeout proves nothing: the backend may have executed the
     request and lost the response. RFC 9110 section 9.2.2 then permits an automatic retry only of an
     idempotent request, and RFC 9112 section 9.3.1 makes no exception for persistent connections. In this
@@ -54,9 +54,9 @@
                       before anything was written
     ================  ==========================================  =================  =====================
 
-    Of complete responses, only 503 or 504 with `X-Not-Processed: 1` proves that the request never ran. A
-    response that breaks off proves nothing of the kind, also where that header came, but for 202: with its
-    header the backend has accepted the request. The writing side is never half-closed, so an end from the
+    Of complete responses, only 503 or 504 with `X-Not-Processed: 1` proves that the request never ran. An
+    incomplete response is no such proof, even with that header in it. The header of a 202 is enough to know
+    that the backend has accepted the request. The writing side is never half-closed, so an end from the
     backend is always a close of the whole connection (RFC 9112 section 9.6).
 
     The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`), and
@@ -295,8 +295,8 @@
         self.open_count = 0
         self.idle_connections: dict[PooledConnection, None] = {}
 
-    def make_room(self) -> bool:
-        """Makes room for one more connection, by closing the one idle longest if the limit is reached.
+    def evict_if_full(self) -> bool:
+        """Closes the connection that is idle longest if the limit is reached.
 
         Returns:
             Whether one more connection may be opened.
@@ -339,7 +339,7 @@
         if connection:
             self.metrics.increment("backend-connections-reused")
             connection.start(exchange)
-        elif self.closed or not self.limiter.make_room():
+        elif self.closed or not self.limiter.evict_if_full():
             self.metrics.increment("backend-connections-over-limit")
             self.loop.call_soon(exchange.finish, ExchangeResult.NOT_SENT, None)
         else:
--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -17,8 +17,8 @@
 logger = logging.getLogger(__name__)
 
 # A change must be applied within 6 s of the moment when discovery has it and is reachable. A long poll can
-# lose its connection unnoticed as soon as it is sent: LONG_POLL_MS and OVERDUE_GRACE pass until that is
-# detected, and the rest of the 6 s is for further calls. Times are in seconds unless the name says otherwise.
+# lose its connection unnoticed as soon as it is sent. LONG_POLL_MS and OVERDUE_GRACE pass until that is
+# detected; further calls have the remainder of the 6 s. Times are in seconds unless the name says otherwise.
 LONG_POLL_MS = 2000  # discovery may wait this long for a change
 OVERDUE_GRACE = 0.5  # after the expected end of a call, until a further call is started beside it
 # The same for long polls of a watch. The agent may be silent for a moment at the end of the poll; the grace
@@ -278,11 +278,11 @@
         call: DiscoveryCall | None = None
         try:
             while True:
-                asked_at = loop.time()
+                called_at = loop.time()
                 call = await self._first_answer(call, is_pushed)
                 self.last_answer_at = loop.time()
                 self._take_answer(call)
-                await asyncio.sleep(max(asked_at + MIN_CALL_INTERVAL - loop.time(), 0))
+                await asyncio.sleep(max(called_at + MIN_CALL_INTERVAL - loop.time(), 0))
                 if not call.protocol.is_reusable():
                     call.close()  # discovery may close the connection after a response without a failure
                     call = None
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -1,6 +1,6 @@
-"""Connects a process to the one that replaces it: a Unix socket, which also passes the listening one.
+"""Connects a process to its successor through a Unix socket, which also passes the listening TCP socket.
 
-In the same directory lies the file of manual drains, for a start after both processes have died.
+The file of manual drains is in the same directory, for a start after both processes have died.
 """
 
 import asyncio
@@ -25,45 +25,71 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_TIMEOUT = 1.0  # seconds; a predecessor that hangs must not keep its successor from starting
+ANSWER_TIMEOUT = 1.0  # seconds; bounds how long a predecessor that hangs delays a start
 READ_SIZE = 64 * 1024  # bytes
 MAX_UNSENT_BYTES = 1024 * 1024
 SOCKET_SIGNATURE = b"!"  # the byte with which the listening socket is passed
-MAX_DESCRIPTORS = 4  # taken in one message; all but the first are closed
+MAX_DESCRIPTORS = 4  # received in one message; all but the first are closed
 
 
 class HandoverChannelEvents(Protocol):
-    """Who is told of other processes. They are given by numbers that are never used again."""
+    """Receives the events of a channel. Each connected process has a number that is never reused."""
 
     def successor_found(self, process: int, sock: socket.socket, hello: HandoverMessage) -> None:
-        """Another process has connected; `sock` is only for passing the listening socket, during the call."""
+        """Another process has connected; `sock` may pass the listening socket during this call only."""
 
     def message_received(self, process: int, message: HandoverMessage) -> None:
-        """A process says something."""
+        """A process has sent a message."""
 
     def connection_lost(self, process: int) -> None:
-        """A process has closed its connection, or sent what is no message."""
+        """A process has closed its connection, or has sent bytes that are no message."""
 
 
 class PredecessorConnection(NamedTuple):
-    """A process that answered: its number, its listening socket and the first message from it."""
+    """A predecessor that answered.
+
+    Attributes:
+        process: Its number.
+        listening_socket: The TCP socket that it passed, if it did.
+        welcome: Its first message.
+    """
 
     process: int
     listening_socket: socket.socket | None
     welcome: HandoverMessage
 
 
+class _Peer(NamedTuple):
+    """A connected process: its number and its streams."""
+
+    process: int
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    decoder: HandoverDecoder
+
+
 def resolve(future: asyncio.Future[None]) -> None:
-    """Ends the wait for a future, unless it has ended."""
+    """Completes a future, unless it is done."""
     if not future.done():
         future.set_result(None)
 
 
 class HandoverChannel:
-    """Connects to a predecessor, lets successors connect, and carries messages both ways."""
+    """Connects to a predecessor, accepts successors, and carries messages both ways.
+
+    Attributes:
+        writers: Of the connected processes, by number.
+        inode: Of the socket of this process; 0 before `open`.
+    """
 
     def __init__(self, directory: str, name: str, events: HandoverChannelEvents) -> None:
-        """`name` is that of the socket in the directory, and begins that of the file of manual drains."""
+        """Connects to nothing yet.
+
+        Args:
+            directory: Holds the socket and the file of manual drains.
+            name: Of the socket; the file has the same name with a suffix.
+            events: Receives the events.
+        """
         self.directory = Path(directory)
         self.name = name
         self.events = events
@@ -76,7 +102,7 @@
 
     @contextlib.contextmanager
     def _short_path(self, name: str) -> Iterator[str]:
-        """A socket's path holds 107 bytes at most, and directories may be deep."""
+        """A path of the file that fits into a socket address (107 bytes), however long the directory's is."""
         directory = os.open(self.directory, os.O_PATH | os.O_DIRECTORY)
         try:
             yield f"/proc/self/fd/{directory}/{name}"
@@ -86,10 +112,10 @@
     # --- the file of manual drains ---
 
     def save_record(self, record: ManualDrainRecord) -> None:
-        """Replaces the file as a whole or not at all.
+        """Replaces the file atomically.
 
         Raises:
-            OSError: if it cannot be written.
+            OSError: The file can't be written.
         """
         path = self.directory / f"{self.name}.bans"
         unfinished = path.with_suffix(f".{os.getpid()}")
@@ -97,7 +123,7 @@
         os.replace(unfinished, path)
 
     def load_record(self) -> ManualDrainRecord | None:
-        """What the file holds; None, with a line in the log where there is one, if it is of no use."""
+        """The content of the file; None if there is no file, or it can't be read, which is logged."""
         path = self.directory / f"{self.name}.bans"
         try:
             return decode_drain_record(path.read_bytes())
@@ -110,7 +136,7 @@
     # --- to a predecessor ---
 
     async def connect(self, hello: HandoverMessage) -> PredecessorConnection | None:
-        """None if nobody is there who answers as a process of this program does."""
+        """Connects to the process that serves now; None without one, or if it does not answer as expected."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         decoder = HandoverDecoder()
@@ -123,22 +149,25 @@
                 messages = await _read_messages(reader, decoder)
         except (OSError, TimeoutError, ProtocolError) as error:
             sock.close()
-            if not isinstance(error, FileNotFoundError):
-                # The socket that a killed process left refuses; anything else that is there is not ours.
+            if not isinstance(error, FileNotFoundError):  # no socket, so no predecessor
                 _warn("predecessor", f"{type(error).__name__}: {error}; starting alone")
             return None
-        process = self._register(writer)
-        self._start_reading(process, reader, writer, decoder, messages[1:])
-        return PredecessorConnection(process, listening_socket, messages[0])
+        peer = self._register(reader, writer, decoder)
+        self._start_reading(peer, messages[1:])
+        return PredecessorConnection(peer.process, listening_socket, messages[0])
 
     async def _connect_socket(self, sock: socket.socket) -> None:
         with self._short_path(self.name) as path:
             if os.stat(path).st_uid != os.geteuid():
-                raise ProtocolError("another user's")
+                raise ProtocolError("the socket belongs to another user")
             await self.loop.sock_connect(sock, path)
 
     async def _receive_socket(self, sock: socket.socket) -> socket.socket | None:
-        """Waits for the first byte, and takes the listening socket that may come with it."""
+        """Waits for the first byte, and receives the listening socket that may come with it.
+
+        Raises:
+            ProtocolError: The byte is not SOCKET_SIGNATURE.
+        """
         readable: asyncio.Future[None] = self.loop.create_future()
         self.loop.add_reader(sock, resolve, readable)
         try:
@@ -152,7 +181,7 @@
         if signature != SOCKET_SIGNATURE:
             if listening_socket:
                 listening_socket.close()
-            raise ProtocolError("no predecessor of ours")
+            raise ProtocolError("the other side is not a process of this program")
         if listening_socket:
             listening_socket.setblocking(False)
         return listening_socket
@@ -160,10 +189,10 @@
     # --- to successors ---
 
     async def open(self) -> None:
-        """Lets successors connect, in place of whichever process had the name.
+        """Accepts successors, and replaces the socket of the process that had the name before.
 
         Raises:
-            OSError: if there can be no socket in the directory.
+            OSError: The socket can't be created in the directory.
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         unfinished = f"{self.name}.{os.getpid()}"
@@ -185,77 +214,66 @@
             _warn("successor", f"{type(error).__name__}: {error}")
             writer.close()
             return
-        process = self._register(writer)
+        peer = self._register(reader, writer, decoder)
         with writer.get_extra_info("socket").dup() as sock:
-            self.events.successor_found(process, sock, messages[0])
-        self._start_reading(process, reader, writer, decoder, messages[1:])
+            self.events.successor_found(peer.process, sock, messages[0])
+        self._start_reading(peer, messages[1:])
 
     # --- both ways ---
 
-    def _register(self, writer: asyncio.StreamWriter) -> int:
+    def _register(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, decoder: HandoverDecoder
+    ) -> _Peer:
         self.last_process_id += 1
         self.writers[self.last_process_id] = writer
-        return self.last_process_id
-
-    def _start_reading(
-        self,
-        process: int,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-        decoder: HandoverDecoder,
-        messages: list[HandoverMessage],
-    ) -> None:
-        task = self.loop.create_task(self._read(process, reader, writer, decoder, messages))
+        return _Peer(self.last_process_id, reader, writer, decoder)
+
+    def _start_reading(self, peer: _Peer, messages: list[HandoverMessage]) -> None:
+        task = self.loop.create_task(self._read(peer, messages))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _read(
-        self,
-        process: int,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-        decoder: HandoverDecoder,
-        messages: list[HandoverMessage],
-    ) -> None:
+    async def _read(self, peer: _Peer, messages: list[HandoverMessage]) -> None:
+        """Passes on these messages, which were received already, and all that follow."""
         try:
             while True:
                 for message in messages:
-                    self.events.message_received(process, message)
-                data = await reader.read(READ_SIZE)
+                    self.events.message_received(peer.process, message)
+                data = await peer.reader.read(READ_SIZE)
                 if not data:
                     break
-                messages = decoder.receive_data(data)
+                messages = peer.decoder.receive_data(data)
         except (OSError, ProtocolError) as error:
             _warn("handover", f"{type(error).__name__}: {error}")
         finally:
-            writer.close()
-            if self.writers.pop(process, None):
-                self.events.connection_lost(process)
+            peer.writer.close()
+            if self.writers.pop(peer.process, None):
+                self.events.connection_lost(peer.process)
 
     def send(self, process: int, message: HandoverMessage) -> None:
-        """Sends a message, unless that process has gone; one that reads nothing is disconnected."""
+        """Sends a message if that process is connected; disconnects one that does not read."""
         writer = self.writers.get(process)
         if writer is None:
             return
         if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            writer.transport.abort()  # it hangs, and what it is told must not fill our memory
+            writer.transport.abort()  # bounds the memory for a process that hangs
         else:
             writer.write(encode_message(message))
 
     def disconnect(self, process: int) -> None:
-        """Closes a connection when all that was sent on it has been written; its loss is not told."""
+        """Closes a connection once all messages are written, without a call of `connection_lost`."""
         writer = self.writers.pop(process, None)
         if writer:
             writer.close()
 
     def stop_accepting(self) -> None:
-        """Lets no more successors connect; those that are connected stay."""
+        """Accepts no more successors; connected ones stay."""
         if self.server:
             self.server.close()
             self.server = None
 
     def close(self) -> None:
-        """Ends all connections and removes the socket, if it is still that of this process."""
+        """Closes all connections and removes the socket, if it is still that of this process."""
         self.stop_accepting()
         with contextlib.suppress(OSError):
             if os.stat(self.directory / self.name).st_ino == self.inode:
@@ -265,16 +283,16 @@
 
 
 async def _read_messages(reader: asyncio.StreamReader, decoder: HandoverDecoder) -> list[HandoverMessage]:
-    """The first message, and those that came with it.
+    """Reads until there is a message; returns it and those that were received with it.
 
     Raises:
-        ProtocolError: if the other side leaves before, or sends what is no message.
+        ProtocolError: The other side closed the connection before that, or sent bytes that are no message.
     """
     messages: list[HandoverMessage] = []
     while not messages:
         data = await reader.read(READ_SIZE)
         if not data:
-            raise ProtocolError("left before its first message was complete")
+            raise ProtocolError("connection closed before the first message was complete")
         messages = decoder.receive_data(data)
     return messages
 
--- a/crankfold/network/log_handler.py
+++ b/crankfold/network/log_handler.py
@@ -17,7 +17,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Drops records of a category that come too fast, and notes on the next one how many were dropped."""
+    """Drops records that follow one of the same category too soon; the next one has the number dropped."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
 
 
 class LineFormatter(logging.Formatter):
-    """Words a record as `crankfold: CATEGORY: message (N similar suppressed)`."""
+    """Formats a record as `crankfold: CATEGORY: message (N similar suppressed)`."""
 
     def format(self, record: logging.LogRecord) -> str:
         """The line without its end; category and count only where the record has them."""
@@ -57,10 +57,9 @@
 
 
 class StderrHandler(logging.Handler):
-    """Writes each record to standard error as it is at that moment.
+    """Writes each record to `sys.stderr`, looked up for each record.
 
-    Where a line can't be written, as on a full disk, the program goes on: a request must not fail because of
-    a line about it.
+    Errors of the stream, such as a full disk, are ignored: logging must not fail a request.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -68,14 +67,14 @@
         try:
             line = self.format(record)
         except Exception:
-            self.handleError(record)  # a call whose arguments don't fit its message must not raise either
+            self.handleError(record)  # arguments that do not fit the message must not raise either
             return
         with contextlib.suppress(OSError, ValueError):
             print(line, file=sys.stderr, flush=True)
 
 
 def configure_logging() -> None:
-    """Sends the log of all modules of this package to standard error. A second call changes nothing."""
+    """Sends the log of all modules of this package to standard error. A second call has no effect."""
     logger = logging.getLogger(PACKAGE)
     if any(isinstance(handler, StderrHandler) for handler in logger.handlers):
         return
--- a/crankfold/network/metrics.py
+++ b/crankfold/network/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what the program did, and what is counted and logged when something must not be."""
+"""Counters of one process, and the record of broken invariants and unexpected exceptions."""
 
 import logging
 import traceback
@@ -19,15 +19,15 @@
         self.counters[name] += 1
 
     def record_maximum(self, name: str, value: int) -> None:
-        """Keeps the largest value given under that name."""
+        """Raises the value under that name to `value` if it is lower."""
         if value > self.counters[name]:
             self.counters[name] = value
 
     def check_invariant(self, holds: bool, name: str) -> None:
-        """Fails a debug build where an invariant does not hold; a release build counts and logs it.
+        """Counts and logs a broken invariant in a release build (`python -O`).
 
         Raises:
-            AssertionError: in a debug build, if `holds` is false.
+            AssertionError: `holds` is false in a debug build.
         """
         assert holds, name
         if not holds:
@@ -35,13 +35,13 @@
             logger.error("%s", name, extra={"category": "broken"})
 
     def record_exception(self, error: BaseException) -> None:
-        """Counts and logs an exception that no code foresaw, with the place that raised it."""
+        """Counts and logs an unexpected exception with the file and line that raised it."""
         self.increment("failures")
         frames = traceback.extract_tb(error.__traceback__)[-1:]
         location = f" at {frames[0].filename}:{frames[0].lineno}" if frames else ""
         logger.error("%r%s", error, location, extra={"category": "failure"})
 
     def log_counters(self, gauges: Mapping[str, int]) -> None:
-        """Logs all counters and the given present values on one line, sorted by name."""
+        """Logs all counters, and gauges by name with their present values, on one line sorted by name."""
         values = {**self.counters, **gauges}
         logger.info("counters: %s", " ".join(f"{name}={values[name]}" for name in sorted(values)))
--- a/crankfold/network/signals.py
+++ b/crankfold/network/signals.py
@@ -1,10 +1,10 @@
-"""Signals that come before there is anything to act on them, or when the process is about to end."""
+"""Signals that arrive before the event loop has handlers for them, or after it has removed them."""
 
 import asyncio
 import signal
 from types import FrameType
 
-# All that operators send to a process in service.
+# The signals with a handler while the process serves.
 OPERATOR_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 _reload_requested = False
@@ -16,13 +16,13 @@
 
 
 def catch_early_signals() -> None:
-    """From here on SIGHUP is remembered and SIGUSR1 ignored; by default both end the process."""
+    """Records SIGHUP for `take_reload_request` and ignores SIGUSR1; by default both end the process."""
     signal.signal(signal.SIGHUP, _on_sighup)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
 
 
 def take_reload_request() -> bool:
-    """Whether a SIGHUP came since it was asked last."""
+    """Whether SIGHUP was received since the last call."""
     global _reload_requested
     requested = _reload_requested
     _reload_requested = False
@@ -30,7 +30,7 @@
 
 
 def ignore_signals_at_end(loop: asyncio.AbstractEventLoop) -> None:
-    """The process ends by itself now: the default of a signal would end it before its last answers."""
+    """Ignores operators' signals: their default action would end the process before its last responses."""
     for number in OPERATOR_SIGNALS:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
--- a/crankfold/network/socket_state.py
+++ b/crankfold/network/socket_state.py
@@ -1,16 +1,14 @@
-"""What the system holds of a connection and the program has not read."""
+"""Asks the kernel for input of a connection that was not read yet."""
 
 import asyncio
 import select
 
-PEER_CLOSED = (
-    select.POLLRDHUP
-)  # the other side will send no more; errors and a reset are reported in any case
+PEER_CLOSED = select.POLLRDHUP  # the peer has half-closed; poll reports errors and resets in any case
 ANY_INPUT = select.POLLIN | PEER_CLOSED
 
 
 def has_pending(writer: asyncio.StreamWriter, events: int) -> bool:
-    """Whether one of the poll events is pending at this moment on a connection that is open here."""
+    """Whether one of the poll events is pending on a connection that this process has not closed."""
     poll = select.poll()
     poll.register(writer.get_extra_info("socket").fileno(), events)
     return bool(poll.poll(0))
--- a/crankfold/network/timers.py
+++ b/crankfold/network/timers.py
@@ -1,38 +1,38 @@
-"""The one clock, and timers that never fire early. Times are whole tenths of a millisecond."""
+"""The clock of the process, and timers that never fire early. Times are in ticks."""
 
 import asyncio
 import time
 from collections.abc import Callable
 
 from crankfold.network.metrics import Metrics
-from crankfold.time_units import NANOSECONDS_PER_TICK, TICKS_PER_SECOND
+from crankfold.time_units import NANOSECONDS_PER_TICK, TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-MAX_DRIFT = 1000  # ticks by which a wall clock that nobody stepped may be off
-LATE = 100  # 10 ms; a timer that fires later than this is counted
+MAX_DRIFT = 100 * TICKS_PER_MILLISECOND  # between wall and monotonic clock without a step
+MAX_LATENESS = 10 * TICKS_PER_MILLISECOND  # beyond it a timer is counted as late
 
 
 class Clock:
-    """The wall's time at start, going on steadily from there.
+    """A monotonic clock that starts at the wall clock's time.
 
-    So starts of backends, which come in the wall's time, and timers are measured on one scale, and a wall
-    clock that is set anew moves nothing.
+    It compares with the start times of backends, which are wall-clock times, and a step of the wall clock
+    does not move timers and deadlines.
     """
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Tenths of a millisecond since the epoch."""
+        """Ticks since the epoch."""
         return (time.monotonic_ns() + self._offset) // NANOSECONDS_PER_TICK
 
     def wall_shift(self) -> int:
-        """By how many ticks the wall clock was stepped forward since the start; 0 where it only drifted."""
+        """Ticks by which the wall clock was stepped forward since the start; 0 up to MAX_DRIFT."""
         shift = time.time_ns() // NANOSECONDS_PER_TICK - self.now()
         return shift if abs(shift) > MAX_DRIFT else 0
 
 
 class Timers:
-    """Calls functions after a while, on the running event loop."""
+    """Schedules callbacks on the running event loop."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
         self.clock = clock
@@ -40,7 +40,7 @@
         self.loop = asyncio.get_running_loop()
 
     def call_after(self, delay: int, callback: Callable[[], object]) -> asyncio.TimerHandle:
-        """Calls back once that many tenths of a millisecond have passed, never before.
+        """Schedules `callback` after `delay` ticks, never earlier.
 
         An exception in the callback is recorded; a debug build raises it.
         """
@@ -52,7 +52,7 @@
         if lateness < 0:
             self.loop.call_later(-lateness / TICKS_PER_SECOND, self._fire, due, callback)
             return
-        if lateness > LATE:
+        if lateness > MAX_LATENESS:
             self.metrics.increment("timers-over-10ms-late")
         self.metrics.record_maximum("timer-max-lateness-tenths-of-ms", lateness)
         try:
