--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -93,41 +93,43 @@
     async def first_answered(
         self, call: DiscoveryCall | None, *, interval: float, max_calls: int, is_pushed: bool
     ) -> DiscoveryCall:
-        """Calls discovery, and again each `interval` while no call is answered.
+        """The first call with a complete response; starts a further one each `interval` until then.
 
         Args:
             call: A finished call whose connection is reused, or None.
             interval: Seconds between further calls.
             max_calls: Calls at once.
-            is_pushed: Whether this is a watch; it has no end of its own.
-
-        Returns:
-            The first call with a complete response.
+            is_pushed: Whether this is a watch; it has no timeout of its own.
 
         Raises:
-            DiscoveryError: The last call in progress failed so.
-            OSError: The last call in progress failed so.
-            TimeoutError: No call of a poll was answered in time, or the last one could not connect in time.
+            DiscoveryError, OSError: The last call in progress failed so.
+            TimeoutError: No call was answered in time, or the last one could not connect in time.
         """
         started_at = self.loop.time()
         has_list = self.revision >= 0
-        wait = LONG_POLL_MS / MILLISECONDS_PER_SECOND if has_list else 0.0
-        self._start(call or DiscoveryCall(self.host, self.port), LONG_POLL_MS if has_list else 0)
+        wait_ms = LONG_POLL_MS if has_list else 0
+        wait = wait_ms / MILLISECONDS_PER_SECOND
+        self._start(call or DiscoveryCall(self.host, self.port), wait_ms)
         due = started_at + wait + _overdue_grace(is_pushed=is_pushed, has_list=has_list)
         while self.calls:
             answered = await self._next_answered(due)
             if answered:
                 return answered
-            if self.calls and self.loop.time() >= due:
-                if not is_pushed and self.loop.time() - started_at > wait + QUEUE_TIMEOUT:
-                    raise TimeoutError("no response")
-                self.metrics.increment("discovery-silent")
-                self._drop_surplus_calls(max_calls)
-                self._start(DiscoveryCall(self.host, self.port), 0)
-                due = self.loop.time() + interval
+            if not self.calls or self.loop.time() < due:
+                continue
+            if not is_pushed and self.loop.time() - started_at > wait + QUEUE_TIMEOUT:
+                raise TimeoutError("no response")
+            self._hedge(max_calls)
+            due = self.loop.time() + interval
         assert self.error is not None
         raise self.error
 
+    def _hedge(self, max_calls: int) -> None:
+        """Starts a further call beside those in progress, which is answered without a wait."""
+        self.metrics.increment("discovery-silent")
+        self._drop_surplus_calls(max_calls)
+        self._start(DiscoveryCall(self.host, self.port), 0)
+
     def _start(self, call: DiscoveryCall, wait_ms: int) -> None:
         task = self.loop.create_task(call.fetch(self.revision, wait_ms))
         # Retrieves the exception of a task that is no longer awaited, which asyncio would report.
--- /dev/null
+++ b/crankfold/network/pooled_connection.py
@@ -0,0 +1,177 @@
+"""One persistent HTTP/1.1 connection to a backend: one exchange at a time, without pipelining."""
+
+import asyncio
+from collections.abc import Callable, Iterable
+from typing import Protocol, SupportsIndex
+
+from crankfold.network.exchange import Exchange, ExchangeResult
+from crankfold.network.metrics import Metrics
+from crankfold.network.socket_state import ANY_INPUT, has_pending
+from crankfold.protocol.backend_connection import Acceptance, BackendConnection, classify_response
+
+READ_SIZE = 64 * 1024  # bytes
+# Seconds between a response and the next request on the same connection. A duplicate response arrives within
+# milliseconds and would be read as the response to that next request: a duplicate `X-Not-Processed` would
+# permit a retry of a request that the backend executes.
+REUSE_COOLDOWN = 0.05
+NEVER_ANSWERED = -REUSE_COOLDOWN  # seconds of the loop's clock: a new connection needs no cooldown
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of its pool."""
+
+    loop: asyncio.AbstractEventLoop
+    metrics: Metrics
+
+    def release(self, connection: "PooledConnection") -> None:
+        """The exchange has ended, and the connection can carry another one."""
+
+    def remove_idle(self, connection: "PooledConnection") -> None:
+        """The connection is no longer idle."""
+
+    def connection_lost(self, connection: "PooledConnection") -> None:
+        """The connection is closed."""
+
+
+class CountingStreamReader(asyncio.StreamReader):
+    """Counts the bytes received, whether or not they were read."""
+
+    received_bytes = 0
+
+    def feed_data(self, data: Iterable[SupportsIndex]) -> None:
+        """Receives bytes from the transport."""
+        self.received_bytes += len(data)  # type: ignore[arg-type]
+        super().feed_data(data)
+
+
+class DrainNotifyingProtocol(asyncio.StreamReaderProtocol):
+    """Calls `on_drained` in the loop iteration in which the transport's buffer becomes empty.
+
+    A connection that breaks later in that iteration already counts as one with a complete request. Notified
+    by a task, it would count as UNREACHABLE, and the request would be retried although it may have executed.
+    """
+
+    on_drained: Callable[[], None] = staticmethod(lambda: None)
+
+    def resume_writing(self) -> None:
+        """Called by the transport when its buffer is empty."""
+        self.on_drained()
+        super().resume_writing()
+
+
+class PooledConnection:
+    """One open connection to a backend.
+
+    Attributes:
+        exchange: The one in progress; None while the connection is idle.
+        opened_at: Seconds of the loop's clock, as the next two.
+        idle_since: When the connection last became idle; 0 before its first exchange has ended.
+        answered_at: When the last response ended.
+        consumed_bytes: Received and read; fewer than the reader received if bytes came unsolicited.
+        request_written: Whether all bytes of the request have left this process.
+    """
+
+    def __init__(
+        self,
+        pool: ConnectionOwner,
+        reader: CountingStreamReader,
+        writer: asyncio.StreamWriter,
+        stream_protocol: DrainNotifyingProtocol,
+    ) -> None:
+        self.pool = pool
+        self.reader = reader
+        self.writer = writer
+        self.protocol = BackendConnection()
+        self.exchange: Exchange | None = None
+        self.opened_at = pool.loop.time()
+        self.idle_since = 0.0
+        self.answered_at = NEVER_ANSWERED
+        self.consumed_bytes = 0
+        self.request_written = True
+        # Not an argument of its constructor: asyncio creates the streams, which this object needs, with it.
+        stream_protocol.on_drained = self._on_drained
+        writer.transport.set_write_buffer_limits(high=0)  # resume_writing is called at an empty buffer only
+        self.task = pool.loop.create_task(self._run())
+
+    def start(self, exchange: Exchange) -> None:
+        """Writes the request of an exchange."""
+        self.exchange = exchange
+        exchange.connection = self
+        outgoing = self.protocol.send_request(
+            exchange.method, exchange.target, exchange.headers(), exchange.body
+        )
+        self.writer.writelines(outgoing)
+        self.request_written = self.writer.transport.get_write_buffer_size() == 0
+
+    def _on_drained(self) -> None:
+        """Notes that the backend may have the complete request: the kernel has its last byte.
+
+        Recorded here because the transport clears its buffer when the connection breaks: after that, an
+        empty buffer is no proof that the request was written.
+        """
+        self.request_written = True
+
+    def is_reusable(self) -> bool:
+        """Whether the connection is open and nothing was received on it since the last response."""
+        if self.reader.at_eof() or self.writer.is_closing() or self.reader.exception() is not None:
+            return False
+        if self.reader.received_bytes != self.consumed_bytes:
+            return False
+        return not has_pending(self.writer, ANY_INPUT)
+
+    def abort(self) -> None:
+        """Resets the connection; bytes that were not written are dropped."""
+        self.writer.transport.abort()
+
+    def close(self) -> None:
+        """Closes the idle connection."""
+        self.pool.remove_idle(self)
+        self.writer.close()
+
+    async def _run(self) -> None:
+        try:
+            while data := await self.reader.read(READ_SIZE):
+                self.consumed_bytes += len(data)
+                if self.exchange is None:
+                    self.pool.metrics.increment("backend-unsolicited-data")
+                    break
+                if self.protocol.receive_data(data):
+                    self._finish_exchange(self.exchange)
+                    if not self.protocol.reusable:
+                        break
+        except OSError:
+            pass
+        finally:
+            self.pool.connection_lost(self)
+            self.writer.close()
+            if self.exchange is not None:
+                result = ExchangeResult.ANSWERED if self._is_answered() else self._break_result()
+                self.exchange.finish(result, self.protocol)
+
+    def _finish_exchange(self, exchange: Exchange) -> None:
+        self.exchange = None
+        self.answered_at = self.pool.loop.time()
+        if self.protocol.reusable:
+            self.pool.release(self)
+        result = ExchangeResult.ANSWERED if self._is_answered() else ExchangeResult.BROKEN
+        exchange.finish(result, self.protocol)
+
+    def _is_answered(self) -> bool:
+        """Whether the response is complete, or its header alone proves that the backend has the request.
+
+        Only 202 is that proof. Any other incomplete response is discarded with its header: an
+        `X-Not-Processed` in it must not permit a retry.
+        """
+        if self.protocol.complete:
+            return True
+        verdict = classify_response(self.protocol.status, self.protocol.not_processed)
+        return verdict is Acceptance.ACCEPTED
+
+    def _break_result(self) -> ExchangeResult:
+        """The result for a connection that closed before a usable response; see `ExchangeResult`."""
+        if not self.request_written:
+            return ExchangeResult.UNREACHABLE
+        is_reused = self.idle_since > 0
+        if is_reused and not self.protocol.status:
+            return ExchangeResult.STALE_CONNECTION
+        return ExchangeResult.BROKEN
--- a/crankfold/service/backends/health_probes.py
+++ b/crankfold/service/backends/health_probes.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from crankfold.network.connection_pool import ExchangeResult
+from crankfold.network.exchange import ExchangeResult
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.backend_connection import BackendConnection
 from crankfold.protocol.load_reports import report_from_header
--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -9,13 +9,8 @@
 from crankfold.config.interning import Interner
 from crankfold.config.parser import ServiceConfig, setting_text
 from crankfold.errors import CrankfoldError
-from crankfold.network.connection_pool import (
-    ConnectionLimiter,
-    ConnectionPool,
-    Exchange,
-    ExchangeCallback,
-    ExchangeResult,
-)
+from crankfold.network.connection_pool import ConnectionLimiter, ConnectionPool
+from crankfold.network.exchange import Exchange, ExchangeCallback, ExchangeResult
 from crankfold.network.timers import Timers
 from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
 from crankfold.routing.interface import Endpoint, EndpointState
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 from urllib.parse import quote
 
-from crankfold.network.connection_pool import Exchange, ExchangeResult
+from crankfold.network.exchange import Exchange, ExchangeResult
 from crankfold.network.metrics import Metrics
 from crankfold.network.timers import Clock
 from crankfold.protocol.backend_connection import (
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from crankfold.network.connection_pool import Exchange
+from crankfold.network.exchange import Exchange
 from crankfold.protocol.client_connection import ClientChannel
 from crankfold.protocol.client_request import HttpRequest
 from crankfold.routing.interface import RequestClass
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -2,14 +2,10 @@
 
 import asyncio
 
-from crankfold.network.connection_pool import (
-    REUSE_COOLDOWN,
-    ConnectionLimiter,
-    ConnectionPool,
-    Exchange,
-    ExchangeResult,
-)
+from crankfold.network.connection_pool import ConnectionLimiter, ConnectionPool
+from crankfold.network.exchange import Exchange, ExchangeResult
 from crankfold.network.metrics import Metrics
+from crankfold.network.pooled_connection import REUSE_COOLDOWN
 from crankfold.protocol.backend_connection import BackendConnection
 from tests.loopback import OK, Loopback
 from tests.scene import read_request
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -11,9 +11,7 @@
 
 import orjson
 
-from crankfold.network.connection_pool import (
-    Exchange,
-)
+from crankfold.network.exchange import Exchange
 from tests.loopback import OK, UNIT, DispatcherTestCase
 from tests.scene import read_request
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,16 +12,12 @@
 
 from crankfold.config.parser import read_service_config
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES, NEW_CONNECTION_GRACE
-from crankfold.network.connection_pool import (
-    REUSE_COOLDOWN,
-    ConnectionLimiter,
-    ConnectionPool,
-    Exchange,
-    ExchangeResult,
-)
+from crankfold.network.connection_pool import ConnectionLimiter, ConnectionPool
 from crankfold.network.discovery_watcher import CONNECT_TIMEOUT
+from crankfold.network.exchange import Exchange, ExchangeResult
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
+from crankfold.network.pooled_connection import REUSE_COOLDOWN, PooledConnection
 from crankfold.protocol.backend_connection import BackendConnection
 from crankfold.routing.interface import POLL_TIMER, SECOND, Idempotency
 from crankfold.service.application import Application
@@ -151,7 +147,7 @@
         await self.begin(backend)
         exchange = self.send(b"x" * 30_000_000)
         await self.until(lambda: exchange.connection is not None)
-        assert exchange.connection
+        assert isinstance(exchange.connection, PooledConnection)
         self.assertFalse(exchange.connection.request_written)
         exchange.abort()
         called_off.set()
@@ -165,7 +161,7 @@
         await self.begin(backend)
         exchange = self.send(b"x" * 30_000_000)
         await self.until(lambda: exchange.connection is not None)
-        assert exchange.connection
+        assert isinstance(exchange.connection, PooledConnection)
         transport: Any = exchange.connection.writer.transport
         transport._buffer.clear()  # as the system takes the last of it ...
         transport._maybe_resume_protocol()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 import orjson
 
 from crankfold.network.admin_server import MAX_CALLERS, AdminServer
-from crankfold.network.connection_pool import Exchange
+from crankfold.network.exchange import Exchange
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.admin_api import MAX_CALL_SIZE, AdminConnection, execute
