--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -8,6 +8,7 @@
 import logging
 import os
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.discovery import DiscoveryConnection, DiscoveryError, EndpointFactory, RejectedError
@@ -75,31 +76,38 @@
             self.writer.close()
 
 
+class _CallPolicy(NamedTuple):
+    """How an overdue call is hedged.
+
+    Attributes:
+        is_pushed: Whether the calls are long polls of a watch, which have no timeout of their own.
+        interval: Seconds between further calls.
+        max_calls: Calls at once.
+    """
+
+    is_pushed: bool
+    interval: float
+    max_calls: int
+
+
 class _CallRace:
     """Hedged calls to discovery: the first response wins, and the other calls are cancelled.
 
     A lost connection is not reported by the network, so an overdue call is not given up but hedged.
     """
 
-    def __init__(self, host: str, port: int, revision: int, metrics: Metrics) -> None:
+    def __init__(self, host: str, port: int, revision: int, policy: _CallPolicy, metrics: Metrics) -> None:
         self.host = host
         self.port = port
         self.revision = revision
+        self.policy = policy
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
         self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}  # the oldest first
         self.error: BaseException | None = None  # of the last call that failed
 
-    async def first_answered(
-        self, call: DiscoveryCall | None, *, interval: float, max_calls: int, is_pushed: bool
-    ) -> DiscoveryCall:
-        """The first call with a complete response; starts a further one each `interval` until then.
-
-        Args:
-            call: A finished call whose connection is reused, or None.
-            interval: Seconds between further calls.
-            max_calls: Calls at once.
-            is_pushed: Whether this is a watch; it has no timeout of its own.
+    async def first_answered(self, call: DiscoveryCall | None) -> DiscoveryCall:
+        """The first call with a complete response. `call` is a finished one whose connection is reused.
 
         Raises:
             DiscoveryError, OSError: The last call in progress failed so.
@@ -110,24 +118,24 @@
         wait_ms = LONG_POLL_MS if has_list else 0
         wait = wait_ms / MILLISECONDS_PER_SECOND
         self._start(call or DiscoveryCall(self.host, self.port), wait_ms)
-        due = started_at + wait + _overdue_grace(is_pushed=is_pushed, has_list=has_list)
+        due = started_at + wait + _overdue_grace(is_pushed=self.policy.is_pushed, has_list=has_list)
         while self.calls:
             answered = await self._next_answered(due)
             if answered:
                 return answered
             if not self.calls or self.loop.time() < due:
                 continue
-            if not is_pushed and self.loop.time() - started_at > wait + QUEUE_TIMEOUT:
+            if not self.policy.is_pushed and self.loop.time() - started_at > wait + QUEUE_TIMEOUT:
                 raise TimeoutError("no response")
-            self._hedge(max_calls)
-            due = self.loop.time() + interval
+            self._hedge()
+            due = self.loop.time() + self.policy.interval
         assert self.error is not None
         raise self.error
 
-    def _hedge(self, max_calls: int) -> None:
+    def _hedge(self) -> None:
         """Starts a further call beside those in progress, which is answered without a wait."""
         self.metrics.increment("discovery-silent")
-        self._drop_surplus_calls(max_calls)
+        self._drop_surplus_calls()
         self._start(DiscoveryCall(self.host, self.port), 0)
 
     def _start(self, call: DiscoveryCall, wait_ms: int) -> None:
@@ -154,9 +162,9 @@
                 raise self.error
         return None
 
-    def _drop_surplus_calls(self, max_calls: int) -> None:
+    def _drop_surplus_calls(self) -> None:
         """Cancels calls until one more may start."""
-        while len(self.calls) >= max_calls:
+        while len(self.calls) >= self.policy.max_calls:
             dropped = self._least_promising_call()
             dropped.cancel()
             self.calls.pop(dropped).close()
@@ -293,14 +301,13 @@
                 call.close()
 
     async def _first_answer(self, call: DiscoveryCall | None, is_pushed: bool) -> DiscoveryCall:
-        race = _CallRace(self.host, self.port, self.revision, self.metrics)
+        if is_pushed:
+            policy = _CallPolicy(True, self.retry_interval, MAX_WATCH_CALLS)
+        else:
+            policy = _CallPolicy(False, POLL_RETRY_INTERVAL, MAX_POLL_CALLS)
+        race = _CallRace(self.host, self.port, self.revision, policy, self.metrics)
         try:
-            return await race.first_answered(
-                call,
-                interval=self.retry_interval if is_pushed else POLL_RETRY_INTERVAL,
-                max_calls=MAX_WATCH_CALLS if is_pushed else MAX_POLL_CALLS,
-                is_pushed=is_pushed,
-            )
+            return await race.first_answered(call)
         finally:
             race.close()
 
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -129,7 +129,7 @@
             return decode_drain_record(path.read_bytes())
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as error:
+        except (OSError, ProtocolError) as error:
             _warn("records", f"{path.name}: {error}; starting without")
             return None
 
--- a/crankfold/protocol/admin_api.py
+++ b/crankfold/protocol/admin_api.py
@@ -1,4 +1,7 @@
-"""The admin API, without I/O: one call a connection is read, carried out by whoever decides, and answered."""
+"""The admin API without I/O: decodes one call a connection, executes it and encodes the response.
+
+The paths on the wire (`agreed`, `runners`, `offline`, `online`, `least`) stay in this module.
+"""
 
 from collections.abc import Awaitable, Sequence
 from enum import Enum
@@ -14,10 +17,11 @@
 MAX_CALL_SIZE = 4 * 1024  # bytes of a call, its body included
 MAX_DOCUMENT_SIZE = 512 * 1024  # bytes of a call that publishes a document
 MAX_VERSION_DIGITS = 9
+CONTINUE = HTTPStatus.CONTINUE.value
 
 
 class AdminAction(Enum):
-    """What a call asks for."""
+    """The operation that a call requests; the value is its name in the path."""
 
     CHECK_READY = "ready"
     LEAVE_SERVICE = "out-of-service"
@@ -33,9 +37,9 @@
     """One call.
 
     Attributes:
-        action: what it asks for.
-        subject: the id of the backend, or the name of the document, that it concerns; empty for none.
-        minimum_version: of a document, that the caller has been told of already.
+        action: The requested operation.
+        subject: The id of the backend or the name of the document; empty for operations without one.
+        minimum_version: Of the document: an older version is not an answer to this call.
     """
 
     action: AdminAction
@@ -44,37 +48,37 @@
 
 
 class ReplicatedConfigAdmin(Protocol):
-    """What dispatchers agree on among themselves. Answers are a status and JSON."""
+    """Operations on the documents that are replicated in the cluster. Results are a status and JSON."""
 
     def cluster_status(self) -> tuple[int, str]:
         """The members and their state."""
 
     def read_document(self, name: str, minimum_version: int) -> Awaitable[tuple[int, str]]:
-        """A document, not older than that version."""
+        """Reads a document at that version or a newer one."""
 
     def publish(self, name: str, body: bytes) -> Awaitable[tuple[int, str]]:
         """Proposes a new version of a document."""
 
 
 class AdminOperations(Protocol):
-    """What may be called for. What binds is bound by the time the call is answered."""
+    """The operations of the admin API. Each is in force when its call is answered."""
 
-    replicated_config: ReplicatedConfigAdmin | None  # none without peers
+    replicated_config: ReplicatedConfigAdmin | None  # None without a cluster
 
     def is_ready(self) -> bool:
-        """Whether a request would be taken and there is a backend to send it to."""
+        """Whether a request would be admitted and a backend is available."""
 
     def drain_backend(self, backend_id: str) -> Awaitable[bool]:
-        """Takes a backend out by hand; whether it is known."""
+        """Drains a backend until it is restored; whether it is known."""
 
     def restore_backend(self, backend_id: str) -> Awaitable[bool]:
-        """Ends that; whether the backend is known."""
+        """Ends a manual drain; whether the backend is known."""
 
     def leave_service(self) -> None:
         """Begins to drain this dispatcher."""
 
     def enter_service(self) -> bool:
-        """Puts this dispatcher back in service; false if the process is ending."""
+        """Puts this dispatcher back in service; False if the process is shutting down."""
 
 
 _GET_ACTIONS = (AdminAction.CHECK_READY, AdminAction.SHOW_CLUSTER, AdminAction.READ_DOCUMENT)
@@ -93,13 +97,13 @@
 
 
 class AdminConnection:
-    """The state of one connection of an operator, fed bytes until `command` is there or it was answered.
+    """The state of one admin connection. It receives bytes until `command` is set or `answered` is true.
 
     Attributes:
-        command: what is called for, once it is read.
-        body: of the call.
-        outgoing: what is to be written, in order.
-        answered: nothing more is read or written.
+        command: The call, once it was read.
+        body: Of the call.
+        outgoing: Bytes to be written, in order.
+        answered: The response is in `outgoing`; no more is read.
     """
 
     def __init__(self) -> None:
@@ -112,7 +116,7 @@
         self.answered = False
 
     def receive_data(self, data: bytes) -> None:
-        """Takes in bytes that were read, and answers at once what is no call."""
+        """Receives bytes of the call; answers a malformed or unknown one at once."""
         if self.answered or self.command:
             return
         self.received_bytes += len(data)
@@ -130,7 +134,7 @@
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 if self.http.they_are_waiting_for_100_continue:
-                    self._send_event(h11.InformationalResponse(status_code=100, headers=[]))
+                    self._send_event(h11.InformationalResponse(status_code=CONTINUE, headers=[]))
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
@@ -159,7 +163,7 @@
             self.command = command
 
     def respond(self, status: int, headers: Sequence[Header] = (), text: str = "") -> None:
-        """Answers the call, once, if that still can be; `text` is the body, the status's phrase if empty."""
+        """Answers the call once, if a response can still be sent; an empty `text` is the status phrase."""
         if self.answered:
             return
         self.answered = True
@@ -182,7 +186,7 @@
 
 
 def _find_command(head: h11.Request) -> AdminCommand | None:
-    """The command that a path stands for, or nothing; a document's path stands for one more by POST."""
+    """The command of a path, or None. A document's path is a publish with POST, else a read."""
     target, _, query = head.target.partition(b"?")
     root, *path = target.decode("ascii").split("/")
     if root or path[:1] != ["control"]:
@@ -205,14 +209,14 @@
 
 
 async def execute(connection: AdminConnection, operations: AdminOperations) -> None:
-    """Carries out what was called for, and answers it."""
+    """Executes the command of a connection and answers its call."""
     assert connection.command is not None
     status, text = await _result(connection.command, bytes(connection.body), operations)
     connection.respond(status, text=text)
 
 
 async def _result(command: AdminCommand, body: bytes, operations: AdminOperations) -> tuple[int, str]:
-    """The status and text that answer a command."""
+    """Executes a command; returns the status and text of the response."""
     match command.action:
         case AdminAction.CHECK_READY:
             ready = operations.is_ready()
--- a/crankfold/protocol/backend_connection.py
+++ b/crankfold/protocol/backend_connection.py
@@ -1,7 +1,8 @@
-"""HTTP towards a backend, without I/O: one connection, one exchange at a time, nothing resent by itself."""
+"""The client side of HTTP without I/O: one exchange at a time with a backend, and no automatic retries."""
 
 from collections.abc import Sequence
 from enum import Enum
+from http import HTTPStatus
 
 import h11
 
@@ -9,24 +10,31 @@
 from crankfold.routing.interface import Outcome
 from crankfold.time_units import TICKS_PER_SECOND
 
+NO_STATUS = 0  # no response header was received
+ACCEPTED_STATUS = HTTPStatus.ACCEPTED.value
+OVERLOADED_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value)
+CLIENT_ERROR_STATUSES = range(400, 500)
+# Client errors that depend on the state of the backend, and not on the request alone.
+TRANSIENT_CLIENT_ERRORS = (HTTPStatus.REQUEST_TIMEOUT.value, HTTPStatus.TOO_MANY_REQUESTS.value)
+
 
 class Acceptance(Enum):
-    """What a backend says of a request beside the outcomes of an attempt."""
+    """Meanings of a response that do not end an attempt, or end it without an outcome of the backend."""
 
-    ACCEPTED = "accepted"  # the backend has the request; how it ends comes by callback
-    REJECTED = "rejected"  # the backend can't use the request: that says nothing about the backend
+    ACCEPTED = "accepted"  # the backend executes the request and reports its end by callback
+    REJECTED = "rejected"  # the request is invalid at any backend: final, and not charged to this one
 
 
 class BackendConnection:
     """The state of one connection to a backend.
 
     Attributes:
-        status: of the response to the present exchange, 0 before it.
-        not_processed: the response says that the request never ran.
-        complete: the response was read to its end.
-        load_header: the load report of the response as the header has it, or nothing.
-        body: of the response.
-        reusable: another exchange may follow on this connection.
+        status: Of the response in the present exchange, NO_STATUS before its header.
+        not_processed: The response has `X-Not-Processed: 1`: the request was not executed.
+        complete: The response was received to its end.
+        load_header: The value of the response's load report header, or nothing.
+        body: Of the response.
+        reusable: Another exchange may follow on this connection.
     """
 
     def __init__(self) -> None:
@@ -40,7 +48,7 @@
         self.reusable = True
 
     def send_request(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> list[bytes]:
-        """Begins an exchange; gives the bytes to be written."""
+        """Begins an exchange; returns the bytes to be written."""
         self.status = 0
         self.not_processed = False
         self.complete = False
@@ -57,7 +65,11 @@
         return outgoing
 
     def receive_data(self, data: bytes) -> bool:
-        """True once the response is over; one that nobody can read leaves status 0."""
+        """Receives bytes of the response.
+
+        Returns:
+            True once the response has ended: `complete`, or not if it is malformed or too long.
+        """
         try:
             self.http.receive_data(data)
             while True:
@@ -68,7 +80,7 @@
                     self._start_response(event)
                 elif isinstance(event, h11.Data):
                     self.body_bytes += len(event.data)
-                    if self.body_bytes > MAX_BODY_SIZE:  # a response without end
+                    if self.body_bytes > MAX_BODY_SIZE:
                         self.reusable = False
                         return True
                     self.body += event.data
@@ -100,18 +112,29 @@
 
 
 def classify_response(status: int, not_processed: bool) -> Acceptance | Outcome:
-    """What the response to an attempt says of it."""
-    if status == 202:
+    """The meaning of a response for its attempt.
+
+    ==============================  ====================  =============================================
+    response                        result                the request may be executed
+    ==============================  ====================  =============================================
+    202                             Acceptance.ACCEPTED   yes; its end is reported by callback
+    503 or 504, X-Not-Processed: 1  Outcome.OVERLOADED    no: the backend says so
+    4xx but 408 and 429             Acceptance.REJECTED   no matter: the response is the final one
+    none, or malformed              Outcome.RESET         yes
+    any other                       Outcome.ERROR         yes: a status alone does not rule it out
+    ==============================  ====================  =============================================
+    """
+    if status == ACCEPTED_STATUS:
         return Acceptance.ACCEPTED
-    if status in (503, 504) and not_processed:
+    if status in OVERLOADED_STATUSES and not_processed:
         return Outcome.OVERLOADED
-    if 400 <= status < 500 and status not in (408, 429):
+    if status in CLIENT_ERROR_STATUSES and status not in TRANSIENT_CLIENT_ERRORS:
         return Acceptance.REJECTED
-    if status == 0:
-        return Outcome.RESET  # garbage, or the end before a response
+    if status == NO_STATUS:
+        return Outcome.RESET
     return Outcome.ERROR
 
 
 def attempt_headers(headers: Sequence[Header], timeout: int) -> list[Header]:
-    """The headers of an attempt with its time left, in tenths of a millisecond."""
+    """The headers of an attempt, with its remaining time in ticks."""
     return [*headers, (b"X-Timeout", f"{timeout / TICKS_PER_SECOND:.4f}".encode())]
--- a/crankfold/protocol/callbacks.py
+++ b/crankfold/protocol/callbacks.py
@@ -1,4 +1,7 @@
-"""Decodes callbacks: what backends tell of the requests that they run."""
+"""Decodes callbacks, in which backends report on the requests that they execute.
+
+The words of the wire (`id`, `from`, `share`, `returned`, `lost`) stay in this module.
+"""
 
 from collections.abc import Sequence
 from typing import Any, Protocol
@@ -14,34 +17,36 @@
     "returned": Outcome.OVERLOADED,
     "lost": Outcome.RESET,
 }
+_Message = dict[str, Any]  # a JSON object with the field names of the wire
 
 
 class CallbackHandler(Protocol):
-    """Is told what callbacks say. Ids may be unknown to it."""
+    """Receives the contents of callbacks. Their ids may be unknown to it."""
 
     def execution_started(self, request_id: str, backend_id: str) -> None:
-        """The backend has begun to run the request."""
+        """The backend has begun to execute the request."""
 
     def execution_progressed(self, request_id: str, backend_id: str, progress: float) -> None:
-        """The backend has run that part of the request, from 0 to 1."""
+        """The backend has executed that share of the request, from 0 to 1."""
 
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
     ) -> None:
-        """The backend no longer runs the request; `report` is its load report, empty if there is none."""
+        """The backend no longer executes the request; `report` is its load report, empty if there is none."""
 
 
 def request_id_of(body: bytes) -> str:
-    """The id of the request that a callback speaks of, or an empty string."""
+    """The id of the request that a callback is about, or an empty string."""
     message = _decode(body)
     request_id = message.get("id") if message is not None else None
     return request_id if isinstance(request_id, str) else ""
 
 
 def handle_callback(body: bytes, handler: CallbackHandler, report_fields: Sequence[str]) -> bool:
-    """Tells the handler what a callback says.
+    """Decodes a callback and passes its content to the handler.
 
-    Returns whether it could be read; one that names a request or backend not known here is read all the same.
+    Returns:
+        Whether the callback is well-formed; its request and backend may be unknown.
     """
     message = _decode(body)
     if message is None:
@@ -66,7 +71,7 @@
     return True
 
 
-def _decode(body: bytes) -> dict[str, Any] | None:
+def _decode(body: bytes) -> _Message | None:
     try:
         message = orjson.loads(body)
     except orjson.JSONDecodeError:
@@ -74,7 +79,7 @@
     return message if isinstance(message, dict) else None
 
 
-def _result(message: dict[str, Any]) -> bytes:
-    """The result as text, or as JSON where the backend gave it in another type."""
+def _result(message: _Message) -> bytes:
+    """The result as text; a value of another JSON type is encoded as JSON."""
     result = message.get("result", "")
     return result.encode() if isinstance(result, str) else orjson.dumps(result)
--- a/crankfold/protocol/client_connection.py
+++ b/crankfold/protocol/client_connection.py
@@ -1,4 +1,4 @@
-"""HTTP towards those that connect, without I/O: clients' requests, backends' callbacks and health checks."""
+"""The server side of HTTP without I/O: clients' requests, backends' callbacks and health checks."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -8,68 +8,74 @@
 
 from crankfold.protocol.callbacks import CallbackHandler, handle_callback, request_id_of
 from crankfold.protocol.client_request import ClientRequest, parse_request
-from crankfold.protocol.headers import MAX_BODY_SIZE, MAX_HEADER_SIZE, Header
+from crankfold.protocol.headers import MAX_BODY_SIZE, MAX_HEADER_SIZE, Header, HeaderError
+
+CONTINUE = HTTPStatus.CONTINUE.value
 
 
 class ClientChannel(Protocol):
-    """The connection on which a request or callback came, and on which it is answered."""
+    """The connection that carries a request or callback and its response."""
 
     def respond(self, status: int, headers: Sequence[Header] = (), body: bytes = b"") -> None:
-        """Answers the request in hand."""
+        """Answers the open request."""
 
     def reject(self, status: int) -> None:
-        """Answers the request in hand and ends the connection."""
+        """Answers the open request and closes the connection."""
 
     def is_awaiting_response(self) -> bool:
-        """Whether a request is in hand that has no answer yet."""
+        """Whether a request is open, that is, has no response yet."""
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side has ended the connection, as far as the system knows."""
+        """Whether the peer has closed the connection, as far as the kernel knows."""
 
     def exceeds_limit(self) -> bool:
-        """Whether more connections are open than may be: what comes on this one is to be shed."""
+        """Whether more connections are open than allowed: requests on this one are shed."""
 
 
 class CallbackReceiver(CallbackHandler, Protocol):
-    """Where callbacks go once they are read."""
+    """Receives callbacks, and knows which requests are open."""
 
     def has_request(self, request_id: str) -> bool:
-        """Whether that request is in hand here."""
+        """Whether this process holds the request."""
 
     def forward_unknown_callback(self, client: ClientChannel, body: bytes) -> bool:
-        """Passes on a callback for a request not in hand; whether its response waits for an answer."""
+        """Forwards a callback for a request that this process does not hold to the other process.
+
+        Returns:
+            Whether it was forwarded; `client` then gets its response once the other process has answered.
+        """
 
 
 class ClientRequestHandler(Protocol):
-    """Where requests go once they are read."""
+    """Receives requests, and answers health checks."""
 
     @property
     def callbacks(self) -> CallbackReceiver:
-        """Where callbacks go."""
+        """Receives callbacks."""
 
     def is_serving(self) -> bool:
-        """Whether health checks are to succeed."""
+        """Whether health checks succeed."""
 
     def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of that name."""
 
     def submit(self, client: ClientChannel, request: ClientRequest) -> None:
-        """Takes a request in; it is answered on `client`, at once or later."""
+        """Accepts a request; it is answered on `client`, at once or later."""
 
 
 class ClientConnection:
-    """The state of one connection that others opened.
+    """The state of one accepted connection.
 
     Attributes:
-        outgoing: what is to be written, in order.
-        awaiting_response: a request has been read and waits for its response.
-        closing: nothing more will be read; the connection ends once `outgoing` is written.
-        rejected_status: of the last request that was not understood, 0 for none.
-        close_after_response: responses say that the connection closes.
-        discarding_input: nothing more is fed in; the connection closes after the last whole request.
-        identified: has sent a request, or is a backend that sends callbacks.
-        is_backend: has sent a callback.
-        buffered_bytes: received behind the last request that was read.
+        outgoing: Bytes to be written, in order.
+        awaiting_response: A request is open: it was read and has no response yet.
+        closing: No more input is processed; the connection closes once `outgoing` is written.
+        rejected_status: Of the last request that was rejected as malformed, 0 for none.
+        close_after_response: Responses have `Connection: close`.
+        discarding_input: Input is no longer passed in; the connection closes after the last complete request.
+        identified: Has sent a request or a callback.
+        is_backend: Has sent a callback.
+        buffered_bytes: Received behind the last request that was read.
     """
 
     def __init__(
@@ -92,15 +98,15 @@
         self.buffered_bytes = 0
 
     def is_mid_request(self) -> bool:
-        """Whether a request has begun to come in."""
+        """Whether part of a request was received, and not all of it."""
         return not self.awaiting_response and (self.request_head is not None or self.buffered_bytes > 0)
 
     def is_in_body(self) -> bool:
-        """Whether the header of a request has come whole, and not its body."""
+        """Whether the header of a request was received, and not all of its body."""
         return not self.awaiting_response and self.request_head is not None
 
     def receive_data(self, data: bytes) -> None:
-        """Takes in bytes that were read, and processes what they complete."""
+        """Receives bytes, and handles the request that they complete."""
         if self.closing:
             return
         self.http.receive_data(data)
@@ -108,7 +114,7 @@
         self.process_buffered()
 
     def process_buffered(self) -> None:
-        """Reads what has come as far as it goes: to the end of one request, or to the end of the bytes."""
+        """Processes received bytes up to the end of one request, or as far as they are complete."""
         try:
             while not self.awaiting_response and not self.closing:
                 event = self.http.next_event()
@@ -131,7 +137,7 @@
             self._fail(error.error_status_hint)
 
     def respond(self, status: int, headers: Sequence[Header] = (), body: bytes = b"") -> None:
-        """Answers the request in hand; the next one may be read after that."""
+        """Answers the open request; a next one may be processed after that."""
         response_headers: list[Header] = []
         if status != HTTPStatus.NO_CONTENT:
             response_headers.append((b"Content-Length", str(len(body)).encode()))
@@ -156,20 +162,20 @@
         if self.discarding_input:
             self.closing = True
         elif self.http.they_are_waiting_for_100_continue:
-            self._send_event(h11.InformationalResponse(status_code=100, headers=[]))
+            self._send_event(h11.InformationalResponse(status_code=CONTINUE, headers=[]))
 
     def _start_request(self, head: h11.Request) -> None:
         self.request_head = head
         self.body.clear()
         lengths = [value for name, value in head.headers if name == b"content-length"]
         if lengths and any(name == b"transfer-encoding" for name, _ in head.headers):
-            # Two lengths: whoever stands in front may have read another request.
+            # Two lengths: a proxy before this server may read another end (RFC 9112, section 11.2).
             self._fail(HTTPStatus.BAD_REQUEST)
         elif lengths and int(lengths[0]) > MAX_BODY_SIZE:
             self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def _fail(self, status: int) -> None:
-        """What came is not understood: it is answered if that still can be, and the connection ends."""
+        """Rejects a malformed message, if a response can still be sent, and closes the connection."""
         self.closing = True
         self.close_after_response = True
         self.rejected_status = status
@@ -196,7 +202,7 @@
             return
         try:
             request = parse_request(head.method, head.target, head.headers, bytes(self.body))
-        except ValueError:
+        except HeaderError:
             self._reject(HTTPStatus.BAD_REQUEST)
             return
         if not self.handler.knows_request_class(request.request_class):
@@ -214,7 +220,7 @@
         known = not request_id or self.handler.callbacks.has_request(request_id)
         if not known and self.handler.callbacks.forward_unknown_callback(self.client, body):
             self.identified = True
-            self.is_backend = True  # answered once the other process has answered
+            self.is_backend = True  # the response follows once the other process has answered
         elif handle_callback(body, self.handler.callbacks, self.report_fields):
             self.identified = True
             self.is_backend = True
@@ -229,7 +235,7 @@
             self.respond(HTTPStatus.OK if self.handler.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def _reject(self, status: int, allowed_methods: bytes = b"") -> None:
-        # The connection ends with it: hundreds like it may stand behind, and one that stays takes up room.
+        # The connection is closed, as it counts against the limit on connections.
         self.rejected_status = status
         self.close_after_response = True
         self.respond(status, [(b"Allow", allowed_methods)] if allowed_methods else [])
--- a/crankfold/protocol/client_request.py
+++ b/crankfold/protocol/client_request.py
@@ -1,15 +1,27 @@
-"""What a client asks for: the HTTP request as it is forwarded, and what its headers say about it."""
+"""A client's request: the HTTP message that is forwarded, and the attributes in its headers.
+
+Header names of the protocol (`x-priority-class`, `x-cost`, `x-attrs`, ...) stay in this module and `headers`.
+"""
 
 import zlib
 from typing import NamedTuple
 
-from crankfold.protocol.headers import Header, Headers, first_values, forwarded_headers, parse_number
+from crankfold.protocol.headers import (
+    Header,
+    HeaderError,
+    Headers,
+    first_values,
+    forwarded_headers,
+    parse_number,
+)
 from crankfold.time_units import MICROSECONDS_PER_TICK, TICKS_PER_SECOND
 
 MAX_TIMEOUT = 3600.0  # seconds
 MAX_WORK = 1e12  # microseconds
-MAX_ATTRIBUTE = 1e9
+MAX_ATTRIBUTE = 1e9  # slots, or the unit of another attribute
 MAX_ID_LENGTH = 256  # characters
+# Set in each key, so that none is 0; the 32 bits below it are the hash.
+AFFINITY_KEY_FLAG = 1 << 32
 _SINGLE_HEADERS = frozenset((b"x-request-id", b"idempotency-key", b"x-timeout", b"x-priority-class"))
 _REQUIRED_HEADERS = frozenset((b"x-request-id", b"x-timeout", b"x-priority-class"))
 
@@ -24,18 +36,18 @@
 
 
 class ClientRequest(NamedTuple):
-    """A request read from a client connection, with what routing needs to know of it.
+    """A request read from a client connection, with its attributes for routing.
 
     Attributes:
-        request_id: The client's id, unique among all requests in hand.
+        request_id: The client's id, unique among all open requests.
         request_class: The name of its request class.
-        tenant: The name of the tenant that pays for it; empty where none is named.
-        timeout: How long the client waits, in tenths of a millisecond.
-        work: The estimated processing time, in tenths of a millisecond.
-        slots: How many slots of a backend it takes up.
-        http: What is sent to a backend.
-        affinity_key: A hash of the data it needs, the same at every dispatcher; 0 where none is named.
-        is_retry: Whether the client says that it sent the request before.
+        tenant: The name of the tenant that pays for it; empty if none is given.
+        timeout: How long the client waits, in ticks.
+        work: The estimated processing time, in ticks.
+        slots: How many slots of a backend it occupies.
+        http: The message that is sent to a backend.
+        affinity_key: A hash of the client's routing key, the same at each dispatcher; 0 if none is given.
+        is_retry: Whether the client marks it as a retry.
     """
 
     request_id: str
@@ -50,38 +62,42 @@
 
 
 def parse_request(method: bytes, target: bytes, headers: Headers, body: bytes) -> ClientRequest:
-    """Reads a request from its start line, headers and body.
+    """Parses a request from its start line, headers and body.
 
     Raises:
-        ValueError: a header is missing, comes twice, or can't be read.
+        HeaderError: A header is missing, repeated or malformed.
     """
     headers = list(headers)
-    # Which of two ids a backend would go by is anybody's guess: such a request is not read.
+    # A repeated header is rejected, as the backend might use its other value.
     values = first_values(headers, _SINGLE_HEADERS)
     if not values.keys() >= _REQUIRED_HEADERS:
-        raise ValueError("a required header is missing")
-    request_id = values[b"x-request-id"].decode()
+        raise HeaderError("a required header is missing")
+    try:
+        request_id = values[b"x-request-id"].decode()
+        request_class = values[b"x-priority-class"].decode()
+    except UnicodeDecodeError as error:
+        raise HeaderError(str(error)) from error
     if not 0 < len(request_id) <= MAX_ID_LENGTH:
-        raise ValueError("id too long or empty")
+        raise HeaderError(f"request id is empty or over {MAX_ID_LENGTH} characters")
     route_key = values.get(b"x-route-key", b"")
     return ClientRequest(
         request_id=request_id,
-        request_class=values[b"x-priority-class"].decode(),
+        request_class=request_class,
         tenant=values.get(b"x-tenant-id", b"").decode("latin-1"),
         timeout=int(parse_number(values[b"x-timeout"], MAX_TIMEOUT) * TICKS_PER_SECOND),
         work=-(-int(parse_number(values.get(b"x-cost", b"0"), MAX_WORK)) // MICROSECONDS_PER_TICK),
         slots=_parse_slots(values.get(b"x-attrs", b"")),
         http=HttpRequest(method, target, forwarded_headers(headers), body),
-        affinity_key=1 << 32 | zlib.crc32(route_key) if route_key else 0,
+        affinity_key=AFFINITY_KEY_FLAG | zlib.crc32(route_key) if route_key else 0,
         is_retry=values.get(b"x-retried") == b"1",
     )
 
 
 def _parse_slots(attributes: bytes) -> float:
-    """The slots among attributes in the form `slots=2,memory=0.5`; 1 where they are not named.
+    """The slots among attributes in the form `slots=2,memory=0.5`; 1 if they are not given.
 
     Raises:
-        ValueError: an attribute is no number or has no value.
+        HeaderError: An attribute has no value or is not a number.
     """
     slots = 1.0
     for pair in attributes.split(b","):
@@ -91,5 +107,5 @@
             if name.strip() == b"slots":
                 slots = number
         elif name.strip():
-            raise ValueError("an attribute without a value")
+            raise HeaderError("an attribute without a value")
     return slots
--- a/crankfold/protocol/handover_messages.py
+++ b/crankfold/protocol/handover_messages.py
@@ -1,8 +1,9 @@
-"""What a process and the one that replaces it tell each other: one JSON object a line.
+"""Messages between a process and its successor: one JSON object a line.
 
-Keys on the wire are older than the names in the program: `take` is a `TakeoverRequest`, `yours` a
+Keys on the wire differ from the names in the program: `take` is a `TakeoverRequest`, `yours` a
 `TakeoverGrant`, `elsewhere` a `TakeoverRefusal`, `holds` a `UsageReport`, `ask` a query and `re` the
-`QueryAnswer`. The file in which manual drains outlive both processes has keys of the state in a `Welcome`.
+`QueryAnswer`. The file of manual drains has keys of the state in a `Welcome`. No key is used outside this
+module.
 """
 
 from typing import Any, NamedTuple
@@ -14,42 +15,59 @@
 FORMAT_VERSION = 1  # of Hello and Welcome; processes of different versions do not hand over
 MAX_LINE_SIZE = 4 * 1024 * 1024  # bytes
 DYNAMIC_WEIGHTS = "moving"  # weights in endpoint lists follow load
-STATIC_WEIGHTS = "steady"  # they are sizes as discovery states them
+STATIC_WEIGHTS = "steady"  # weights in endpoint lists are capacities
+_Fields = dict[str, Any]  # a JSON object with the keys of the wire
 
 
 class ProtocolError(CrankfoldError, ValueError):
-    """The other side is no process of this program, or what it sent is damaged."""
+    """The other side is not a process of this program, or has sent a malformed message."""
 
 
 class ManualDrainState(NamedTuple):
-    """Backends that operators drained, by id. Times are tenths of a millisecond of the boot clock."""
+    """Backends that operators drained or restored, by id. Times are ticks of the boot clock.
+
+    Attributes:
+        drained_since: When each drain began that is still in force.
+        assumed_starts: Of restored backends: when the drain began, and the assumed start of the backend.
+    """
 
     drained_since: dict[str, int]
-    assumed_starts: dict[str, tuple[int, int]]  # restored ones: when the drain began, and the assumed start
+    assumed_starts: dict[str, tuple[int, int]]
 
 
 class ManualDrainRecord(NamedTuple):
-    """The content of the file that outlives the processes of a dispatcher."""
+    """The content of the file of manual drains, which outlives the processes of a dispatcher."""
 
     dispatcher_name: str
     manual_drains: ManualDrainState
 
 
 class ProcessState(NamedTuple):
-    """What a process tells its successor about itself and its backends."""
+    """The state that a process passes to its successor.
+
+    Attributes:
+        format_version: FORMAT_VERSION of the sender.
+        dispatcher_name: Of both processes.
+        weight_semantics: DYNAMIC_WEIGHTS or STATIC_WEIGHTS.
+        report_fields: The fields of `load_reports`; None from an older version, which has the successor's.
+        manual_drains: In force or ended.
+        known_ids: Of all backends ever listed.
+        endpoints: The list in the form of a discovery response.
+        load_reports: The last one of each backend, by id.
+    """
 
     format_version: int
     dispatcher_name: str
     weight_semantics: str
-    report_fields: list[str] | None  # None from a process of an older version, which has its successor's
+    report_fields: list[str] | None
     manual_drains: ManualDrainState
-    known_ids: list[str]  # of backends ever listed
-    endpoints: dict[str, Any] | None  # the list, in the form in which discovery answers
-    load_reports: dict[str, list[float]]  # by backend id
+    known_ids: list[str]
+    endpoints: _Fields | None
+    load_reports: dict[str, list[float]]
 
 
 class ProcessUsage(NamedTuple):
-    """What a process that has handed over still holds."""
+    """The requests and connections that a process still has after it has handed over."""
 
     request_ids: list[str]
     accepted_connections: int
@@ -57,7 +75,7 @@
 
 
 class Hello(NamedTuple):
-    """From a new process: of which dispatcher it is, and where it is to listen."""
+    """From a new process: its dispatcher's name and the address to listen on."""
 
     format_version: int
     address: tuple[str, int]
@@ -65,7 +83,7 @@
 
 
 class Welcome(NamedTuple):
-    """From the predecessor, the answer to `Hello`."""
+    """From the predecessor: the response to `Hello`."""
 
     state: ProcessState
 
@@ -75,23 +93,23 @@
 
 
 class TakeoverGrant(NamedTuple):
-    """From the predecessor, which accepts no connections any more. No usage if it could not be read."""
+    """From the predecessor, which has stopped accepting connections. `usage` is None if malformed."""
 
     usage: ProcessUsage | None
 
 
 class TakeoverRefusal(NamedTuple):
-    """From a process that has handed over to another already, or does not serve itself."""
+    """From a process that has already handed over to another one, or does not serve yet."""
 
 
 class UsageReport(NamedTuple):
-    """From time to time, from a process that has handed over. No usage if it could not be read."""
+    """Sent periodically by a process that has handed over. `usage` is None if malformed."""
 
     usage: ProcessUsage | None
 
 
 class ManualDrainQuery(NamedTuple):
-    """Asks to drain a backend, or to restore it; answered when the processes behind have done it too."""
+    """Requests a drain or the restore of a backend; answered once older processes have applied it too."""
 
     query_id: int
     backend_id: str
@@ -99,14 +117,14 @@
 
 
 class CallbackQuery(NamedTuple):
-    """Asks whether the request of a backend's callback, which is given as JSON text, is in hand."""
+    """Asks whether the receiver holds the request of a callback, which is passed as JSON text."""
 
     query_id: int
     callback: str
 
 
 class UnknownQuery(NamedTuple):
-    """A query of a newer version, which is answered in the negative."""
+    """A query that only a newer version knows; its answer is negative."""
 
     query_id: int
 
@@ -119,7 +137,7 @@
 
 
 class UnknownMessage(NamedTuple):
-    """A JSON object that is none of the messages above; it is ignored."""
+    """A JSON object that is not one of the messages above; it is ignored."""
 
 
 Query = ManualDrainQuery | CallbackQuery | UnknownQuery
@@ -144,7 +162,7 @@
     return orjson.dumps(_message_fields(message)) + b"\n"
 
 
-def _message_fields(message: HandoverMessage) -> dict[str, Any]:  # noqa: C901 - one case for each message
+def _message_fields(message: HandoverMessage) -> _Fields:  # noqa: C901 - one case for each message
     match message:
         case Hello():
             return {"hello": message.format_version, "at": message.address, "of": message.dispatcher_name}
@@ -171,7 +189,7 @@
             return {}
 
 
-def _state_fields(state: ProcessState) -> dict[str, Any]:
+def _state_fields(state: ProcessState) -> _Fields:
     return {
         "form": state.format_version,
         "of": state.dispatcher_name,
@@ -185,7 +203,7 @@
     }
 
 
-def _usage_fields(usage: ProcessUsage | None) -> dict[str, Any] | None:
+def _usage_fields(usage: ProcessUsage | None) -> _Fields | None:
     if usage is None:
         return None
     return {
@@ -203,7 +221,7 @@
     )
 
 
-# --- decoding: what is not as it should be is left out, as processes of two versions may meet ---
+# --- decoding: malformed fields are dropped, as the two processes may have different versions ---
 
 
 class HandoverDecoder:
@@ -213,31 +231,31 @@
         self.buffer = bytearray()
 
     def receive_data(self, data: bytes) -> list[HandoverMessage]:
-        """The messages that are complete with these bytes.
+        """Receives bytes; returns the messages that they complete.
 
         Raises:
-            ProtocolError: if a line is too long or holds no JSON object.
+            ProtocolError: A line is too long or is not a JSON object.
         """
         self.buffer += data
         *lines, rest = bytes(self.buffer).split(b"\n")
         self.buffer = bytearray(rest)
         if len(rest) > MAX_LINE_SIZE:
-            raise ProtocolError("a line without end")
+            raise ProtocolError(f"a line of over {MAX_LINE_SIZE} bytes")
         return [decode_message(line) for line in lines]
 
 
 def decode_message(line: bytes) -> HandoverMessage:
-    """The message in a line.
+    """Decodes the message in a line.
 
     Raises:
-        ProtocolError: if the line holds no JSON object.
+        ProtocolError: The line is not a JSON object.
     """
     try:
         fields = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise ProtocolError(str(error)) from None
     if not isinstance(fields, dict):
-        raise ProtocolError("no object")
+        raise ProtocolError("not a JSON object")
     if "take" in fields:
         return TakeoverRequest()
     if "yours" in fields:
@@ -253,7 +271,7 @@
     return _decode_greeting(fields)
 
 
-def _decode_query(fields: dict[str, Any]) -> Query:
+def _decode_query(fields: _Fields) -> Query:
     match fields:
         case {"ask": query_id, "what": "out" | "back" as word, "uid": str(backend_id)}:
             return ManualDrainQuery(query_id, backend_id, word == "out")
@@ -262,7 +280,7 @@
     return UnknownQuery(fields["ask"])
 
 
-def _decode_greeting(fields: dict[str, Any]) -> HandoverMessage:
+def _decode_greeting(fields: _Fields) -> HandoverMessage:
     match fields:
         case {"hello": int(version), "at": [str(host), int(port)], "of": str(name)}:
             return Hello(version, (host, port), name)
@@ -271,7 +289,7 @@
     return UnknownMessage()
 
 
-def _decode_state(version: int, name: str, fields: dict[str, Any]) -> ProcessState:
+def _decode_state(version: int, name: str, fields: _Fields) -> ProcessState:
     reports = fields.get("reports")
     endpoints = fields.get("known")
     weights = fields.get("weights", STATIC_WEIGHTS)
@@ -291,7 +309,7 @@
     )
 
 
-def _decode_drains(fields: dict[str, Any]) -> ManualDrainState:
+def _decode_drains(fields: _Fields) -> ManualDrainState:
     assumed = fields.get("assumed")
     return ManualDrainState(
         drained_since=_integers(fields.get("bans")),
@@ -311,12 +329,15 @@
 
 
 def decode_drain_record(content: bytes) -> ManualDrainRecord | None:
-    """The content of a file of manual drains; None if it holds another JSON value than a record.
+    """Decodes the content of the file of manual drains; None if it is JSON but not a record.
 
     Raises:
-        ValueError: if it holds no JSON.
+        ProtocolError: It is not JSON.
     """
-    fields = orjson.loads(content)
+    try:
+        fields = orjson.loads(content)
+    except orjson.JSONDecodeError as error:
+        raise ProtocolError(str(error)) from None
     if not isinstance(fields, dict) or not isinstance(fields.get("of"), str):
         return None
     return ManualDrainRecord(fields["of"], _decode_drains(fields))
--- a/crankfold/protocol/headers.py
+++ b/crankfold/protocol/headers.py
@@ -1,15 +1,17 @@
-"""What HTTP headers of all connections have in common: limits on sizes, and which ones a backend gets."""
+"""HTTP headers: limits on sizes, typed reads, and the selection that is forwarded to backends."""
 
 import math
 from collections.abc import Iterable
 
+from crankfold.errors import CrankfoldError
+
 MAX_BODY_SIZE = 64 * 1024  # bytes
 MAX_HEADER_SIZE = 16 * 1024  # bytes of a start line and its headers
 Header = tuple[bytes, bytes]  # name in lower case as h11 gives it, and value
 Headers = Iterable[Header]
 
-# What goes on to a backend. A backend closes on a header that it can't read, whatever else waits there, so
-# what concerns only the client's own connection, or is known to nobody here, stays behind.
+# A backend closes its connection on a header that it can't parse. So headers of the client's connection, and
+# those that the protocol does not define, are not forwarded.
 _FORWARDED = frozenset(
     (
         b"host",
@@ -26,11 +28,15 @@
 )
 
 
+class HeaderError(CrankfoldError, ValueError):
+    """A header of a request is missing, repeated or malformed; the request is rejected with status 400."""
+
+
 def forwarded_headers(headers: Headers) -> list[Header]:
-    """The headers that go on to a backend, in their order, always with a host."""
+    """The headers that are forwarded to a backend, in their order, always with a host."""
     forwarded = [(name, value) for name, value in headers if name in _FORWARDED]
     if not any(name == b"host" for name, _ in forwarded):
-        forwarded.append((b"host", b""))  # HTTP/1.0 may leave it out; the backend's 1.1 may not
+        forwarded.append((b"host", b""))  # optional in a client's HTTP/1.0, required in HTTP/1.1
     return forwarded
 
 
@@ -38,23 +44,26 @@
     """The first value of each header by name.
 
     Raises:
-        ValueError: a header of `single` comes more than once.
+        HeaderError: A header in `single` is repeated.
     """
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         if name in single and name in values:
-            raise ValueError(f"header {name!r} comes twice")
+            raise HeaderError(f"header {name!r} is repeated")
         values.setdefault(name, value)
     return values
 
 
 def parse_number(text: bytes | str, maximum: float) -> float:
-    """A plain number from 0 to `maximum`.
+    """Parses a decimal number from 0 to `maximum`.
 
     Raises:
-        ValueError: it is anything else, also what only Python takes for a number.
+        HeaderError: It is no such number, or has underscores, which only Python accepts.
     """
-    value = float(text)
+    try:
+        value = float(text)
+    except ValueError as error:
+        raise HeaderError(str(error)) from error
     if not math.isfinite(value) or not 0 <= value <= maximum or "_" in str(text):
-        raise ValueError(f"out of range: {value}")
+        raise HeaderError(f"number out of range: {value}")
     return value
--- a/crankfold/protocol/load_reports.py
+++ b/crankfold/protocol/load_reports.py
@@ -1,6 +1,7 @@
-"""Decodes a backend's load reports: values in the order of the fields that the settings name.
+"""Decodes load reports of backends into values in the order of the report fields in the settings.
 
-A report that lacks a field, or holds anything but finite numbers there, counts as no report: an empty tuple.
+A report without one of the fields, or with another value there than a finite number, is discarded: the result
+is an empty tuple.
 """
 
 import math
@@ -8,7 +9,7 @@
 
 
 def report_from_fields(given: object, names: Sequence[str]) -> tuple[float, ...]:
-    """The report in a decoded JSON object, one value for each of `names`."""
+    """Reads a report from a decoded JSON object: one value for each of `names`."""
     if not names or not isinstance(given, dict):
         return ()
     values = []
@@ -21,7 +22,7 @@
 
 
 def report_from_header(header: bytes, names: Sequence[str]) -> tuple[float, ...]:
-    """The report in a header's value, whose form is `TEXT queue=2, x0=1`."""
+    """Reads a report from a header of the form `TEXT queue=2, x0=1`."""
     form, _, pairs = header.decode("latin-1").strip().partition(" ")
     if form != "TEXT":
         return ()
