--- a/crankfold/config/__init__.py
+++ b/crankfold/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its form, its reading for the routing and the service, and names as indices."""
+"""The configuration: its schema, its parser, and the interning of names."""
--- a/crankfold/config/interning.py
+++ b/crankfold/config/interning.py
@@ -1,16 +1,17 @@
-"""Names as small dense numbers: what comes in under a name goes on under its index."""
+"""Interning: names from outside are replaced by small dense indices."""
 
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
 
 Key = TypeVar("Key", bound=Hashable)
+NOT_FOUND = -1
 
 
 class Interner(Generic[Key]):
-    """Numbers names in the order of first sight.
+    """Assigns indices to names in the order in which they first occur.
 
     Attributes:
-        names: by index.
+        names: By index.
     """
 
     def __init__(self, known: Iterable[Key] = ()) -> None:
@@ -20,7 +21,7 @@
             self.intern(name)
 
     def intern(self, name: Key) -> int:
-        """The index of a name; one not seen before gets the next."""
+        """The index of a name; a new name gets the next one."""
         index = self._index_of.get(name)
         if index is None:
             index = len(self.names)
@@ -29,5 +30,5 @@
         return index
 
     def find(self, name: Key) -> int:
-        """The index of a name, -1 for one not seen before."""
-        return self._index_of.get(name, -1)
+        """The index of a name, NOT_FOUND for an unknown one."""
+        return self._index_of.get(name, NOT_FOUND)
--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -1,7 +1,7 @@
-"""Reads settings into the configuration of the routing and of the sockets.
+"""Reads settings into the configurations of the routing and of the service.
 
-Settings are flat: texts by path, as the simulator's lines give them. The nested settings of a configuration
-file are flattened first, so that both mean the same. Paths and values are as the users' pages have them.
+Settings are flat: texts by path, such as `allowed.connect-timeout`. The simulator passes them so, and the
+nested settings of a configuration file are flattened first. The words of the settings stay in this package.
 """
 
 from collections.abc import Mapping
@@ -11,12 +11,11 @@
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass, RoutingConfig
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
-# Of the settings, what may change while requests are in hand; what is known of backends hangs on the rest.
+# The settings that a reload may change; the state of backends depends on the others.
 RELOADABLE = ("service-grades", "allowed", "score-parts", "revenue-per", "orgs")
-# Microseconds. Where the settings do not say, nobody's figures: a connect whose first packet is lost is tried
-# again after 1 s (RFC 6298), and a connection that is closed too early costs a handshake, one used too late a
-# request.
+# Microseconds. Long enough for one retransmission of a lost SYN after 1 s (RFC 6298).
 DEFAULT_CONNECT_TIMEOUT = 1_100_000
+# Microseconds. A connection closed too early costs a handshake, one reused too late costs a request.
 DEFAULT_IDLE_TIMEOUT = 4_000_000
 DEFAULT_TIMER_RESOLUTION = 1_000  # microseconds
 DEFAULT_MAX_PENDING = 20_000  # requests
@@ -30,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """What the service needs to know beside the routing. Times are in tenths of a millisecond.
+    """The configuration of the service beside the routing. Times are in ticks.
 
     Attributes:
-        request_classes: their names as indices.
-        tenants: their names as indices.
-        zones: their names as indices.
-        instance_types: their names as indices.
-        report_fields: of load reports, in the order of their values.
-        connect_timeout: for a connection to a backend.
-        idle_timeout: after which a backend may close a connection.
-        longest_deadline: of all request classes.
-        max_pending: requests in hand; more are shed.
-        slow_start_duration: in which a backend that started is warming up.
-        initial_capacity: share of its capacity that a backend has when it has just started.
+        request_classes: Indices of their names.
+        tenants: Indices of their names.
+        zones: Indices of their names.
+        instance_types: Indices of their names.
+        report_fields: Of load reports, in the order of their values.
+        connect_timeout: For a connection to a backend.
+        idle_timeout: After which a backend may close a connection.
+        longest_deadline: Of all request classes.
+        max_pending: Open requests; more are shed.
+        slow_start_duration: From the start of a backend to its full capacity.
+        initial_capacity: Share of its capacity that a backend has at its start.
     """
 
     request_classes: Interner[str]
@@ -60,7 +59,7 @@
 
 
 class _Settings:
-    """Typed reads of flat settings. A path that is missing or empty has the default."""
+    """Typed reads of flat settings. A missing or empty path has the default value."""
 
     def __init__(self, texts: Mapping[str, str]) -> None:
         self.texts = texts
@@ -79,15 +78,15 @@
         return float(self.texts.get(path) or default)
 
     def upper_bound(self, path: str, default: int = 0) -> int:
-        """A duration that bounds us, from microseconds: rounded down."""
+        """A duration that the program must not exceed: ticks, rounded down from microseconds."""
         return int(self.number(path, default)) // MICROSECONDS_PER_TICK
 
     def lower_bound(self, path: str, default: int = 0) -> int:
-        """A duration that is waited for, from microseconds: rounded up."""
+        """A duration that the program must wait at least: ticks, rounded up from microseconds."""
         return -(-int(self.number(path, default)) // MICROSECONDS_PER_TICK)
 
     def items(self, path: str) -> list[str]:
-        """A list of plain values."""
+        """The values of a list of plain values."""
         return [item for item in self.text(path).split(",") if item]
 
     def names(self, path: str) -> Interner[str]:
@@ -99,12 +98,16 @@
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Flat settings from lines in the form `PATH=VALUE`; other lines are ignored."""
+    """Parses flat settings from lines of the form `PATH=VALUE`; other lines are ignored."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
 def flatten_settings(given: object, path: str = "") -> dict[str, str]:
-    """The same paths and values as the lines have: plain lists joined, lists of objects counted."""
+    """Flattens nested settings.
+
+    A list of plain values becomes one comma-separated text. A list of objects becomes `PATH.count` and the
+    settings of each object under `PATH.INDEX`.
+    """
     if isinstance(given, dict):
         flat: dict[str, str] = {}
         for name, value in given.items():
@@ -121,7 +124,7 @@
 
 
 def setting_text(value: object) -> str:
-    """A value as the simulator's lines would have it."""
+    """A plain value as a text of flat settings, without spaces and commas."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -130,13 +133,16 @@
 
 
 def read_service_config(given: Mapping[str, str]) -> ServiceConfig:
-    """The service's part of flat settings.
+    """Reads the configuration of the service from flat settings.
 
     Raises:
-        ValueError: a number can't be read.
+        ValueError: A number is malformed.
     """
     settings = _Settings(given)
     request_classes = settings.names("service-grades")
+    deadlines = (
+        settings.upper_bound(f"service-grades.{index}.cut-off") for index in range(len(request_classes.names))
+    )
     return ServiceConfig(
         request_classes=request_classes,
         tenants=settings.names("orgs"),
@@ -145,13 +151,7 @@
         report_fields=tuple(settings.items("report.names")),
         connect_timeout=settings.upper_bound("allowed.connect-timeout", DEFAULT_CONNECT_TIMEOUT),
         idle_timeout=settings.upper_bound("allowed.conn-idle", DEFAULT_IDLE_TIMEOUT),
-        longest_deadline=max(
-            (
-                settings.upper_bound(f"service-grades.{index}.cut-off")
-                for index in range(len(request_classes.names))
-            ),
-            default=0,
-        ),
+        longest_deadline=max(deadlines, default=0),
         max_pending=settings.integer("allowed.most-held", DEFAULT_MAX_PENDING),
         slow_start_duration=settings.lower_bound("rules.warm-after"),
         initial_capacity=_read_initial_capacity(settings),
@@ -159,12 +159,11 @@
 
 
 def read_routing_config(given: Mapping[str, str]) -> RoutingConfig:
-    """The routing's part of flat settings. Times are rounded to the safe side.
+    """Reads the configuration of the routing from flat settings, one line for each field.
 
     Raises:
-        ValueError: a number can't be read.
+        ValueError: A number is malformed.
     """
-    # Over 30 lines, as it has one line for each field.
     settings = _Settings(given)
     return RoutingConfig(
         request_classes=_read_request_classes(settings),
@@ -205,14 +204,14 @@
     stretches = [float(item) for item in settings.items("specifics.class-stretch")]
     request_classes = []
     for index in range(settings.integer("service-grades.count", 0)):
-        # One that has no factor of its own has that of its place in the list, or of the last.
+        # The default factors are by position; classes beyond the list have its last one.
         default_stretch = stretches[min(index, len(stretches) - 1)] if stretches else 0.0
         request_classes.append(_read_request_class(settings, f"service-grades.{index}", default_stretch))
     return request_classes
 
 
 def _read_request_class(settings: _Settings, path: str, default_stretch: float) -> RequestClass:
-    # An idempotency or a scope not known here is taken as the strictest.
+    # An unknown idempotency or scope is read as the strictest one.
     return RequestClass(
         idempotency=_IDEMPOTENCY.get(settings.text(f"{path}.effect"), Idempotency.NON_IDEMPOTENT),
         deduplication_scope=_SCOPES.get(settings.text(f"{path}.group"), DeduplicationScope.CELL),
@@ -226,6 +225,6 @@
 
 
 def _read_report_fields(settings: _Settings) -> list[str]:
-    """The fields of load reports; the extra ones by what the settings say they mean, not by their place."""
+    """The fields of load reports, with `x0` and `x1` replaced by their meanings if the settings give them."""
     meanings = {name: settings.text(f"specifics.report-{name}") for name in ("x0", "x1")}
     return [meanings.get(name) or name for name in settings.items("report.names")]
--- a/crankfold/config/schema.py
+++ b/crankfold/config/schema.py
@@ -1,7 +1,7 @@
-"""The form of a configuration file, checked as a whole before anything of it is used.
+"""The schema of a configuration file, which is validated before any of it is used.
 
-Not imported at start: it is for `crankfold check` and for a file that is to replace the running one. Fields
-have the names of the program; the keys of the file, where they differ, stand beside them.
+Not imported at start: `crankfold check` and reloads use it. Fields have the names of the program, and `field`
+maps the keys of the file to them.
 """
 
 import re
@@ -18,14 +18,13 @@
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 NonEmptyText = Annotated[str, Meta(min_length=1)]
 MAX_SHOWN = 60  # characters of a value that is quoted in an error
-_NOT_COMPARED = (
-    "known",
-    "admin_addr",
-)  # keys of the file that may be missing though the running one has them
+_JsonObject = Mapping[str, Any]
+# Top-level keys that may be missing even if the running configuration has them.
+_NOT_COMPARED = ("known", "admin_addr")
 
 
 class SchemaError(CrankfoldError, ValueError):
-    """A field does not have its form: the text names its path, what was found and what is allowed."""
+    """A field does not match the schema: the text has its path, the value and what is allowed."""
 
 
 class RequestClassSchema(Struct, rename="kebab"):
@@ -43,7 +42,7 @@
 
 
 class AllowedSchema(Struct, rename="kebab"):
-    """What the dispatcher may do, and its limits. Times are in microseconds."""
+    """Permissions and limits of the dispatcher. Times are in microseconds."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = field(name="most-dispatches")
     cancel: bool | None = None
@@ -57,14 +56,14 @@
 
 
 class SpecificsSchema(Struct, rename="kebab"):
-    """What is known of the backends of this deployment."""
+    """Properties of the backends of this deployment."""
 
     start_notifications: bool | None = field(name="tells-start", default=None)
     key_affinity: bool | None = field(name="keeps-keys", default=None)
 
 
 class SettingsSchema(Struct, rename="kebab"):
-    """The settings. The tick is in microseconds."""
+    """The settings. `tick`, the resolution of timers, is in microseconds."""
 
     request_classes: Annotated[list[dict[str, Any]], Meta(min_length=1)] = field(name="service-grades")
     allowed: AllowedSchema
@@ -75,7 +74,7 @@
 
 
 class LimitsSchema(Struct):
-    """Limits of the process."""
+    """Limits of the process; `sockets` counts descriptors."""
 
     sockets: Annotated[int, Meta(ge=1)] | None = None
 
@@ -89,14 +88,18 @@
     limits: LimitsSchema | None = None
     seed: str | None = None
     admin_address: str | None = field(name="admin_addr", default=None)
-    peers: dict[str, Any] | None = None  # looked at by whoever starts them
+    peers: dict[str, Any] | None = None  # validated where the cluster is started
 
 
-def validate(given: Mapping[str, Any], running: Mapping[str, Any] | None = None) -> None:
-    """Checks a decoded configuration file, and that nothing was lost that the running one has.
+def validate(given: _JsonObject, running: _JsonObject | None = None) -> None:
+    """Validates a decoded configuration file.
+
+    Args:
+        given: The decoded file.
+        running: The configuration in force. The file must have all of its keys.
 
     Raises:
-        SchemaError: the first fault that was found.
+        SchemaError: The first error.
     """
     _validate_against(given, ConfigFileSchema, "")
     first_of_name: dict[str, int] = {}
@@ -120,7 +123,7 @@
 
 
 def _describe(given: object, text: str, path: str, location: str) -> str:
-    """Words an error of msgspec at a location below `path`."""
+    """The text for an error of msgspec at a location below `path`."""
     missing = re.search(r"missing required field `(.+?)`", text)
     if missing:
         return f"{path}{location}{'.' if location else ''}{missing[1]}: missing"
@@ -134,7 +137,11 @@
 
 
 def _check_nothing_lost(given: object, running: object, path: str) -> None:
-    """A lost line must not pass for a wish to have the default."""
+    """Checks that `given` has the keys of `running`: a key deleted by mistake must not mean its default.
+
+    Raises:
+        SchemaError: A key is missing.
+    """
     if isinstance(running, dict) and isinstance(given, dict):
         for key in running:
             if key not in given and (path or key not in _NOT_COMPARED):
@@ -150,7 +157,7 @@
 
 
 def _common_keys(items: list[Any]) -> set[str]:
-    """The keys that all of a list of objects have; none for any other list."""
+    """The keys that all objects in a list have; none if an item is not an object."""
     if not items or not all(isinstance(item, dict) for item in items):
         return set()
     return set.intersection(*(set(item) for item in items))
--- a/crankfold/network/__init__.py
+++ b/crankfold/network/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers on asyncio streams: they carry bytes between sockets and the state machines, and keep time."""
+"""Drivers on asyncio: sockets for the state machines of `crankfold.protocol`, timers, log and metrics."""
--- a/crankfold/protocol/__init__.py
+++ b/crankfold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as the deployment speaks it: state machines that are fed bytes and know no socket and no clock."""
+"""The protocols of the deployment: state machines and codecs without sockets or clocks."""
