--- a/crankfold/cli/admin_client.py
+++ b/crankfold/cli/admin_client.py
@@ -1,8 +1,10 @@
-"""Calls to the admin server of a dispatcher, and how a command ends if they fail."""
+"""Calls to the admin server of a dispatcher, and the errors with which a command exits if they fail."""
 
 import http.client
 import json
+import secrets
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import IO, Any
 
 import click
@@ -12,50 +14,59 @@
 EXIT_DONE = 0
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
-EXIT_NOT_APPLIED = 4  # published, but not every dispatcher acts on it yet
+EXIT_NOT_APPLIED = 4  # published, but not active at each dispatcher yet
 
-HTTP_OK = 200
-HTTP_NO_OUTCOME = 504  # the dispatcher gave up waiting; what was asked for may still happen
-RESPONSE_MARGIN = 15.0  # seconds to wait for a response, beyond what the call itself waits for
+HTTP_OK = HTTPStatus.OK.value
+HTTP_NO_OUTCOME = HTTPStatus.GATEWAY_TIMEOUT.value  # the wait is over, but the operation may still complete
+RESPONSE_MARGIN = 15.0  # seconds to wait for a response, beyond the wait that the call requests
+CALL_ID_BYTES = 8
+JSON_INDENT = 2  # spaces
+
+JsonObject = dict[str, Any]
 
 
 class CommandError(CrankfoldError, click.ClickException):
-    """A command can not do what it was asked to; click prints the text and exits with `exit_code`."""
+    """A command has failed; click prints the text and exits with `exit_code`."""
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Print the text to standard error, or to `file`."""
+        """Prints the text to standard error, or to `file`."""
         click.echo(f"crankfold: {self.message}", file=file, err=file is None)
 
 
 class UnreachableError(CommandError):
-    """Nobody answers at the address as an admin server should, or the outcome is not known."""
+    """No admin server answers at the address, or the outcome of the call is unknown."""
 
     exit_code = EXIT_UNREACHABLE
 
 
 class RefusedError(CommandError):
-    """The dispatcher understood the call and refuses it."""
+    """The dispatcher has refused the call."""
 
     exit_code = EXIT_REFUSED
 
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The status of a response of the admin server, and the JSON object in its body."""
+    """A response of the admin server.
+
+    Attributes:
+        status: The HTTP status.
+        content: The JSON object in the body.
+    """
 
     status: int
-    content: dict[str, Any]
+    content: JsonObject
 
     @property
     def reason(self) -> str:
-        """What the server says about a call that it did not carry out."""
+        """Why the server did not execute the call."""
         return str(self.content.get("text", self.content))
 
-    def require_ok(self) -> dict[str, Any]:
+    def require_ok(self) -> JsonObject:
         """The content of a successful response.
 
         Raises:
-            UnreachableError: the status is another one.
+            UnreachableError: The status is not HTTP_OK.
         """
         if self.status != HTTP_OK:
             raise UnreachableError(self.reason)
@@ -63,37 +74,52 @@
 
 
 def call_admin(
-    address: str, path: str, body: dict[str, Any] | None = None, *, wait_seconds: float = 0.0
+    address: str, path: str, body: JsonObject | None = None, *, wait_seconds: float = 0.0
 ) -> AdminResponse:
-    """Send one request to the admin server at `address` (HOST:PORT): a POST if there is a body, else a GET.
+    """Sends one request to an admin server: a POST if there is a body, else a GET.
 
-    `wait_seconds` is how long the server may take on purpose before it answers.
+    Args:
+        address: HOST:PORT of the admin server.
+        path: Below `/control/`.
+        body: Sent as JSON.
+        wait_seconds: How long the server may wait before it answers.
 
     Raises:
-        UnreachableError: nothing came back, or no JSON object.
+        UnreachableError: There is no response, or it is not a JSON object.
     """
-    host, _, port = address.rpartition(":")
-    text = b""
     try:
-        connection = http.client.HTTPConnection(
-            host.strip("[]"), int(port), timeout=wait_seconds + RESPONSE_MARGIN
-        )
-        method = "GET" if body is None else "POST"
-        payload = None if body is None else json.dumps(body).encode()
-        connection.request(method, f"/control/{path}", payload)
-        response = connection.getresponse()
-        text = response.read()
-        connection.close()
+        status, text = _send_request(address, path, body, wait_seconds + RESPONSE_MARGIN)
+    except (OSError, ValueError, http.client.HTTPException) as error:
+        raise UnreachableError(f"{address}: {error or type(error).__name__}") from None
+    try:
         content = json.loads(text)
     except json.JSONDecodeError:
         raise UnreachableError(f"{address}: {text.decode(errors='replace').strip()}") from None
-    except (OSError, ValueError, http.client.HTTPException) as error:
-        raise UnreachableError(f"{address}: {error or type(error).__name__}") from None
+    except ValueError as error:
+        raise UnreachableError(f"{address}: {error}") from None
     if not isinstance(content, dict):
         raise UnreachableError(str(content))
-    return AdminResponse(response.status, content)
+    return AdminResponse(status, content)
+
+
+def _send_request(address: str, path: str, body: JsonObject | None, timeout: float) -> tuple[int, bytes]:
+    """Returns the status and the body of the response; `timeout` is in seconds."""
+    host, _, port = address.rpartition(":")
+    connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=timeout)
+    method = "GET" if body is None else "POST"
+    payload = None if body is None else json.dumps(body).encode()
+    connection.request(method, f"/control/{path}", payload)
+    response = connection.getresponse()
+    text = response.read()
+    connection.close()
+    return response.status, text
+
+
+def new_call_id() -> str:
+    """A random identifier under which a call can be repeated with one effect."""
+    return secrets.token_hex(CALL_ID_BYTES)
 
 
 def format_json(value: object) -> str:
     """The JSON text that commands print: indented, with sorted keys."""
-    return json.dumps(value, indent=2, sort_keys=True)
+    return json.dumps(value, indent=JSON_INDENT, sort_keys=True)
--- a/crankfold/cli/check.py
+++ b/crankfold/cli/check.py
@@ -1,4 +1,4 @@
-"""`crankfold check`: a configuration is read and checked without serving."""
+"""`crankfold check`: validates a configuration without serving."""
 
 import sys
 
@@ -10,8 +10,9 @@
 from crankfold.errors import ConfigError
 from crankfold.routing.interface import Idempotency
 from crankfold.service.config_file import parse_address, read_config
+from crankfold.time_units import TICKS_PER_MILLISECOND
 
-# What the output calls each kind; it keeps the words of the users' configuration guide.
+# The output has the words of the configuration guide.
 IDEMPOTENCY_LABELS = {
     Idempotency.IDEMPOTENT: "repeatable",
     Idempotency.IDEMPOTENT_WITH_KEY: "tagged",
@@ -37,8 +38,9 @@
     for name, request_class in zip(service.request_classes.names, routing.request_classes, strict=True):
         click.echo(
             f"grade {name}: {IDEMPOTENCY_LABELS[request_class.idempotency]}, "
-            f"expected in {request_class.latency_objective / 10} ms, "
-            f"cut off after {request_class.deadline / 10} ms, revenue {request_class.priority_weight}"
+            f"expected in {request_class.latency_objective / TICKS_PER_MILLISECOND} ms, "
+            f"cut off after {request_class.deadline / TICKS_PER_MILLISECOND} ms, "
+            f"revenue {request_class.priority_weight}"
         )
     click.echo(
         f"zones: {', '.join(service.zones.names) or 'none'}; reports: "
--- a/crankfold/cli/fleet.py
+++ b/crankfold/cli/fleet.py
@@ -1,17 +1,24 @@
-"""`crankfold fleet`: the dispatchers as one of them sees them, and changes of the voters."""
+"""`crankfold fleet`: the state of the cluster as one dispatcher knows it, and changes of the voters."""
 
 import json
-import secrets
 import sys
 
 import click
 import msgspec
 from msgspec import Struct, field
 
-from crankfold.cli.admin_client import EXIT_UNREACHABLE, RefusedError, call_admin
+from crankfold.cli.admin_client import (
+    EXIT_UNREACHABLE,
+    JSON_INDENT,
+    JsonObject,
+    RefusedError,
+    call_admin,
+    new_call_id,
+)
 from crankfold.cli.options import admin_option, json_option
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
-QUIET_STATES = ("there", "left")  # of a follower: nothing is said of when it was heard last
+QUIET_STATES = ("there", "left")  # of a follower, without a report of its last message
 
 
 class DocumentVersions(Struct):
@@ -22,19 +29,19 @@
 
 
 class FollowerView(Struct):
-    """A follower, as the voter that it asks for its lease sees it."""
+    """A follower, as the voter that renews its lease sees it."""
 
     name: str
     state: str
     incarnation: int
     lag: int  # log entries
     voter: str = field(name="at")
-    lease_held_seconds: int = field(name="for-s")
+    member_seconds: int = field(name="for-s")
     silent_ms: int | None = field(name="heard-ms-ago", default=None)
 
 
 class ClusterView(Struct):
-    """What a dispatcher knows of the cluster."""
+    """The cluster as one dispatcher knows it."""
 
     name: str
     acts: bool
@@ -68,25 +75,29 @@
 @click.option("--remove", default="", metavar="NAME")
 @click.pass_obj
 def change_voters(address: str, add: str, remove: str) -> None:
-    """Add a voter or remove one, one at a time. Exit: 0 done, 1 refused, 3 nobody answers."""
+    """Add a voter or remove one, one at a time. Exit: 0 done, 1 refused, 3 no response."""
+    content = _request_voter_change(address, _voter_change(add, remove))
+    click.echo(f"voters: {', '.join(sorted(content['voters']))}")
+
+
+def _voter_change(add: str, remove: str) -> JsonObject:
     if bool(add) == bool(remove) or (add and "=" not in add):
         raise click.UsageError("one of --add NAME=HOST:PORT and --remove NAME")
     name, _, voter_address = add.partition("=")
-    request = {
-        "call": secrets.token_hex(8),
-        "remove": remove,
-        "add": {name: voter_address} if add else {},
-    }
+    return {"call": new_call_id(), "remove": remove, "add": {name: voter_address} if add else {}}
+
+
+def _request_voter_change(address: str, request: JsonObject) -> JsonObject:
     response = call_admin(address, "agreed/voters", request)
     if not response.content["well"]:
         raise RefusedError(f"turned down: {response.reason}")
-    click.echo(f"voters: {', '.join(sorted(response.content['voters']))}")
+    return response.content
 
 
 def _show_cluster(address: str, as_json: bool) -> None:
     content = call_admin(address, "fleet").require_ok()
     if as_json:
-        click.echo(json.dumps(content, indent=2))
+        click.echo(json.dumps(content, indent=JSON_INDENT))
     else:
         for line in _describe_cluster(msgspec.convert(content, ClusterView)):
             click.echo(line)
@@ -111,9 +122,9 @@
 def _describe_follower(follower: FollowerView) -> str:
     silence = ""
     if follower.state not in QUIET_STATES and follower.silent_ms is not None:
-        silence = f", not heard for {follower.silent_ms / 1000:.1f} s"
+        silence = f", not heard for {follower.silent_ms / MILLISECONDS_PER_SECOND:.1f} s"
     return (
         f"follower {follower.name} at {follower.voter}: {follower.state}{silence}, joined "
-        f"{follower.lease_held_seconds} s ago, {follower.lag} behind, "
+        f"{follower.member_seconds} s ago, {follower.lag} behind, "
         f"incarnation {follower.incarnation:x}"
     )
--- a/crankfold/cli/main.py
+++ b/crankfold/cli/main.py
@@ -1,6 +1,6 @@
 """The entry point of the command line, and `serve`.
 
-Other commands are imported when they are called: `serve` starts without them.
+Other commands are imported on their first use, so that `serve` starts without them.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from crankfold.service.application import Application
 from crankfold.service.config_file import read_config
 
-# Command to the module below `crankfold.cli` that has it, and its name there.
+# Command to its module below `crankfold.cli` and its name there.
 LAZY_COMMANDS = {
     "check": ("check", "check"),
     "emulate": ("simulation", "emulate"),
@@ -29,14 +29,14 @@
     "trial": ("trial", "trial"),
     "works": ("maintenance", "maintenance"),
 }
-FORMER_NAMES = frozenset({"works"})  # they work on, but help does not list them
+FORMER_NAMES = frozenset({"works"})  # still accepted, but not listed by help
 
 
 class LazyGroup(click.Group):
-    """A group that also has the commands of `LAZY_COMMANDS`, and imports each one on its first use."""
+    """A group with the commands of `LAZY_COMMANDS` too, each imported on its first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names that help shows."""
+        """The names that help lists."""
         return sorted({*super().list_commands(ctx), *LAZY_COMMANDS} - FORMER_NAMES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
@@ -60,16 +60,19 @@
 @click.option("--admin", envvar="GW_ADMIN_ADDR", show_envvar=True, help="HOST:PORT of the admin server.")
 @click.option(
     "--hand-over",
+    "handover_directory",
     envvar="TMPDIR",
     show_envvar=True,
     default="",
-    help="Folder by which a process that replaces this one finds it; only with --admin.",
+    help="Directory in which a successor finds this process; only with --admin.",
 )
-def serve(config: str, listen: str | None, discovery: str | None, admin: str | None, hand_over: str) -> None:
+def serve(
+    config: str, listen: str | None, discovery: str | None, admin: str | None, handover_directory: str
+) -> None:
     """Serve until SIGTERM or SIGINT, then drain.
 
-    SIGHUP reads the file again, all of it or nothing: request classes, bounds, limits and the address of
-    discovery take effect at once, whatever was given here, and other changes wait for a restart. SIGUSR1
+    SIGHUP reloads the file, as a whole or not at all: request classes, bounds, limits and the address of
+    discovery take effect at once, in place of options given here; other changes need a restart. SIGUSR1
     prints the counters.
     """
     catch_early_signals()
@@ -83,7 +86,7 @@
             document["discovery"] = discovery
         if admin:
             document["admin_addr"] = admin
-        await Application(document, partial(read_config, config), hand_over).run()
+        await Application(document, partial(read_config, config), handover_directory).run()
 
     try:
         asyncio.run(run())
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -1,8 +1,8 @@
-"""`crankfold maintenance`, also called `works`: maintenance jobs on machines, and how far they are."""
+"""`crankfold maintenance`, also called `works`: maintenance jobs on machines and their progress."""
 
 import tomllib
 from dataclasses import dataclass
-from typing import Any, BinaryIO
+from typing import BinaryIO
 
 import click
 import msgspec
@@ -10,6 +10,7 @@
 
 from crankfold.cli.admin_client import (
     HTTP_OK,
+    JsonObject,
     RefusedError,
     call_admin,
     format_json,
@@ -24,14 +25,14 @@
 from crankfold.cli.settings import Publication, fetch_document, publish
 
 DOCUMENT = "works"  # the name of the document that holds the jobs
-FORECAST_WAIT = 10.0  # seconds that a forecast may take
-REPLACED = "gone"  # how a machine ended that another one replaced
+FORECAST_WAIT = 10.0  # seconds in which the server has to compute a forecast
+REPLACED = "gone"  # the outcome of a machine that was replaced by another one
 
 file_argument = click.argument("file", type=click.File("rb"))
 
 
 class DepartureView(Struct):
-    """When a machine would be taken out, in seconds from now."""
+    """The forecast time out of service of one machine, in seconds from now."""
 
     begin: float
     end: float
@@ -41,24 +42,24 @@
 
 
 class ForecastView(Struct):
-    """What would come about if a job were submitted now."""
+    """The forecast for a job that is submitted now."""
 
     departures: list[DepartureView] = field(name="turns")
-    never: dict[str, str] = field(name="waits")  # machine to the reason why it would never go
+    never: dict[str, str] = field(name="waits")  # machines that would never be taken out, and why
 
 
 class JobView(Struct):
-    """How far a job is."""
+    """The progress of a job."""
 
     state: str
-    halted: str  # why it stopped by itself, or nothing
+    halted: str  # why the job halted, or nothing
     wanted: int  # machines
-    done: dict[str, str]  # machine to how it ended
+    done: dict[str, str]  # machine to its outcome
     reason: str = field(name="why")
 
 
 class JobsView(Struct):
-    """All jobs, the machines that are out for them, and what is waited for."""
+    """All jobs, the machines that are out of service for them, and what these wait for."""
 
     jobs: dict[str, JobView] = field(name="works")
     machines: dict[str, MachineView]
@@ -70,10 +71,18 @@
 
 @dataclass(frozen=True, slots=True)
 class JobChange:
-    """A change of one job, which is published with all the others as they are."""
+    """A change of one job.
+
+    Attributes:
+        name: Of the job.
+        fields: That change; None to remove the job.
+        reason: For the history.
+        author: For the history.
+        is_new: Whether the job is submitted by this change.
+    """
 
     name: str
-    fields: dict[str, Any] | None  # None to remove the job
+    fields: JsonObject | None
     reason: str
     author: str
     is_new: bool = False
@@ -81,9 +90,9 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, in an order that the dispatchers decide (docs/maintenance.md).
+    """Machines taken out of service for maintenance, in an order of the dispatchers (docs/maintenance.md).
 
-    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or nobody answers.
+    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or no response.
     """
 
 
@@ -94,19 +103,30 @@
 def show_forecast(address: str, as_json: bool, file: BinaryIO) -> None:
     """The order in which the machines of FILE's job would go, and why they wait. Changes nothing."""
     name, job = parse_job_file(file.read())
+    content = _fetch_forecast(address, name, job)
+    if as_json:
+        click.echo(format_json(content))
+        return
+    for line in _describe_forecast(msgspec.convert(content, ForecastView)):
+        click.echo(line)
+
+
+def _fetch_forecast(address: str, name: str, job: JsonObject) -> JsonObject:
     response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
     if response.status != HTTP_OK:
         raise RefusedError(f"turned down: {response.content['text']}")
-    if as_json:
-        click.echo(format_json(response.content))
-        return
-    forecast = msgspec.convert(response.content, ForecastView)
+    return response.content
+
+
+def _describe_forecast(forecast: ForecastView) -> list[str]:
+    lines = []
     for departure in forecast.departures:
         cause = f"  before: {departure.waited_for}" if departure.waited_for else ""
         times = f"{departure.begin:8.0f} s to {departure.end:6.0f} s"
-        click.echo(f"{times}  {departure.machine:20} {departure.zone:12}{cause}")
+        lines.append(f"{times}  {departure.machine:20} {departure.zone:12}{cause}")
     for machine, reason in sorted(forecast.never.items()):
-        click.echo(f"{'never':>8}                {machine:20} {reason}")
+        lines.append(f"{'never':>8}                {machine:20} {reason}")
+    return lines
 
 
 @maintenance.command("start")
@@ -149,9 +169,7 @@
 def show_job(address: str, as_json: bool, name: str) -> None:
     """Each machine of a job, and what is waited for."""
     content = fetch_maintenance(address)
-    jobs = content["works"]
-    if name not in jobs:
-        raise RefusedError(f"no work {name!r}; there are {', '.join(jobs) or 'none'}")
+    job = _require_job(content["works"], name)
     if as_json:
         machines = {
             machine_id: machine
@@ -159,12 +177,18 @@
             if machine["work"] == name
         }
         waits = [wait for wait in content["waits"] if wait["work"] == name]
-        click.echo(format_json({**jobs[name], "machines": machines, "waits": waits}))
+        click.echo(format_json({**job, "machines": machines, "waits": waits}))
         return
     for line in _describe_job(msgspec.convert(content, JobsView), name):
         click.echo(line)
 
 
+def _require_job(jobs: dict[str, JsonObject], name: str) -> JsonObject:
+    if name not in jobs:
+        raise RefusedError(f"no work {name!r}; there are {', '.join(jobs) or 'none'}")
+    return jobs[name]
+
+
 @maintenance.command("forget")
 @admin_option
 @json_option
@@ -176,11 +200,11 @@
     _publish_change(address, JobChange(name, None, reason, author), as_json)
 
 
-def parse_job_file(text: bytes) -> tuple[str, dict[str, Any]]:
-    """The name and the specification of a job from a file in TOML.
+def parse_job_file(text: bytes) -> tuple[str, JsonObject]:
+    """Parses a TOML file into the name and the specification of a job.
 
     Raises:
-        click.UsageError: it is no TOML, or has no name.
+        click.UsageError: It is not TOML, or has no name.
     """
     try:
         job = tomllib.loads(text.decode())
@@ -201,7 +225,7 @@
         if machine.job == name:
             number = f" under {machine.number}" if machine.number else ""
             cause = f", {machine.reason}" if machine.reason else ""
-            local = " (back here by hand)" if machine_id in view.restored_locally else ""
+            local = " (restored at this dispatcher)" if machine_id in view.restored_locally else ""
             lines.append(f"  {machine_id}: {machine.state}{number}{cause}{local}")
     if not view.leads:
         lines.append(f"  what is waited for is known at the door of {view.leader or 'a voter, who leads'}")
@@ -213,10 +237,10 @@
 
 
 def _publish_change(address: str, change: JobChange, as_json: bool) -> None:
-    """Publish the jobs with the change; it is refused if somebody else changed them meanwhile."""
+    """Publishes all jobs with the change; refused if another version was published since they were read."""
     view = fetch_document(address, DOCUMENT)
     newest = view.find(view.newest)
-    jobs: dict[str, Any] = newest.content["works"] if newest else {}
+    jobs: dict[str, JsonObject] = newest.content["works"] if newest else {}
     if change.is_new and change.name in jobs:
         raise RefusedError(f"turned down: there is a work {change.name!r} already")
     if not change.is_new and change.name not in jobs:
@@ -226,7 +250,7 @@
     else:
         job = {**jobs.get(change.name, {}), **change.fields}
         if not change.is_new:
-            # The dispatchers see by the count that the job was resumed or held once more.
+            # The count tells the dispatchers that the state was set again, also if it is the same state.
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
@@ -251,6 +275,6 @@
 
 
 _add_state_command("hold", "No further machine of the job goes out; those that are out are finished.")
-_add_state_command("go", "The job goes on, also where it had stopped by itself.")
+_add_state_command("go", "The job is resumed, also after it has halted.")
 _add_state_command("stop", "As hold, and machines on which nothing was begun come back.")
 add_machine_commands(maintenance)
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -1,6 +1,5 @@
-"""The commands of `crankfold maintenance` on single machines: their history, and steps by operators."""
+"""The commands of `crankfold maintenance` on one machine: its history, and steps that operators report."""
 
-import secrets
 import sys
 import time
 from typing import Any
@@ -13,39 +12,42 @@
     EXIT_REFUSED,
     EXIT_UNREACHABLE,
     HTTP_NO_OUTCOME,
+    JsonObject,
     RefusedError,
     UnreachableError,
     call_admin,
     format_json,
+    new_call_id,
 )
 from crankfold.cli.options import admin_option, author_option, call_option, json_option
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
 MACHINES_PATH = "agreed/machines"
-STEP_WAIT = 10.0  # seconds until the dispatchers agreed on a step
-FINAL_STEPS = ("well", "gone", "undone")  # with these a machine's time out is over
+STEP_WAIT = 10.0  # seconds in which a step is committed in the cluster
+FINAL_STEPS = ("well", "gone", "undone")  # the machine is no longer out of service
 OPERATOR_STEPS = {
-    "begin": "Work on a machine that is free begins: from now on others do not bring it back.",
-    "done": "Work on a machine is done: it comes back, and is watched.",
-    "unwell": "A machine that is back is not well, or could not be worked on: out with it.",
-    "back": "A machine comes back though nothing was done.",
+    "begin": "Maintenance of a free machine begins: it is not restored until a further step.",
+    "done": "Maintenance of a machine is done: it is restored and observed.",
+    "unwell": "A restored machine is unhealthy, or its maintenance was not possible: it is taken out.",
+    "back": "A machine is restored without maintenance.",
     "here": (
-        "A machine comes back at this dispatcher alone, which is cut off. Nobody can say then that "
-        "nothing is done there."
+        "A machine is restored at this dispatcher alone, which is isolated from the cluster. Its "
+        "maintenance may be in progress."
     ),
 }
 
 
 class MachineView(Struct):
-    """A machine that is out for a job."""
+    """A machine that is out of service for a job."""
 
     job: str = field(name="work")
     state: str
-    number: int  # under which it was called free; 0 before
+    number: int  # of the notice that the machine is free; 0 before it
     reason: str = field(name="why")
 
 
 class WaitView(Struct):
-    """What a machine of a job waits for; no machine if it holds for all the others."""
+    """Why a machine of a job waits; without a machine, why all its other machines wait."""
 
     machine: str
     job: str = field(name="work")
@@ -53,7 +55,7 @@
 
 
 class StepView(Struct):
-    """A step of a machine that the dispatchers agreed on."""
+    """A committed step of a machine."""
 
     machine_id: str = field(name="uid")
     job: str = field(name="work")
@@ -64,17 +66,17 @@
     time_ms: int = field(name="at")  # since the epoch
 
 
-def fetch_maintenance(address: str) -> dict[str, Any]:
-    """The state of all jobs and machines, as the dispatcher knows it.
+def fetch_maintenance(address: str) -> JsonObject:
+    """Reads the state of all jobs and machines from the dispatcher at `address`.
 
     Raises:
-        UnreachableError: it can not be read there.
+        UnreachableError: The state can't be read there.
     """
     return call_admin(address, MACHINES_PATH).require_ok()
 
 
 def add_machine_commands(group: click.Group) -> None:
-    """Add the commands on single machines to the group of maintenance commands."""
+    """Adds the commands on one machine to the group of maintenance commands."""
     group.add_command(show_machine_history)
     for step, description in OPERATOR_STEPS.items():
         _add_step_command(group, step, description)
@@ -90,15 +92,23 @@
     if as_json:
         click.echo(format_json(raw))
         return
-    if not raw:
+    for line in _describe_history(machine, msgspec.convert(raw, list[StepView])):
+        click.echo(line)
+
+
+def _describe_history(machine: str, steps: list[StepView]) -> list[str]:
+    if not steps:
         raise RefusedError(f"{machine} was not out for any work that is remembered")
+    lines = []
     previous_ms = 0
-    for step in msgspec.convert(raw, list[StepView]):
-        moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / 1000))
-        since = f" after {(step.time_ms - previous_ms) / 1000:.1f} s" if previous_ms else ""
+    for step in steps:
+        moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / MILLISECONDS_PER_SECOND))
+        elapsed = (step.time_ms - previous_ms) / MILLISECONDS_PER_SECOND
+        since = f" after {elapsed:.1f} s" if previous_ms else ""
         previous_ms = 0 if step.step in FINAL_STEPS else step.time_ms
         cause = f": {step.reason}" if step.reason else ""
-        click.echo(f"{moment} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
+        lines.append(f"{moment} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
+    return lines
 
 
 def _add_step_command(group: click.Group, step: str, description: str) -> None:
@@ -111,15 +121,17 @@
     @author_option
     @call_option
     def report_step(address: str, as_json: bool, call_id: str, **request: Any) -> None:
-        _report_step(address, {"step": step, "call": call_id or secrets.token_hex(8), **request}, as_json)
+        _report_step(address, {"step": step, "call": call_id or new_call_id(), **request}, as_json)
 
 
-def _report_step(address: str, request: dict[str, Any], as_json: bool) -> None:
+def _report_step(address: str, request: JsonObject, as_json: bool) -> None:
     call_id = request["call"]
     try:
         response = call_admin(address, MACHINES_PATH, request, wait_seconds=STEP_WAIT)
     except UnreachableError as error:
-        raise UnreachableError(f"{error}; --call {call_id} finds out what became of it") from None
+        raise UnreachableError(
+            f"{error}; outcome unknown: repeat the command with --call {call_id} to learn it"
+        ) from None
     content = response.content
     if as_json:
         click.echo(format_json({**content, "call": call_id}))
--- a/crankfold/cli/options.py
+++ b/crankfold/cli/options.py
@@ -2,6 +2,8 @@
 
 import click
 
+MAX_WAIT_SECONDS = 60
+
 config_option = click.option(
     "--config",
     envvar="GW_CONFIG",
@@ -31,13 +33,13 @@
 wait_option = click.option(
     "--wait",
     "wait_seconds",
-    type=click.FloatRange(0, 60),
+    type=click.FloatRange(0, MAX_WAIT_SECONDS),
     default=0.0,
-    help="Seconds, until every dispatcher acts on it.",
+    help="Seconds to wait until the version is active at each dispatcher.",
 )
 call_option = click.option(
     "--call",
     "call_id",
     default="",
-    help="A call repeated under the same identifier has one effect; drawn at random if not given.",
+    help="Identifier: a repeated call with the same one has one effect. Random if not given.",
 )
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -1,8 +1,7 @@
-"""`crankfold settings`: the documents that all dispatchers agree on, with their versions."""
+"""`crankfold settings`: the replicated documents and their versions."""
 
 import difflib
 import json
-import secrets
 import sys
 from dataclasses import dataclass
 from typing import Any, BinaryIO
@@ -15,9 +14,11 @@
     EXIT_NOT_APPLIED,
     EXIT_REFUSED,
     HTTP_NO_OUTCOME,
+    JsonObject,
     UnreachableError,
     call_admin,
     format_json,
+    new_call_id,
 )
 from crankfold.cli.options import (
     admin_option,
@@ -37,45 +38,55 @@
     made_from: int
     author: str
     reason: str
-    content: dict[str, Any] = field(name="text")
+    content: JsonObject = field(name="text")
 
 
 class DocumentView(Struct):
-    """A document with the versions that the dispatcher still has."""
+    """A document with the versions that the dispatcher keeps."""
 
     active: int = field(name="counts")
     newest: int
     versions: list[VersionView]
 
     def find(self, number: int) -> VersionView | None:
-        """The version of that number, if the dispatcher still has it."""
+        """The version of that number, if the dispatcher keeps it."""
         return next((version for version in self.versions if version.number == number), None)
 
 
 class PublishResponse(Struct):
-    """What a dispatcher answers to a publish."""
+    """The response of a dispatcher to a publish."""
 
     accepted: bool = field(name="well", default=False)
     reason: str = field(name="text", default="")
     number: int = 0
     active: bool = field(name="counts", default=True)
-    lag: list[str] = []  # who does not act on it yet, and why
+    lag: list[str] = []  # the members where the version is not active yet, and why
 
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """A new version of a document, as an operator asks for it."""
+    """A new version of a document.
+
+    Attributes:
+        document: Its name.
+        content: Of the new version.
+        made_from: The version that the operator changed; another newest version refuses the publish.
+        reason: For the history.
+        author: For the history.
+        wait_seconds: How long to wait until the version is active at each dispatcher.
+        call_id: A repeated call under the same identifier has one effect; random if empty.
+    """
 
     document: str
-    content: dict[str, Any]
-    made_from: int  # the version that the operator saw
+    content: JsonObject
+    made_from: int
     reason: str
     author: str
     wait_seconds: float = 0.0
-    call_id: str = ""  # drawn if empty
+    call_id: str = ""
 
-    def to_request(self, call_id: str) -> dict[str, Any]:
-        """The call of the admin server."""
+    def to_request(self, call_id: str) -> JsonObject:
+        """The body of the call to the admin server."""
         return {
             "call": call_id,
             "made-from": self.made_from,
@@ -88,10 +99,10 @@
 
 @click.group()
 def settings() -> None:
-    """Show and publish the documents that all dispatchers agree on.
+    """Show and publish the documents that are replicated among the dispatchers.
 
-    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or nobody answers; 4 published, but not every
-    dispatcher acts on it yet.
+    Exit: 0 done; 1 refused; 2 unusable call; 3 no outcome or no response; 4 published, but not active at
+    each dispatcher yet.
     """
 
 
@@ -105,7 +116,7 @@
     "minimum",
     type=int,
     default=0,
-    help="Not older than this version, which you know of from elsewhere; waits for it.",
+    help="Wait for this version or a newer one.",
 )
 def show_version(address: str, as_json: bool, document: str, number: int, minimum: int) -> None:
     """Print a version's content, as JSON that can be published again."""
@@ -114,11 +125,7 @@
         click.echo(format_json({name: part for name, part in raw.items() if name != "versions"}))
         return
     view = msgspec.convert(raw, DocumentView)
-    version = view.find(number or view.newest)
-    if version is None:
-        raise UnreachableError(
-            f"{document} has no version {number}" if number else f"{document} has no version yet"
-        )
+    version = _find_shown_version(view, document, number)
     if as_json:
         click.echo(format_json(next(one for one in raw["versions"] if one["number"] == version.number)))
         return
@@ -130,6 +137,16 @@
     click.echo(f"version {version.number} of {document}, {state}", err=True)
 
 
+def _find_shown_version(view: DocumentView, document: str, number: int) -> VersionView:
+    """The version of that number, or the newest one for 0."""
+    version = view.find(number or view.newest)
+    if version is None:
+        raise UnreachableError(
+            f"{document} has no version {number}" if number else f"{document} has no version yet"
+        )
+    return version
+
+
 @settings.command("history")
 @admin_option
 @json_option
@@ -143,7 +160,7 @@
     view = msgspec.convert(raw, DocumentView)
     for version in sorted(view.versions, key=lambda version: version.number, reverse=True):
         marker = "*" if version.number == view.active else " "
-        author = version.author or "nobody"
+        author = version.author or "unknown"
         click.echo(f"{marker}{version.number} from {version.made_from} by {author}: {version.reason}")
 
 
@@ -155,16 +172,19 @@
 def show_difference(address: str, document: str, one: int, other: int) -> None:
     """Print the differences between two versions."""
     view = fetch_document(address, document)
+    for line in _diff_lines(
+        _find_compared_version(view, document, one), _find_compared_version(view, document, other)
+    ):
+        click.echo(line)
+
+
+def _find_compared_version(view: DocumentView, document: str, number: int) -> VersionView:
     if not view.versions:
         raise UnreachableError(f"{document} has no version yet")
-    versions = []
-    for number in (one, other):
-        version = view.find(number)
-        if version is None:
-            raise UnreachableError(f"{document} has no version {number}, or none that is kept")
-        versions.append(version)
-    for line in _diff_lines(versions[0], versions[1]):
-        click.echo(line)
+    version = view.find(number)
+    if version is None:
+        raise UnreachableError(f"{document} has no version {number}, or none that is kept")
+    return version
 
 
 @settings.command("publish")
@@ -179,13 +199,17 @@
 @call_option
 def publish_file(address: str, as_json: bool, file: BinaryIO, **publication: Any) -> None:
     """Publish FILE as a new version."""
+    publish(address, Publication(content=_parse_content(file.read()), **publication), as_json)
+
+
+def _parse_content(text: bytes) -> JsonObject:
     try:
-        content = json.loads(file.read())
+        content = json.loads(text)
     except ValueError as error:
         raise click.UsageError(f"no JSON: {error}") from None
     if not isinstance(content, dict):
         raise click.UsageError("no JSON object")
-    publish(address, Publication(content=content, **publication), as_json)
+    return content
 
 
 @settings.command("back")
@@ -199,37 +223,41 @@
 def republish(address: str, as_json: bool, document: str, number: int, **publication: Any) -> None:
     """Publish an earlier version again, as a new one."""
     view = fetch_document(address, document)
+    content = _kept_content(view, document, number)
+    publish(address, Publication(document, content, made_from=view.newest, **publication), as_json)
+
+
+def _kept_content(view: DocumentView, document: str, number: int) -> JsonObject:
     version = view.find(number)
     if version is None:
         raise UnreachableError(f"no version {number} of {document} is kept")
-    copied = Publication(document=document, content=version.content, made_from=view.newest, **publication)
-    publish(address, copied, as_json)
+    return version.content
 
 
 def fetch_document(address: str, document: str) -> DocumentView:
-    """The document as the dispatcher at `address` knows it.
+    """Reads a document from the dispatcher at `address`.
 
     Raises:
-        UnreachableError: it can not be read there.
+        UnreachableError: The document can't be read there.
     """
     return msgspec.convert(_fetch_raw(address, document), DocumentView)
 
 
 def publish(address: str, publication: Publication, as_json: bool) -> None:
-    """Publish a version, print what became of it, and end the command if it does not count everywhere.
+    """Publishes a version and prints the outcome; exits unless the version is active at each dispatcher.
 
     Raises:
-        UnreachableError: the outcome is not known; the text has the identifier to ask again with.
-        SystemExit: the dispatcher refused it, or not every dispatcher acts on it yet.
+        UnreachableError: The outcome is unknown; the text has the identifier for a repeated call.
+        SystemExit: The dispatcher refused it, or it is not active at each dispatcher yet.
     """
-    call_id = publication.call_id or secrets.token_hex(8)
+    call_id = publication.call_id or new_call_id()
     request = publication.to_request(call_id)
     path = f"agreed/{publication.document}"
     try:
         response = call_admin(address, path, request, wait_seconds=publication.wait_seconds)
     except UnreachableError as error:
         raise UnreachableError(
-            f"{error}; once somebody is there, --call {call_id} finds out what became of it"
+            f"{error}; outcome unknown: repeat the command with --call {call_id} to learn it"
         ) from None
     if as_json:
         click.echo(format_json({**response.content, "call": call_id}))
@@ -244,7 +272,7 @@
 
 
 def _refuse(address: str, publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
-    """End the command; where another version came first, show what differs between the two."""
+    """Exits as refused; if another version was published first, prints the differences to it."""
     if not as_json:
         click.echo(f"crankfold: turned down: {outcome.reason}", err=True)
         if outcome.number:
@@ -270,7 +298,8 @@
         sys.exit(EXIT_NOT_APPLIED)
 
 
-def _fetch_raw(address: str, document: str, minimum: int = 0) -> dict[str, Any]:
+def _fetch_raw(address: str, document: str, minimum: int = 0) -> JsonObject:
+    """The JSON of a document at version `minimum` or a newer one."""
     return call_admin(address, f"agreed/{document}?least={minimum}").require_ok()
 
 
--- a/crankfold/cli/simulation.py
+++ b/crankfold/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`crankfold emulate` and `crankfold experiment`: policies compared in simulated time."""
+"""`crankfold emulate` and `crankfold experiment`: compare policies in simulated time."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,22 +9,42 @@
 
 from crankfold.simulation.traffic import comparison, experiment
 from crankfold.simulation.traffic.comparison import PRODUCT, DayResult
+from crankfold.simulation.traffic.experiment import ExperimentPlan, Row
 from crankfold.simulation.traffic.scenario import Scenario
 from crankfold.time_units import TICKS_PER_SECOND
 
 SLOTS = 4  # of a backend
+DEFAULT_SEEDS = 10
+
+DISPATCHERS = click.IntRange(1, 2000)
+BACKENDS = click.IntRange(1, 2000)
+LOAD_SHARE = click.FloatRange(0.01, 3)
+WORK_SECONDS = click.FloatRange(0.001, 60)
+REPORT_SECONDS = click.FloatRange(0.01, 60)
+DAY_SECONDS = click.IntRange(1, 3600)
+SEEDS = click.IntRange(2, 1000)
+WORKERS = click.IntRange(1, 64)
 
 
 @dataclass(frozen=True, slots=True)
 class DayOptions:
-    """A day as the options of `emulate` describe it."""
+    """A simulated day as the options of `emulate` describe it.
+
+    Attributes:
+        dispatchers: How many.
+        backends: How many.
+        load: Mean share of all slots in use.
+        work: Mean running time of a request, in seconds.
+        report_every: Seconds between the load reports of a backend.
+        seconds: Length of the day.
+    """
 
-    dispatchers: int
-    backends: int
-    load: float  # share of all slots
-    work: float  # seconds
-    report_every: float  # seconds
-    seconds: int
+    dispatchers: int = 40
+    backends: int = 60
+    load: float = 0.6
+    work: float = 0.35
+    report_every: float = 1.0
+    seconds: int = 10
 
     def to_scenario(self) -> Scenario:
         """The scenario of the simulation, with times in ticks."""
@@ -38,22 +58,29 @@
         )
 
 
+DEFAULT_DAY = DayOptions()
+
+
 @click.command()
-@click.option("--dispatchers", default=40, show_default=True, type=click.IntRange(1, 2000))
-@click.option("--runners", "backends", default=60, show_default=True, type=click.IntRange(1, 2000))
-@click.option("--load", default=0.6, show_default=True, type=click.FloatRange(0.01, 3), help="Of all slots.")
+@click.option("--dispatchers", default=DEFAULT_DAY.dispatchers, show_default=True, type=DISPATCHERS)
+@click.option("--runners", "backends", default=DEFAULT_DAY.backends, show_default=True, type=BACKENDS)
+@click.option("--load", default=DEFAULT_DAY.load, show_default=True, type=LOAD_SHARE, help="Of all slots.")
 @click.option(
     "--work",
-    default=0.35,
+    default=DEFAULT_DAY.work,
     show_default=True,
-    type=click.FloatRange(0.001, 60),
+    type=WORK_SECONDS,
     help="Mean running time, seconds.",
 )
 @click.option(
-    "--report-every", default=1.0, show_default=True, type=click.FloatRange(0.01, 60), help="Seconds."
+    "--report-every",
+    default=DEFAULT_DAY.report_every,
+    show_default=True,
+    type=REPORT_SECONDS,
+    help="Seconds.",
 )
-@click.option("--seconds", default=10, show_default=True, type=click.IntRange(1, 3600))
-@click.option("--seeds", default=10, show_default=True, type=click.IntRange(2, 1000))
+@click.option("--seconds", default=DEFAULT_DAY.seconds, show_default=True, type=DAY_SECONDS)
+@click.option("--seeds", default=DEFAULT_SEEDS, show_default=True, type=SEEDS)
 @click.option("--policy", "policies", multiple=True, help="Against crankfold; again for more; all if none.")
 @click.option("--csv", "table", type=click.File("w", lazy=False), help="Where a row for each day goes.")
 def emulate(seeds: int, policies: tuple[str, ...], table: TextIO | None, **options: float) -> None:
@@ -61,10 +88,7 @@
 
     A request counts if it is completed in time: within 80 ms and twice its running time.
     """
-    chosen = policies or tuple(name for name in comparison.POLICIES if name != PRODUCT)
-    unknown = [name for name in chosen if name not in comparison.POLICIES]
-    if unknown:
-        raise click.UsageError(f"no policy {unknown[0]!r}; there are {', '.join(comparison.POLICIES)}")
+    chosen = _known_policies(policies) or tuple(name for name in comparison.POLICIES if name != PRODUCT)
     scenario = DayOptions(**options).to_scenario()  # type: ignore[arg-type]  # click checked the types
     days = [
         comparison.simulate_day(name, scenario, comparison.DEFAULT_CONFIG, seed)
@@ -76,6 +100,13 @@
     _print_comparison(days, chosen, seeds)
 
 
+def _known_policies(names: tuple[str, ...]) -> tuple[str, ...]:
+    unknown = [name for name in names if name not in comparison.POLICIES]
+    if unknown:
+        raise click.UsageError(f"no policy {unknown[0]!r}; there are {', '.join(comparison.POLICIES)}")
+    return names
+
+
 def _print_comparison(days: Sequence[DayResult], chosen: Sequence[str], seeds: int) -> None:
     ratios = {name: [day.on_time_share for day in days if day.policy == name] for name in (PRODUCT, *chosen)}
     own = ratios[PRODUCT]
@@ -100,27 +131,38 @@
     type=click.Path(path_type=Path),
     help="Folder for the table, the summary and the chart.",
 )
-@click.option("--workers", default=1, show_default=True, type=click.IntRange(1, 64), help="Processes.")
+@click.option("--workers", default=1, show_default=True, type=WORKERS, help="Processes.")
 @click.option("--no-chart", is_flag=True, help="Charts want matplotlib, which the extra `charts` brings.")
 def run_experiment(file: Path, folder: Path, workers: int, no_chart: bool) -> None:
     """Run the experiment that FILE describes (docs/emulator.md), and keep its results."""
+    plan, scenarios = _load_plan(file, folder)
+    rows = experiment.run_experiment(plan, scenarios, workers)
+    for line in _write_results(plan, rows, folder, with_chart=not no_chart):
+        click.echo(line)
+
+
+def _load_plan(file: Path, folder: Path) -> tuple[ExperimentPlan, dict[str, Scenario]]:
+    """Loads the plan, and checks that the table can be written before hours of simulation."""
     try:
         plan, scenarios = experiment.load_plan(file)
         folder.mkdir(parents=True, exist_ok=True)
         with (folder / f"{plan.name}.csv").open("a"):
-            pass  # a folder that can't be written to is known before an hour of simulation
+            pass
     except (experiment.PlanError, OSError) as error:
         raise click.UsageError(str(error)) from None
-    rows = experiment.run_experiment(plan, scenarios, workers)
+    return plan, scenarios
+
+
+def _write_results(plan: ExperimentPlan, rows: Sequence[Row], folder: Path, *, with_chart: bool) -> list[str]:
+    """Writes the table, the summary and the chart; returns the lines of the summary."""
     try:
         experiment.write_table(rows, folder / f"{plan.name}.csv")
         lines = experiment.summarize(plan, rows)
         (folder / f"{plan.name}.txt").write_text("\n".join(lines) + "\n")
-        if not no_chart:
+        if with_chart:
             experiment.write_chart(plan, rows, folder / f"{plan.name}.svg")
     except ImportError:
         click.echo("no chart: matplotlib is not installed", err=True)
     except OSError as error:
         raise click.UsageError(str(error)) from None
-    for line in lines:
-        click.echo(line)
+    return lines
--- a/crankfold/cli/trial.py
+++ b/crankfold/cli/trial.py
@@ -1,4 +1,4 @@
-"""`crankfold trial`: real processes with faults between them, and the check of what they promise."""
+"""`crankfold trial`: runs dispatchers as processes, injects faults, and checks their guarantees."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 @click.command()
 @click.argument("plan", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, default=0, help="Of the faults; the plan's if not given.")
+@click.option("--seed", type=int, default=0, help="Of the faults; that of the plan if not given.")
 @click.option("--keep", type=click.Path(path_type=Path), help="Folder in which records and logs stay.")
 def trial(plan: Path, seed: int, keep: Path | None) -> None:
     """Start the processes of PLAN, inject its faults, and check its promises (docs/trial.md).
