--- a/crankfold/network/accepted_connection.py
+++ b/crankfold/network/accepted_connection.py
@@ -22,7 +22,7 @@
 NEW_CONNECTION_GRACE = 0.1  # seconds after a response or accept in which the next request may be in transit
 
 
-class ConnectionOwner(Protocol):
+class OwningListener(Protocol):
     """What an accepted connection needs of the listener that accepted it.
 
     Attributes:
@@ -62,7 +62,7 @@
     """
 
     def __init__(
-        self, listener: ConnectionOwner, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, listener: OwningListener, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.listener = listener
         self.reader = reader
@@ -111,8 +111,8 @@
         if protocol.identified:
             self.listener.unidentified_connections.pop(self, None)
         if self.unread_bytes > MAX_UNREAD_BYTES and protocol.awaiting_response:
-            # Input is read on, as a disconnect of the client is received only behind it. The pipelined
-            # requests in it are lost: clients send one request at a time.
+            # Reading continues, as a disconnect of the client is received only behind this input. It is
+            # discarded with any pipelined requests, as clients send one request at a time.
             protocol.discarding_input = True
             self.listener.flooding_connections.add(self)
 
@@ -181,7 +181,7 @@
         )
 
     def expects_data(self) -> bool:
-        """Whether the rest of a request, or a new connection's first request, may be in transit."""
+        """Whether a request may be in transit: its remaining bytes, or the first one of a new connection."""
         if self.protocol.closing or self.protocol.awaiting_response:
             return False
         age = self.listener.loop.time() - self.phase_started_at
--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -14,8 +14,9 @@
     It is certain that a request was not executed only if the backend cannot have the complete message:
     nothing was written, or its last byte never left this process (an incomplete message, RFC 9112 section 8).
     Once the last byte is written, a close, a reset or a timeout proves nothing: the backend may have executed
-    the request and lost the response. RFC 9110 section 9.2.2 then permits an automatic retry only of an
-    idempotent request, and RFC 9112 section 9.3.1 makes no exception for persistent connections. In this
+    the request and lost the response. RFC 9110 section 9.2.2 permits an automatic retry of a non-idempotent
+    request only with a means to detect that the original request was never applied; the results with a "no"
+    below are that means. RFC 9112 section 9.3.1 makes no exception for persistent connections. In this
     program the idempotency is that of the request class, not that of the HTTP method.
 
     ================  ==========================================  =================  =====================
@@ -39,8 +40,9 @@
 
     Of complete responses, only 503 or 504 with `X-Not-Processed: 1` proves that the request never ran. An
     incomplete response is no such proof, even with that header in it. The header of a 202 is enough to know
-    that the backend has accepted the request. The writing side is never half-closed, so an end from the
-    backend is always a close of the whole connection (RFC 9112 section 9.6).
+    that the backend has accepted the request. A response without a length counts as incomplete, as its end
+    looks like a broken connection. The writing side is never half-closed, so the end of the input is always a
+    close of the whole connection (RFC 9112 section 9.6).
 
     The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`), and
     `NEVER_EXECUTED` there lists the outcomes with a "no" in the third column.
@@ -64,7 +66,7 @@
         """The exchange in progress."""
 
     def abort(self) -> None:
-        """Resets the connection."""
+        """Closes the connection at once, without writing what is left."""
 
 
 class Exchange:
@@ -120,7 +122,7 @@
             self.on_end(result, protocol)
 
     def abort(self) -> None:
-        """Drops the exchange without a call of `on_end`, and resets the connection that carries it."""
+        """Drops the exchange without a call of `on_end`, and closes the connection that carries it."""
         self.finished = True
         if self.connection and self.connection.exchange is self:
             self.connection.abort()
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_TIMEOUT = 1.0  # seconds; bounds how long a predecessor that hangs delays a start
+ANSWER_TIMEOUT = 1.0  # seconds in which a predecessor must answer; then the start goes on without it
 READ_SIZE = 64 * 1024  # bytes
 MAX_UNSENT_BYTES = 1024 * 1024
 SOCKET_SIGNATURE = b"!"  # the byte with which the listening socket is passed
@@ -256,7 +256,7 @@
         if writer is None:
             return
         if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            writer.transport.abort()  # bounds the memory for a process that hangs
+            writer.transport.abort()  # bounds the memory for a process that does not read
         else:
             writer.write(encode_message(message))
 
--- a/crankfold/network/pooled_connection.py
+++ b/crankfold/network/pooled_connection.py
@@ -17,7 +17,7 @@
 NEVER_ANSWERED = -REUSE_COOLDOWN  # seconds of the loop's clock: a new connection needs no cooldown
 
 
-class ConnectionOwner(Protocol):
+class OwningPool(Protocol):
     """What a connection needs of its pool."""
 
     loop: asyncio.AbstractEventLoop
@@ -47,8 +47,8 @@
 class DrainNotifyingProtocol(asyncio.StreamReaderProtocol):
     """Calls `on_drained` in the loop iteration in which the transport's buffer becomes empty.
 
-    A connection that breaks later in that iteration already counts as one with a complete request. Notified
-    by a task, it would count as UNREACHABLE, and the request would be retried although it may have executed.
+    A connection that breaks after that, even in the same iteration, has a complete request. Reported as
+    UNREACHABLE, the request would be retried although it may have been executed.
     """
 
     on_drained: Callable[[], None] = staticmethod(lambda: None)
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        pool: ConnectionOwner,
+        pool: OwningPool,
         reader: CountingStreamReader,
         writer: asyncio.StreamWriter,
         stream_protocol: DrainNotifyingProtocol,
@@ -120,7 +120,7 @@
         return not has_pending(self.writer, ANY_INPUT)
 
     def abort(self) -> None:
-        """Resets the connection; bytes that were not written are dropped."""
+        """Closes the connection at once; unwritten bytes are dropped."""
         self.writer.transport.abort()
 
     def close(self) -> None:
