--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -1,7 +1,7 @@
-"""Follows the endpoint list of discovery: first a snapshot, then deltas, by long polls or by periodic calls.
+"""Follows the endpoint list of discovery: a snapshot first, then deltas by long polls.
 
-Where discovery pushes lists, the watcher keeps one long poll open at all times. Where it does not, each
-watch is started from outside.
+A watch is a sequence of long polls that ends when one fails. Where discovery pushes lists, the watcher starts
+the next watch itself; where lists are polled, the routing decides when.
 """
 
 import asyncio
@@ -22,20 +22,23 @@
 # detected; further calls have the remainder of the 6 s. Times are in seconds unless the name says otherwise.
 LONG_POLL_MS = 2000  # discovery may wait this long for a change
 OVERDUE_GRACE = 0.5  # after the expected end of a call, until a further call is started beside it
-# The same for long polls of a watch. The agent may be silent for a moment at the end of the poll; the grace
-# and the call that follows must fit into the grace period of a drain that it has then.
+# The same where lists are pushed. A long poll can end in a short silence of the agent, and a drain that the
+# agent learns at the end of it is in force at once: this and the further call must fit into the grace period
+# of that drain.
 WATCH_OVERDUE_GRACE = 0.1
 CONNECT_TIMEOUT = 1.0
-QUEUE_TIMEOUT = 6.0  # discovery answers queued calls in turn: a call given up sooner loses its place
-RETRY_INTERVAL = 0.15  # between calls of a watch: the agent answers those that begin after its silence
-MAX_WATCH_CALLS = 4  # calls of a watch at once
-POLL_RETRY_INTERVAL = 2.5  # between calls without a watch: each one loads discovery
-MAX_POLL_CALLS = 2  # calls at once without a watch
+QUEUE_TIMEOUT = 6.0  # discovery answers calls in turn, and a call that is cancelled loses its place
+# Between calls where lists are pushed. A call that began during a silence of the agent may never be answered;
+# one that begins within this interval after it is.
+RETRY_INTERVAL = 0.15
+MAX_WATCH_CALLS = 4  # at once, where lists are pushed
+POLL_RETRY_INTERVAL = 2.5  # between calls where lists are polled, as each one loads discovery
+MAX_POLL_CALLS = 2  # at once, where lists are polled
 # Between the starts of two calls, where an agent answers long polls at once. Less than the 0.2 s in which
 # discovery expects the next call of a watch.
 MIN_CALL_INTERVAL = 0.02
 READ_SIZE = 64 * 1024  # bytes
-NO_REVISION = -1  # no list is known: the next call asks for a snapshot
+NO_REVISION = -1  # the next call requests a snapshot
 CATEGORY = {"category": "discovery"}  # of log records
 
 
@@ -80,7 +83,7 @@
     """How an overdue call is hedged.
 
     Attributes:
-        is_pushed: Whether the calls are long polls of a watch, which have no timeout of their own.
+        is_pushed: Whether lists are pushed: a call then has no timeout, and is hedged until it is answered.
         interval: Seconds between further calls.
         max_calls: Calls at once.
     """
@@ -93,7 +96,7 @@
 class _CallRace:
     """Hedged calls to discovery: the first response wins, and the other calls are cancelled.
 
-    A lost connection is not reported by the network, so an overdue call is not given up but hedged.
+    The network does not report a lost connection, so an overdue call is hedged and not cancelled.
     """
 
     def __init__(self, host: str, port: int, revision: int, policy: _CallPolicy, metrics: Metrics) -> None:
@@ -202,7 +205,7 @@
         on_endpoints: Called with the endpoints of a response, and whether they are a snapshot.
         on_failure: Called at the end of each watch.
         retry_interval: Seconds between calls of a watch.
-        revision: After which the next call asks for changes; negative to ask for a snapshot.
+        revision: The next call requests the changes after it; negative to request a snapshot.
         list_revision: Of the last list that was received from this agent; negative if there is none.
         last_answer_at: When discovery last answered, in seconds of the loop's clock.
     """
@@ -232,7 +235,7 @@
         self.last_answer_at = 0.0
 
     def start(self, keep_running: bool) -> None:
-        """Starts a watch, unless one runs. With `keep_running` a watch that fails is started again."""
+        """Starts a watch, unless one runs; with `keep_running`, the next one starts when it fails."""
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._run(keep_running))
 
@@ -279,11 +282,18 @@
         """The cause in plain words; with the address unless discovery itself has answered."""
         if isinstance(error, DiscoveryError):
             return str(error)
-        cause = os.strerror(error.errno).lower() if error.errno else str(error) or "connect timed out"
+        if error.errno and error.errno > 0:
+            cause = os.strerror(error.errno).lower()
+        else:  # a failed name resolution has a negative number, and a timeout of asyncio has none
+            cause = error.strerror or str(error) or "connect timed out"
         return f"{cause} ({self.host}:{self.port})"
 
     async def _follow(self, is_pushed: bool) -> None:
-        """Makes one call after the other until one fails."""
+        """Runs one watch.
+
+        Raises:
+            DiscoveryError, OSError, TimeoutError: The call that failed.
+        """
         loop = asyncio.get_running_loop()
         call: DiscoveryCall | None = None
         try:
--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -1,6 +1,7 @@
 """The watcher before discovery agents that answer late, badly or never, on loopback."""
 
 import asyncio
+import errno
 import logging
 import socket
 from typing import Any
@@ -105,6 +106,19 @@
             [f"connection refused (127.0.0.1:{port}); no endpoint list received yet"],
         )
 
+    async def test_errors_of_the_system_are_described_in_plain_words_with_the_address(self) -> None:
+        watcher = DiscoveryWatcher(
+            "10.0.0.9", 85, Mock(), on_endpoints=Mock(), on_failure=Mock(), metrics=Metrics()
+        )
+        for error, cause in (
+            (ConnectionResetError(errno.ECONNRESET, "x"), "connection reset by peer"),
+            (OSError(errno.EHOSTUNREACH, "Connect call failed ('10.0.0.9', 85)"), "no route to host"),
+            (socket.gaierror(socket.EAI_NONAME, "Name or service not known"), "Name or service not known"),
+            (TimeoutError(), "connect timed out"),
+            (TimeoutError("no response"), "no response"),
+        ):
+            self.assertEqual(watcher._describe_failure(error), f"{cause} (10.0.0.9:85)")
+
     async def test_a_call_waits_in_the_queue_and_asks_for_changes_after_a_rejection(self) -> None:
         answered = asyncio.Event()
 
