--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 
 from crankfold.config.interning import Interner
+from crankfold.errors import CrankfoldError
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass, RoutingConfig
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
@@ -27,6 +28,10 @@
 _SCOPES = {"all": DeduplicationScope.GLOBAL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
+class SettingsError(CrankfoldError, ValueError):
+    """A number in the settings is malformed."""
+
+
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
     """The configuration of the service beside the routing. Times are in ticks.
@@ -72,10 +77,13 @@
         return text == "true" if text else default
 
     def integer(self, path: str, default: int) -> int:
-        return int(self.texts.get(path) or default)
+        try:
+            return int(self.texts.get(path) or default)
+        except ValueError as error:
+            raise SettingsError(str(error)) from error
 
     def number(self, path: str, default: float) -> float:
-        return float(self.texts.get(path) or default)
+        return _parse_number(self.texts.get(path) or default)
 
     def upper_bound(self, path: str, default: int = 0) -> int:
         """A duration that the program must not exceed: ticks, rounded down from microseconds."""
@@ -89,6 +97,10 @@
         """The values of a list of plain values."""
         return [item for item in self.text(path).split(",") if item]
 
+    def numbers(self, path: str) -> list[float]:
+        """The values of a list of numbers."""
+        return [_parse_number(item) for item in self.items(path)]
+
     def names(self, path: str) -> Interner[str]:
         """The names of a list of objects or of a list of plain values."""
         count = self.integer(f"{path}.count", 0)
@@ -97,6 +109,13 @@
         return Interner(self.items(path))
 
 
+def _parse_number(text: str | float) -> float:
+    try:
+        return float(text)
+    except ValueError as error:
+        raise SettingsError(str(error)) from error
+
+
 def parse_lines(text: str) -> dict[str, str]:
     """Parses flat settings from lines of the form `PATH=VALUE`; other lines are ignored."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
@@ -136,7 +155,7 @@
     """Reads the configuration of the service from flat settings.
 
     Raises:
-        ValueError: A number is malformed.
+        SettingsError: A number is malformed.
     """
     settings = _Settings(given)
     request_classes = settings.names("service-grades")
@@ -162,7 +181,7 @@
     """Reads the configuration of the routing from flat settings, one line for each field.
 
     Raises:
-        ValueError: A number is malformed.
+        SettingsError: A number is malformed.
     """
     settings = _Settings(given)
     return RoutingConfig(
@@ -201,7 +220,7 @@
 
 
 def _read_request_classes(settings: _Settings) -> list[RequestClass]:
-    stretches = [float(item) for item in settings.items("specifics.class-stretch")]
+    stretches = settings.numbers("specifics.class-stretch")
     request_classes = []
     for index in range(settings.integer("service-grades.count", 0)):
         # The default factors are by position; classes beyond the list have its last one.
--- a/tests/config/test_parser.py
+++ b/tests/config/test_parser.py
@@ -2,7 +2,14 @@
 
 import unittest
 
-from crankfold.config.parser import flatten_settings, parse_lines, read_routing_config, read_service_config
+from crankfold.config.parser import (
+    SettingsError,
+    flatten_settings,
+    parse_lines,
+    read_routing_config,
+    read_service_config,
+)
+from crankfold.errors import CrankfoldError
 
 
 class ParserTest(unittest.TestCase):
@@ -39,3 +46,12 @@
             (service.request_classes.find("b"), service.request_classes.find("c"), service.longest_deadline),
             (1, -1, 120000),
         )
+
+    def test_a_malformed_number_is_a_settings_error(self) -> None:
+        self.assertTrue(issubclass(SettingsError, CrankfoldError))
+        for name in ("balancers", "tick", "specifics.class-stretch", "rules.overload-factor"):
+            with self.assertRaisesRegex(SettingsError, "'x'"):
+                read_routing_config({name: "x"})
+        for name in ("allowed.conn-idle", "allowed.most-held"):
+            with self.assertRaisesRegex(SettingsError, "'x'"):
+                read_service_config({name: "x"})
