--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -44,8 +44,8 @@
     looks like a broken connection. The writing side is never half-closed, so the end of the input is always a
     close of the whole connection (RFC 9112 section 9.6).
 
-    The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`), and
-    `NEVER_EXECUTED` there lists the outcomes with a "no" in the third column.
+    The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`). There,
+    `NEVER_EXECUTED` has the two results with a "no" and OVERLOADED, which is that response of 503 or 504.
     """
 
     ANSWERED = "answered"
