--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -1,6 +1,5 @@
-"""The commands of `crankfold maintenance` on single machines: history and steps by operators."""
+"""The commands of `crankfold maintenance` on one machine: its history, and steps that operators report."""
 
-import secrets
 import sys
 import time
 from typing import Any
@@ -13,39 +12,42 @@
     EXIT_REFUSED,
     EXIT_UNREACHABLE,
     HTTP_NO_OUTCOME,
+    JsonObject,
     RefusedError,
     UnreachableError,
     call_admin,
     format_json,
+    new_call_id,
 )
 from crankfold.cli.options import admin_option, author_option, call_option, json_option
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
 MACHINES_PATH = "agreed/machines"
-STEP_WAIT = 10.0  # seconds until the outcome of a step is known
-FINAL_STEPS = ("well", "gone", "undone")  # these end the maintenance of a machine
+STEP_WAIT = 10.0  # seconds in which a step is committed in the cluster
+FINAL_STEPS = ("well", "gone", "undone")  # the machine is no longer out of service
 OPERATOR_STEPS = {
-    "begin": "Report that work on a drained machine has started, so that it stays out.",
-    "done": "Report that work on a machine is done: it returns to service and is monitored.",
-    "unwell": "Report that a returned machine is unhealthy or that work on it failed: it goes out.",
-    "back": "Return a machine to service without work on it.",
+    "begin": "Maintenance of a free machine begins: it is not restored until a further step.",
+    "done": "Maintenance of a machine is done: it is restored and observed.",
+    "unwell": "A restored machine is unhealthy, or its maintenance was not possible: it is taken out.",
+    "back": "A machine is restored without maintenance.",
     "here": (
-        "Return a machine to service at this dispatcher only, which is isolated. Work on the machine may "
-        "be in progress."
+        "A machine is restored at this dispatcher alone, which is isolated from the cluster. Its "
+        "maintenance may be in progress."
     ),
 }
 
 
 class MachineView(Struct):
-    """A machine that is out for a job."""
+    """A machine that is out of service for a job."""
 
     job: str = field(name="work")
     state: str
-    number: int  # the drain number; 0 before it is drained
+    number: int  # of the notice that the machine is free; 0 before it
     reason: str = field(name="why")
 
 
 class WaitView(Struct):
-    """Why a machine of a job waits; without a machine, why all others wait."""
+    """Why a machine of a job waits; without a machine, why all its other machines wait."""
 
     machine: str
     job: str = field(name="work")
@@ -53,7 +55,7 @@
 
 
 class StepView(Struct):
-    """A committed transition of a machine."""
+    """A committed step of a machine."""
 
     machine_id: str = field(name="uid")
     job: str = field(name="work")
@@ -64,17 +66,17 @@
     time_ms: int = field(name="at")  # since the epoch
 
 
-def fetch_maintenance(address: str) -> dict[str, Any]:
-    """The state of all jobs and machines, as the dispatcher knows it.
+def fetch_maintenance(address: str) -> JsonObject:
+    """Reads the state of all jobs and machines from the dispatcher at `address`.
 
     Raises:
-        UnreachableError: it can not be read there.
+        UnreachableError: The state can't be read there.
     """
     return call_admin(address, MACHINES_PATH).require_ok()
 
 
 def add_machine_commands(group: click.Group) -> None:
-    """Add the commands on single machines to the group of maintenance commands."""
+    """Adds the commands on one machine to the group of maintenance commands."""
     group.add_command(show_machine_history)
     for step, description in OPERATOR_STEPS.items():
         _add_step_command(group, step, description)
@@ -90,15 +92,23 @@
     if as_json:
         click.echo(format_json(raw))
         return
-    if not raw:
+    for line in _describe_history(machine, msgspec.convert(raw, list[StepView])):
+        click.echo(line)
+
+
+def _describe_history(machine: str, steps: list[StepView]) -> list[str]:
+    if not steps:
         raise RefusedError(f"{machine} has no stored history")
+    lines = []
     previous_ms = 0
-    for step in msgspec.convert(raw, list[StepView]):
-        moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / 1000))
-        since = f" after {(step.time_ms - previous_ms) / 1000:.1f} s" if previous_ms else ""
+    for step in steps:
+        moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / MILLISECONDS_PER_SECOND))
+        elapsed = (step.time_ms - previous_ms) / MILLISECONDS_PER_SECOND
+        since = f" after {elapsed:.1f} s" if previous_ms else ""
         previous_ms = 0 if step.step in FINAL_STEPS else step.time_ms
         cause = f": {step.reason}" if step.reason else ""
-        click.echo(f"{moment} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
+        lines.append(f"{moment} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
+    return lines
 
 
 def _add_step_command(group: click.Group, step: str, description: str) -> None:
@@ -113,16 +123,16 @@
     @author_option
     @call_option
     def report_step(address: str, as_json: bool, call_id: str, **request: Any) -> None:
-        _report_step(address, {"step": step, "call": call_id or secrets.token_hex(8), **request}, as_json)
+        _report_step(address, {"step": step, "call": call_id or new_call_id(), **request}, as_json)
 
 
-def _report_step(address: str, request: dict[str, Any], as_json: bool) -> None:
+def _report_step(address: str, request: JsonObject, as_json: bool) -> None:
     call_id = request["call"]
     try:
         response = call_admin(address, MACHINES_PATH, request, wait_seconds=STEP_WAIT)
     except UnreachableError as error:
         raise UnreachableError(
-            f"{error}; the outcome is unknown, repeat the command with --call {call_id} to learn it"
+            f"{error}; outcome unknown: repeat the command with --call {call_id} to learn it"
         ) from None
     content = response.content
     if as_json:
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -8,7 +8,6 @@
 import asyncio
 import contextlib
 import logging
-import socket
 from collections.abc import Coroutine
 from random import Random
 from typing import Any, Protocol
@@ -21,13 +20,13 @@
     encode_frame,
 )
 from crankfold.consensus.messages import Message, Rejection
-from crankfold.network.acceptor import Acceptor
+from crankfold.network.acceptor import AcceptLimits, Acceptor, open_listening_socket
 from crankfold.network.metrics import Metrics
 
 READ_BYTES = 64 * 1024
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 MAX_INCOMING_CONNECTIONS = 2048
-ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the event loop
+LIMITS = AcceptLimits(backlog=128, read_limit=READ_BYTES, accepts_per_iteration=16)
 HELLO_TIMEOUT_SECONDS = 2.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 MIN_RECONNECT_DELAY_SECONDS = 0.05
@@ -84,14 +83,8 @@
         Raises:
             OSError: The address cannot be bound.
         """
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        self._acceptor = Acceptor(
-            socket.create_server((host, port), family=family),
-            self._run_incoming,
-            metrics=self._metrics,
-            read_limit=READ_BYTES,
-            accepts_per_iteration=ACCEPTS_PER_ITERATION,
-        )
+        listening = open_listening_socket(host, port, LIMITS)
+        self._acceptor = Acceptor(listening, self._run_incoming, self._metrics, LIMITS)
 
     def send(self, receiver: str, message: Message) -> None:
         """Sends a message, or drops it and connects where there is no connection.
