--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -62,7 +62,7 @@
         self.channel = HandoverChannel(directory, f"crankfold-{address_hash:08x}", self)
         self.state_machine = HandoverStateMachine(self)
         self.listening_socket: socket.socket | None = None
-        self.takeover_decided = asyncio.Event()  # the predecessor has stopped accepting, refused or gone
+        self.takeover_decided = asyncio.Event()  # set when the predecessor grants, refuses or ends
         self.retry_takeover = False
         self.inherited_reports: dict[str, list[float]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from functools import partial
+from http import HTTPStatus
 from typing import NamedTuple
 
 from crankfold.config.parser import ServiceConfig, setting_text
@@ -30,25 +31,25 @@
 ADMITTED_COUNTER = "requests-admitted"
 
 
-class Refusal(NamedTuple):
+class Rejection(NamedTuple):
     """The reason why a request is not admitted: its counter and its response.
 
     No attempt was sent, so the client may retry. `retry_after` is in seconds, 0 for no Retry-After header.
     """
 
     counter: str
-    status: int
+    status: HTTPStatus
     closes_connection: bool = False
     retry_after: int = 0
 
 
-CLIENT_GONE = Refusal("clients-closed-before-read", 503, closes_connection=True)
-SHUTTING_DOWN = Refusal("shed-at-shutdown", 503, closes_connection=True)
-DUPLICATE_ID = Refusal("duplicate-request-ids", 409, closes_connection=True)
-OVERLOADED = Refusal("shed-overloaded", 503)
+CLIENT_GONE = Rejection("clients-closed-before-read", HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
+SHUTTING_DOWN = Rejection("shed-at-shutdown", HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
+DUPLICATE_ID = Rejection("duplicate-request-ids", HTTPStatus.CONFLICT, closes_connection=True)
+OVERLOADED = Rejection("shed-overloaded", HTTPStatus.SERVICE_UNAVAILABLE)
 # Another dispatcher has a valid configuration at the latest when the present lease expires.
-NO_VALID_CONFIG = Refusal("shed-without-valid-config", 503, retry_after=1)
-QUOTA_USED_UP = Refusal("shed-by-quota", 503, retry_after=1)
+NO_VALID_CONFIG = Rejection("shed-without-valid-config", HTTPStatus.SERVICE_UNAVAILABLE, retry_after=1)
+QUOTA_USED_UP = Rejection("shed-by-quota", HTTPStatus.SERVICE_UNAVAILABLE, retry_after=1)
 
 
 class RequestHandler:
@@ -173,13 +174,13 @@
 
     def submit(self, client: ClientChannel, request: ClientRequest) -> None:
         """Admits a request or rejects it at once."""
-        refusal = self._check_admission(client, request)
-        if refusal:
-            self._refuse(client, refusal)
+        rejection = self._check_admission(client, request)
+        if rejection:
+            self._reject(client, rejection)
             return
         quota_limits = self.cluster.acquire_quota(request.request_class, request.tenant)
         if quota_limits is None:
-            self._refuse(client, QUOTA_USED_UP)
+            self._reject(client, QUOTA_USED_UP)
             return
         self._admit(client, request, quota_limits)
 
@@ -208,7 +209,12 @@
             request_number=admitted.number,
         )
 
-    def _check_admission(self, client: ClientChannel, request: ClientRequest) -> Refusal | None:
+    def _check_admission(self, client: ClientChannel, request: ClientRequest) -> Rejection | None:
+        """Returns why a request cannot be admitted; None if it can, as far as quotas permit.
+
+        The first that applies: the client has disconnected, the process ends, the id is in hand here or at
+        the predecessor, too many connections or requests are open, there is no valid configuration.
+        """
         if client.peer_has_closed():
             return CLIENT_GONE
         if self.closed:
@@ -222,14 +228,14 @@
             return NO_VALID_CONFIG
         return None
 
-    def _refuse(self, client: ClientChannel, refusal: Refusal) -> None:
-        self.metrics.increment(refusal.counter)
-        if refusal.closes_connection:
-            client.reject(refusal.status)
-        elif refusal.retry_after:
-            client.respond(refusal.status, [(b"Retry-After", b"%d" % refusal.retry_after)])
+    def _reject(self, client: ClientChannel, rejection: Rejection) -> None:
+        self.metrics.increment(rejection.counter)
+        if rejection.closes_connection:
+            client.reject(rejection.status)
+        elif rejection.retry_after:
+            client.respond(rejection.status, [(b"Retry-After", b"%d" % rejection.retry_after)])
         else:
-            client.respond(refusal.status)
+            client.respond(rejection.status)
 
     # --- disconnects, deadlines and shutdown ---
 
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Sequence
 from enum import Enum
+from http import HTTPStatus
 from typing import NamedTuple
 
 from crankfold.network.connection_pool import Exchange
@@ -16,12 +17,12 @@
 class Disposition(Enum):
     """The final response of a request in hand: its counter and its HTTP status."""
 
-    COMPLETED = ("requests-completed", 200)
-    REJECTED = ("requests-rejected", 400)  # a backend found the request invalid
-    SHED = ("requests-shed", 503)  # a retry is harmless
-    FAILED = ("requests-failed", 504)  # the request may have been executed
+    COMPLETED = ("requests-completed", HTTPStatus.OK)
+    REJECTED = ("requests-rejected", HTTPStatus.BAD_REQUEST)  # a backend found the request invalid
+    SHED = ("requests-shed", HTTPStatus.SERVICE_UNAVAILABLE)  # a retry is harmless
+    FAILED = ("requests-failed", HTTPStatus.GATEWAY_TIMEOUT)  # the request may have been executed
 
-    def __init__(self, counter: str, status: int) -> None:
+    def __init__(self, counter: str, status: HTTPStatus) -> None:
         self.counter = counter
         self.status = status
 
