--- a/crankfold/simulation/__init__.py
+++ b/crankfold/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated time: real policies and real consensus members among played backends, clients and faults."""
+"""Simulation in virtual time: the program's routing and consensus with simulated peers and faults."""
--- a/crankfold/simulation/event_queue.py
+++ b/crankfold/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time: calls in the order of their times, and of scheduling where times are equal."""
+"""The clock of a simulation: calls run in the order of their times; equal times keep scheduling order."""
 
 import heapq
 from collections.abc import Callable
@@ -15,12 +15,17 @@
         self._heap: list[tuple[int, int, Callable[[], object]]] = []
 
     def schedule(self, delay: int, call: Callable[[], object]) -> None:
-        """Call it so many ticks from now; at once if the delay is negative."""
+        """Schedules a call.
+
+        Args:
+            delay: Ticks from now; a negative delay counts as 0.
+            call: Called without arguments; its result is ignored.
+        """
         heapq.heappush(self._heap, (self.now + max(delay, 0), self._sequence_number, call))
         self._sequence_number += 1
 
     def run(self, end: int) -> None:
-        """Make all calls up to that time, those that are scheduled meanwhile too."""
+        """Runs all calls due up to `end` (ticks, inclusive), also those scheduled while it runs."""
         while self._heap and self._heap[0][0] <= end:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/crankfold/simulation/traffic/backend.py
+++ b/crankfold/simulation/traffic/backend.py
@@ -1,4 +1,4 @@
-"""A backend in simulated time: slots, a bounded queue, load reports, and what faults make of it."""
+"""A simulated backend: slots, a bounded queue, load reports, slow start and injected faults."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 from crankfold.routing.interface import EndpointState, Outcome
 from crankfold.simulation.traffic.scenario import FleetContext
 
-ERROR_DELAY = 200  # ticks until a failing backend says so
+ERROR_DELAY_TICKS = 200  # from the arrival of a request until its error response
 
 
 class AttemptOwner(Protocol):
@@ -19,50 +19,50 @@
     index: int
 
     def backend_started(self, attempt: "SimulatedAttempt", backend: int) -> None:
-        """The backend runs it from now on."""
+        """Receives the start of the execution at a backend."""
 
     def backend_answered(
         self, attempt: "SimulatedAttempt", backend: int, outcome: Outcome, report: Sequence[float]
     ) -> None:
-        """The backend is done with it."""
+        """Receives the outcome of the attempt and the load report of the backend."""
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedAttempt:
-    """A request as it was sent to a backend."""
+    """An attempt of a request at one backend."""
 
     owner: AttemptOwner
     request_id: int
     attempt_number: int
     service_time: int  # ticks on a warm backend
-    enqueued_at: int = 0
+    enqueued_at: int = 0  # ticks
 
 
 class SimulatedBackend:
-    """First come first served by so many slots, the rest in a bounded queue."""
+    """Serves requests in the order of their arrival with a fixed number of slots and a bounded queue."""
 
     def __init__(self, context: FleetContext, index: int) -> None:
         self.context = context
         self.index = index
         self.state = EndpointState.READY
-        self.ready_since = 0  # 0 if it was there from the start, and is warm
+        self.ready_since = 0  # start of the slow start, ticks; 0 for a warm backend
         self.busy_slots = 0
         self.queue = deque[SimulatedAttempt]()
         self.running: dict[SimulatedAttempt, None] = {}  # in the order of their starts
         self.rng = Random(f"{context.scenario.seed} runner {index}")
         # The reported queue length and free slots.
         self.report: tuple[float, ...] = (0.0, float(context.scenario.slots_per_backend))
-        self.queue_times: list[int] = []  # ticks that each attempt waited
-        # What faults make of it. A generation ends with the process, and takes with it what ran.
-        self.slowdown = 1.0
-        self.error_rate = 0.0
-        self.generation = 0
+        self.queue_times: list[int] = []  # ticks that each attempt spent in the queue
+        # Injected faults.
+        self.slowdown = 1.0  # factor on service times
+        self.error_rate = 0.0  # share of the requests
+        self.generation = 0  # raised by each restart; attempts of earlier generations never complete
         self.hangs = False
         self.dead = False
         self.reports_frozen = False
 
     def slow_start_factor(self) -> float:
-        """The share of its speed that it has while it is warming up."""
+        """Returns the current speed as a share of that of a warm backend."""
         config = self.context.config
         age = self.context.events.now - self.ready_since
         if not self.ready_since or age >= config.warm_up_time:
@@ -70,7 +70,7 @@
         return config.initial_capacity + (1.0 - config.initial_capacity) * age / config.warm_up_time
 
     def refresh_report(self) -> None:
-        """Report the load as it is now, and again after the interval."""
+        """Sets the load report to the current load and schedules the next refresh."""
         scenario = self.context.scenario
         if not self.reports_frozen:
             free_slots = scenario.slots_per_backend - self.busy_slots
@@ -78,11 +78,11 @@
         self.context.events.schedule(scenario.report_interval, self.refresh_report)
 
     def answers_probes(self) -> bool:
-        """Whether a probe would be answered."""
+        """Whether the backend answers health probes."""
         return not self.dead and not self.hangs and self.state != EndpointState.REMOVED
 
     def receive(self, attempt: SimulatedAttempt) -> None:
-        """An attempt arrives."""
+        """Queues an attempt, or answers it at once according to the state and the faults."""
         events = self.context.events
         self._check_slow_start(attempt)
         if self.state == EndpointState.REMOVED or self.dead:
@@ -91,7 +91,7 @@
             pass
         elif self.error_rate and self.rng.random() < self.error_rate:
             answer = partial(attempt.owner.backend_answered, attempt, self.index, Outcome.ERROR, self.report)
-            events.schedule(ERROR_DELAY, answer)
+            events.schedule(ERROR_DELAY_TICKS, answer)
         elif len(self.queue) >= self.context.scenario.queue_capacity:
             attempt.owner.backend_answered(attempt, self.index, Outcome.OVERLOADED, self.report)
         else:
@@ -125,7 +125,7 @@
             events.schedule(duration, partial(self._completed, attempt, self.generation))
 
     def terminate(self) -> None:
-        """The process is gone: what ran or waited there is reset."""
+        """Ends the process: running and queued attempts are reset."""
         self.generation += 1
         for attempt in [*self.running, *self.queue]:
             attempt.owner.backend_answered(attempt, self.index, Outcome.RESET, ())
--- a/crankfold/simulation/traffic/baselines.py
+++ b/crankfold/simulation/traffic/baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies, for comparison only: none of them is offered to a dispatcher in service."""
+"""Simple routing policies for comparison; dispatchers in service use only `routing.router.Router`."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Sequence
@@ -18,13 +18,14 @@
 from crankfold.simulation.traffic.dispatcher import SimulatedDispatcher
 
 NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
-MAX_FIRST_POSITION = 1 << 16
+FIRST_POSITIONS = 1 << 16  # of a round robin
+DEADLINE_MARGIN_TIMERS = 2  # timer resolutions between the latest answer and the deadline
 
 
 class Baseline:
-    """Picks a ready backend at random, retries where the request was not executed, answers in time.
+    """Selects a random ready backend; retries requests that were not executed; answers by the deadline.
 
-    Subclasses pick in another way.
+    Subclasses override `select_backend`.
     """
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions) -> None:
@@ -33,16 +34,16 @@
         self.rng = Random(seed)
         self.ready_backends: list[int] = []
         self.in_flight: Counter[int] = Counter()  # own attempts, by backend
-        self.class_of_request: dict[int, int] = {}  # of requests in hand
+        self.class_of_request: dict[int, int] = {}  # class index of unanswered requests
         self.backends_tried: dict[int, list[int]] = {}  # by request
         self.possibly_executed: set[int] = set()  # requests
 
     def select_backend(self) -> int:
-        """The backend for the next attempt, of those that are ready."""
+        """Returns the ready backend for the next attempt."""
         return self.rng.choice(self.ready_backends)
 
     def endpoints_changed(self, now: int, endpoints: Sequence[Endpoint], snapshot: bool) -> None:  # noqa: ARG002 - RoutingEvents
-        """Note which backends are ready."""
+        """Updates the ready backends."""
         states = {} if snapshot else dict.fromkeys(self.ready_backends, EndpointState.READY)
         states |= {endpoint.backend: endpoint.state for endpoint in endpoints}
         self.ready_backends = sorted(
@@ -50,10 +51,10 @@
         )
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:
-        """Send the request at once."""
+        """Starts the first attempt."""
         self.class_of_request[arrival.request_id] = arrival.class_index
         self.backends_tried[arrival.request_id] = []
-        delay = arrival.deadline - now - 2 * self.config.timer_resolution
+        delay = arrival.deadline - now - DEADLINE_MARGIN_TIMERS * self.config.timer_resolution
         self.actions.set_timer(delay, arrival.request_id)
         self._start_attempt(arrival.request_id)
 
@@ -83,7 +84,7 @@
         backend: int,
         end: AttemptEnd,
     ) -> None:
-        """Retry a request that was not executed; answer others that did not complete."""
+        """Retries a request that was not executed; answers other requests that did not complete."""
         self.in_flight[backend] -= 1
         if end.request_over:
             self.class_of_request.pop(request_id, None)
@@ -96,55 +97,55 @@
             self._finish(request_id)
 
     def timer_fired(self, now: int, token: int) -> None:  # noqa: ARG002 - RoutingEvents
-        """The deadline of a request is near."""
+        """Answers a request shortly before its deadline."""
         if token in self.class_of_request:
             self._finish(token)
 
     def client_disconnected(self, now: int, request_id: int) -> None:  # noqa: ARG002 - RoutingEvents
-        """Forget the request."""
+        """Drops the request."""
         self.class_of_request.pop(request_id, None)
 
     def config_changed(self, now: int, config: RoutingConfig, new_rows: Collection[int] = ()) -> None:  # noqa: ARG002 - RoutingEvents
-        """Use another configuration from now on."""
+        """Replaces the configuration."""
         self.config = config
 
     def request_aborted(self, now: int, request_id: int) -> None:  # noqa: ARG002 - RoutingEvents
-        """Answer the request at once."""
+        """Answers the request at once."""
         if request_id in self.class_of_request:
             self._finish(request_id)
 
     def discovery_failed(self, now: int) -> None:
-        """Go on with the backends that are known."""
+        """Keeps the known backends."""
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """Nothing follows from it."""
+        """Has no effect."""
 
     def attempt_progressed(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """Nothing follows from it."""
+        """Has no effect."""
 
     def probe_ended(self, now: int, backend: int, healthy: bool, report: Sequence[float]) -> None:
-        """Nothing follows from it."""
+        """Has no effect."""
 
 
 class RoundRobin(Baseline):
-    """Picks the ready backends one after the other."""
+    """Selects the ready backends in turn."""
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions) -> None:
         super().__init__(config, seed, actions)
-        # Drawn, as dispatchers that start together would go round in step.
-        self.position = self.rng.randrange(MAX_FIRST_POSITION)
+        # A random start keeps dispatchers that start together from selecting the same backends.
+        self.position = self.rng.randrange(FIRST_POSITIONS)
 
     def select_backend(self) -> int:
-        """The next one."""
+        """Returns the next ready backend."""
         self.position += 1
         return self.ready_backends[self.position % len(self.ready_backends)]
 
 
 class LeastInFlight(Baseline):
-    """Picks the backend with the fewest own attempts."""
+    """Selects the backend with the fewest attempts in flight from this dispatcher."""
 
     def select_backend(self) -> int:
-        """One of those with the fewest."""
+        """Returns one of the backends with the fewest attempts, at random."""
         fewest = min(self.in_flight[backend] for backend in self.ready_backends)
         return self.rng.choice(
             [backend for backend in self.ready_backends if self.in_flight[backend] == fewest]
@@ -152,10 +153,10 @@
 
 
 class TwoChoices(Baseline):
-    """Picks the one of two random backends that has fewer own attempts."""
+    """Selects of two random backends the one with fewer attempts in flight from this dispatcher."""
 
     def select_backend(self) -> int:
-        """The better of the two."""
+        """Returns the less loaded of two random backends."""
         candidates = (self.rng.choice(self.ready_backends) for _ in range(2))
         return min(candidates, key=lambda backend: self.in_flight[backend])
 
@@ -164,7 +165,7 @@
     """Picks by the true queues at this moment, which no dispatcher can know."""
 
     def select_backend(self) -> int:
-        """One of those with the fewest requests, whoever sent them."""
+        """Returns one of the backends with the fewest requests of all dispatchers, at random."""
         backends = cast(SimulatedDispatcher, self.actions).backends
         loads = {
             index: backends[index].busy_slots + len(backends[index].queue) for index in self.ready_backends
--- a/crankfold/simulation/traffic/comparison.py
+++ b/crankfold/simulation/traffic/comparison.py
@@ -1,4 +1,4 @@
-"""Policies against each other on the same seeds, with the uncertainty of the difference."""
+"""Compares policies on the same seeds, with a confidence interval of the difference."""
 
 import csv
 from collections.abc import Sequence
@@ -15,8 +15,8 @@
 PRODUCT = "crankfold"
 POLICIES: dict[str, PolicyFactory] = {PRODUCT: Router, **BASELINES}
 BOOTSTRAP_RESAMPLES = 2000
-TAIL = BOOTSTRAP_RESAMPLES // 40  # resamples beyond each end of a 95% interval
-# Times in ticks: a request is on time within 80 ms and twice its work, and ends after five seconds.
+TAIL_RESAMPLES = BOOTSTRAP_RESAMPLES // 40  # beyond each end of a 95% interval: 2.5%
+# Times in ticks: the latency objective is 80 ms plus twice the work, the deadline five seconds.
 DEFAULT_CLASS = RequestClass(
     idempotency=Idempotency.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.GLOBAL,
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """What came of one day."""
+    """The result of one simulated day."""
 
     policy: str
     seed: int
@@ -65,7 +65,7 @@
 
 
 class Interval(NamedTuple):
-    """A mean difference, and where 95 of 100 resampled means lie."""
+    """A mean difference with its 95% confidence interval."""
 
     mean: float
     low: float
@@ -73,7 +73,7 @@
 
 
 def simulate_day(policy: str, scenario: Scenario, config: RoutingConfig, seed: int) -> DayResult:
-    """Play the scenario with that seed in place of its own."""
+    """Simulates the scenario with `seed` in place of the scenario's own seed."""
     fleet = SimulatedFleet(replace(scenario, seed=seed), config, POLICIES[policy])
     fleet.run()
     return DayResult(
@@ -86,22 +86,22 @@
 
 
 def confidence_interval(own: Sequence[float], other: Sequence[float]) -> Interval:
-    """Of the differences of pairs, by bootstrap."""
+    """Returns the mean of `own` minus `other`, pair by pair, with its bootstrap interval."""
     pairs = [one - two for one, two in zip(own, other, strict=True)]
     rng = Random("bootstrap")
     means = sorted(sum(rng.choices(pairs, k=len(pairs))) / len(pairs) for _ in range(BOOTSTRAP_RESAMPLES))
-    return Interval(mean=sum(pairs) / len(pairs), low=means[TAIL], high=means[-TAIL - 1])
+    return Interval(mean=sum(pairs) / len(pairs), low=means[TAIL_RESAMPLES], high=means[-TAIL_RESAMPLES - 1])
 
 
 def verdict(low: float, high: float) -> str:
-    """What an interval shows of the first against the second."""
+    """Returns in words which policy an interval of differences favors."""
     if low <= 0 <= high:
         return "no difference shown"
     return "better" if low > 0 else "worse"
 
 
 def write_table(days: Sequence[DayResult], out: TextIO) -> None:
-    """One row a day, as CSV."""
+    """Writes one row a day, as CSV."""
     table = csv.writer(out, lineterminator="\n")
     table.writerow(["policy", "seed", "units", "in_time", "rules_broken"])
     table.writerows(
--- a/crankfold/simulation/traffic/dispatcher.py
+++ b/crankfold/simulation/traffic/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher in simulated time: a policy, and the actions by which it reaches the fleet."""
+"""A simulated dispatcher: runs a routing policy and carries out its actions in the fleet."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
@@ -16,30 +16,30 @@
     zone_of,
 )
 
-SEEDS_PER_SCENARIO = 1000
-ONLY_CLASS = 0  # all requests of a simulated day are of one request class
+SEEDS_PER_SCENARIO = 1000  # each dispatcher of a scenario uses a seed of its own
+ONLY_CLASS = 0  # index of the request class of all requests of a scenario
 
 
 class Clients(Protocol):
-    """Those who send requests to the dispatchers."""
+    """The clients that send requests to the dispatchers."""
 
     def submit_request(self, dispatcher: int, request: ClientRequest) -> None:
-        """Send a request to a dispatcher, or to another where that is dead."""
+        """Sends a request to a dispatcher, or to the next one if it is dead."""
 
     def request_completed(self, *, on_time: bool) -> None:
-        """A client has its result."""
+        """Receives the response of a completed request."""
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """What a dispatcher knows of a request."""
+    """A request that a dispatcher received, and the number of its attempts so far."""
 
     request: ClientRequest
     attempt_count: int = 0
 
 
 class SimulatedDispatcher:
-    """Implements RoutingActions, and tells its policy what comes of them."""
+    """Implements RoutingActions for a policy and reports their results to it as RoutingEvents."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.alive = True
         self.stalled_until = 0
         self.requests: dict[int, OpenRequest] = {}
-        self.in_flight: set[tuple[int, int]] = set()  # requests with the numbers of attempts not ended yet
+        self.in_flight: set[tuple[int, int]] = set()  # request id and attempt number
         config = replace(
             context.config,
             instance_index=index,
@@ -69,7 +69,7 @@
         self.policy = policy_factory(config, seed, self)
 
     def receive_request(self, request_id: int, request: ClientRequest) -> None:
-        """A client's request arrives."""
+        """Passes the request of a client to the policy."""
         self.requests[request_id] = OpenRequest(request)
         deadline = self._deadline(request)
         record = RequestRecord(
@@ -89,7 +89,7 @@
         return request.arrived_at + self.context.config.request_classes[ONLY_CLASS].deadline
 
     def _notify(self, call: Callable[..., None], *args: object) -> None:
-        """A dispatcher that stands still learns it later, one that was killed never."""
+        """Calls a method of the policy: after the stall of a stalled dispatcher, never of a dead one."""
         if not self.alive:
             return
         if self.events.now < self.stalled_until:
@@ -104,7 +104,7 @@
         return max(scenario.cross_zone_delay, scenario.network_delay)
 
     def disconnect_client(self, request_id: int) -> None:
-        """The client closes its connection."""
+        """Reports to the policy that the client of an unanswered request closed its connection."""
         invariants = self.context.invariants
         if self.alive and invariants.requests[self.index, request_id].answer is None:
             invariants.client_disconnected(self.events.now, self.index, request_id)
@@ -113,7 +113,7 @@
     # --- RoutingActions ---
 
     def send_attempt(self, request_id: int, backend: int) -> None:
-        """Send a request to a backend; the attempt times out at the request's deadline."""
+        """Sends a request to a backend; the attempt times out at the request's deadline."""
         now = self.events.now
         self.context.invariants.attempt_sent(now, self.index, request_id, backend)
         open_request = self.requests[request_id]
@@ -131,7 +131,7 @@
         self.events.schedule(self._network_delay(backend), arrival)
 
     def shed(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 - RoutingActions
-        """Refuse a request; its client may try again."""
+        """Answers a request as shed; the client may retry."""
         self.context.invariants.request_answered(self.events.now, self.index, request_id, Answer.SHED)
         scenario = self.context.scenario
         request = self.requests[request_id].request
@@ -141,18 +141,18 @@
             self.events.schedule(scenario.retry_delay, submit)
 
     def fail_request(self, request_id: int) -> None:
-        """Answer that the request failed."""
+        """Answers a request as failed."""
         self.context.invariants.request_answered(self.events.now, self.index, request_id, Answer.FAILED)
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Do nothing, as at backends that stop nothing: the end is known when it comes."""
+        """Has no effect, as if the backend did not support cancellation."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Have the policy's timer fire."""
+        """Schedules timer_fired of the policy after `delay` ticks."""
         self.events.schedule(delay, lambda: self._notify(self.policy.timer_fired, token))
 
     def probe(self, backend: int) -> None:
-        """Probe a backend."""
+        """Sends a health probe to a backend; its result arrives after a round trip."""
 
         def answered() -> None:
             probed = self.backends[backend]
@@ -162,16 +162,16 @@
         self.events.schedule(2 * self._network_delay(backend), answered)
 
     def poll_endpoints(self) -> None:
-        """Have all endpoints told."""
+        """Requests a snapshot of all endpoints from discovery."""
         self.events.schedule(
             self.context.scenario.network_delay,
             lambda: self.update_endpoints(range(len(self.backends)), snapshot=True),
         )
 
-    # --- what the policy is told ---
+    # --- RoutingEvents ---
 
     def update_endpoints(self, indices: Sequence[int], *, snapshot: bool) -> None:
-        """Discovery tells of these backends, which are all for a snapshot."""
+        """Passes the endpoints of these backends to the policy; a snapshot has all backends."""
         endpoints = [self._endpoint(index) for index in indices]
         known_at = max(self.events.now, self.stalled_until)
         self.context.invariants.endpoints_updated(known_at, self.index, endpoints)
@@ -191,7 +191,7 @@
         )
 
     def backend_started(self, attempt: SimulatedAttempt, backend: int) -> None:
-        """A backend runs an attempt from now on."""
+        """Reports to the policy that a backend began to execute an attempt."""
         self.events.schedule(
             self._network_delay(backend),
             lambda: self._notify(
@@ -202,7 +202,7 @@
     def backend_answered(
         self, attempt: SimulatedAttempt, backend: int, outcome: Outcome, report: Sequence[float]
     ) -> None:
-        """A backend is done with an attempt; the answer takes its way."""
+        """Sends the response of a backend to the dispatcher, which receives it after the network delay."""
         ended = partial(self._attempt_ended, attempt, backend, outcome, report)
         self.events.schedule(self._network_delay(backend), ended)
 
@@ -218,7 +218,7 @@
             self.events.schedule(self.stalled_until - now, resume)
             return
         if key not in self.in_flight:
-            return  # nobody waits for it any more
+            return  # the attempt has timed out
         self.in_flight.discard(key)
         invariants = self.context.invariants
         if outcome in (Outcome.OVERLOADED, Outcome.UNREACHABLE):
--- a/crankfold/simulation/traffic/experiment.py
+++ b/crankfold/simulation/traffic/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments described in a file: cases, faults, policies and seeds; the same file gives the same table."""
+"""Experiments from a file of cases, faults, policies and seeds; the same file gives the same table."""
 
 import csv
 import tomllib
@@ -29,14 +29,25 @@
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
 Count = Annotated[int, Meta(ge=1, le=2000)]
 PositiveNumber = Annotated[float, Meta(gt=0)]
+PANEL_WIDTH_INCHES = 3.2
+LABEL_WIDTH_INCHES = 1
+CHART_HEIGHT_INCHES = 3.4
+TITLE_FONT_POINTS = 10
+PANEL_FONT_POINTS = 9
+AXIS_FONT_POINTS = 8
+TICK_FONT_POINTS = 7
+MARKER_POINTS = 3
+PRODUCT_LINE_POINTS = 2.0
+BASELINE_LINE_POINTS = 0.9
+GRID_OPACITY = 0.3
 
 
 class PlanError(CrankfoldError):
-    """The file can't be played: which field, what was found, what is allowed."""
+    """An experiment file is not valid; the text names the field, its value and the permitted values."""
 
 
 class FaultSpecification(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A fault; the fields are those of `Fault`."""
+    """A fault in a file, with the fields of `Fault`."""
 
     kind: FaultKind
     at: Seconds
@@ -46,7 +57,7 @@
     factor: PositiveNumber = 4.0
 
     def to_fault(self) -> Fault:
-        """The fault for a scenario."""
+        """Returns the fault of the scenario."""
         return Fault(
             kind=self.kind,
             at=self.at,
@@ -58,7 +69,7 @@
 
 
 class DaySpecification(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A day; what a case does not say is as in `[day]`. Times are seconds."""
+    """A day in a file: the table `[day]` with the changes of a case. Times are seconds."""
 
     dispatchers: Count = 3
     backends: Count = field(name="runners", default=9)
@@ -75,7 +86,7 @@
 
 
 class CaseSpecification(Struct, forbid_unknown_fields=True):
-    """A case: what is different from `[day]`, and where it stands in the chart."""
+    """A case: its changes to `[day]` and its place in the chart."""
 
     name: Annotated[str, Meta(min_length=1)]
     group: str = ""  # panel
@@ -84,7 +95,7 @@
 
 
 class ExperimentPlan(Struct, forbid_unknown_fields=True):
-    """What a file describes."""
+    """The contents of an experiment file."""
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     cases: Annotated[list[CaseSpecification], Meta(min_length=1)] = field(name="case")
@@ -96,7 +107,7 @@
 
 
 class Job(NamedTuple):
-    """One day to play."""
+    """One day to simulate."""
 
     case: str
     policy: str
@@ -105,17 +116,20 @@
 
 
 class Row(NamedTuple):
-    """What came of one day of a case."""
+    """The result of one day of a case."""
 
     case: str
     day: DayResult
 
 
 def load_plan(path: Path) -> tuple[ExperimentPlan, dict[str, Scenario]]:
-    """Read a file: the experiment, and the scenario of each of its cases.
+    """Reads an experiment file.
+
+    Returns:
+        The plan, and the scenario of each case by its name.
 
     Raises:
-        PlanError: it can't be played.
+        PlanError: The file is not valid.
     """
     try:
         plan = msgspec.convert(tomllib.loads(path.read_text()), ExperimentPlan)
@@ -150,7 +164,7 @@
 
 
 def make_scenario(day: DaySpecification) -> Scenario:
-    """The scenario of a day, with times in ticks."""
+    """Converts a day with times in seconds to a scenario with times in ticks."""
     return Scenario(
         dispatcher_count=day.dispatchers,
         backend_count=day.backends,
@@ -177,7 +191,7 @@
 
 
 def run_experiment(plan: ExperimentPlan, scenarios: dict[str, Scenario], workers: int) -> list[Row]:
-    """Play all days, in so many processes; the rows stand in the file's order."""
+    """Simulates all days in `workers` processes; returns their rows in the order of the file."""
     jobs = [
         Job(case, policy, scenario, seed)
         for case, scenario in scenarios.items()
@@ -191,12 +205,12 @@
 
 
 def on_time_ratios(rows: Sequence[Row], case: str, policy: str) -> list[float]:
-    """The share of each seed's day."""
+    """Returns the share of requests on time, by seed in ascending order."""
     return [row.day.on_time_share for row in rows if row.case == case and row.day.policy == policy]
 
 
 def write_table(rows: Sequence[Row], path: Path) -> None:
-    """One row a day, as CSV."""
+    """Writes one row a day, as CSV."""
     with path.open("w", newline="") as out:
         writer = csv.writer(out, lineterminator="\n")
         writer.writerow(["case", "policy", "seed", "units", "in_time", "rules_broken"])
@@ -214,7 +228,7 @@
 
 
 def summarize(plan: ExperimentPlan, rows: Sequence[Row]) -> list[str]:
-    """Lines that say of each case how the policies did against the product."""
+    """Returns lines that compare in each case the product with the other policies."""
     lines = [
         f"{plan.title or plan.name}: share of units in time, mean of {plan.seeds} seeds; "
         f"crankfold less the other with 95% interval; made by crankfold {__version__}"
@@ -239,7 +253,9 @@
 
 
 def write_chart(plan: ExperimentPlan, rows: Sequence[Row], path: Path) -> None:
-    """A panel for each group of cases, a line for each policy; the same bytes each time.
+    """Draws a panel for each group of cases with a line for each policy, as SVG.
+
+    The same rows give the same bytes.
 
     Raises:
         ImportError: matplotlib is not installed.
@@ -252,13 +268,17 @@
 
     groups = list(dict.fromkeys(case.group for case in plan.cases))
     figure, panels = pyplot.subplots(
-        1, len(groups), sharey=True, squeeze=False, figsize=(3.2 * len(groups) + 1, 3.4)
+        1,
+        len(groups),
+        sharey=True,
+        squeeze=False,
+        figsize=(PANEL_WIDTH_INCHES * len(groups) + LABEL_WIDTH_INCHES, CHART_HEIGHT_INCHES),
     )
     for panel, group in zip(panels[0], groups, strict=True):
         _draw_group(panel, plan, rows, group)
-    panels[0][0].set_ylabel("in time", fontsize=8)
-    panels[0][-1].legend(fontsize=7)
-    figure.suptitle(plan.title or plan.name, fontsize=10)
+    panels[0][0].set_ylabel("in time", fontsize=AXIS_FONT_POINTS)
+    panels[0][-1].legend(fontsize=TICK_FONT_POINTS)
+    figure.suptitle(plan.title or plan.name, fontsize=TITLE_FONT_POINTS)
     figure.tight_layout()
     figure.savefig(path, metadata={"Date": None})
     pyplot.close(figure)
@@ -271,11 +291,11 @@
             [f"{case.position:g}" for case in cases],
             [_mean(on_time_ratios(rows, case.name, policy)) for case in cases],
             marker="o",
-            markersize=3,
-            linewidth=2.0 if policy == PRODUCT else 0.9,
+            markersize=MARKER_POINTS,
+            linewidth=PRODUCT_LINE_POINTS if policy == PRODUCT else BASELINE_LINE_POINTS,
             label=policy,
         )
-    panel.set_title(group, fontsize=9)
-    panel.set_xlabel(plan.axis_label, fontsize=8)
-    panel.tick_params(labelsize=7)
-    panel.grid(alpha=0.3)
+    panel.set_title(group, fontsize=PANEL_FONT_POINTS)
+    panel.set_xlabel(plan.axis_label, fontsize=AXIS_FONT_POINTS)
+    panel.tick_params(labelsize=TICK_FONT_POINTS)
+    panel.grid(alpha=GRID_OPACITY)
--- a/crankfold/simulation/traffic/fault_script.py
+++ b/crankfold/simulation/traffic/fault_script.py
@@ -1,4 +1,4 @@
-"""Carries the faults of a scenario out at their times."""
+"""Injects the faults of a scenario into a simulated fleet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,8 +12,9 @@
 from crankfold.simulation.traffic.faults import Fault, FaultKind, affected_indices
 from crankfold.simulation.traffic.scenario import START, Scenario, zone_of
 
-DRAIN_TIME = TICKS_PER_SECOND  # that a released backend drains, in ticks
-RESTART_TIME = TICKS_PER_SECOND // 2  # until it is back
+DRAIN_TICKS = TICKS_PER_SECOND  # of a backend in a rolling release
+RESTART_TICKS = TICKS_PER_SECOND // 2  # from the removal of a released backend to its return
+DEPARTURE_UNITS_PER_SECOND = 10  # the factor of CLIENTS_LEAVE counts tenths of a second
 DISPATCHER_FAULTS = frozenset(
     {FaultKind.DISPATCHERS_KILLED, FaultKind.DISPATCHERS_STALLED, FaultKind.SILENT_WATCH}
 )
@@ -21,18 +22,18 @@
 
 @dataclass(slots=True)
 class FleetConditions:
-    """What faults change of the fleet as a whole. Times are ticks."""
+    """Conditions of the whole fleet that faults change. Times are ticks."""
 
     arrival_rate: float  # requests a second at each dispatcher
     discovery_resumes_at: int = 0
-    silent_watchers: frozenset[int] = frozenset()  # dispatchers whose watches are silent
-    silence_duration: int = 0  # until those learn of a change
-    departure_rate: float = 0.0  # share of the clients that do not wait for their answer
-    departure_delay: int = 0
+    silent_watchers: frozenset[int] = frozenset()  # dispatchers whose watches deliver late
+    silence_duration: int = 0  # delay of those deliveries
+    departure_rate: float = 0.0  # share of the clients that disconnect before their answer
+    departure_delay: int = 0  # from the request to the disconnection
 
 
 class FaultyFleet(Protocol):
-    """What faults need of a fleet."""
+    """The interface of a fleet for fault injection."""
 
     scenario: Scenario
     events: EventQueue
@@ -41,23 +42,23 @@
     dispatchers: list[SimulatedDispatcher]
 
     def change_state(self, at: int, backend: int, state: EndpointState, since: int = 0) -> None:
-        """A backend drains, goes or comes back."""
+        """Schedules a change of a backend's state; see `SimulatedFleet.change_state`."""
 
     def kill_dispatcher(self, index: int) -> None:
-        """A dispatcher dies."""
+        """Kills a dispatcher."""
 
     def restart_dispatcher(self, index: int) -> None:
-        """It starts again."""
+        """Starts a killed dispatcher again."""
 
 
 class FaultScript:
-    """Knows what each kind of fault does to a fleet."""
+    """Schedules the begin and the end of each fault."""
 
     def __init__(self, fleet: FaultyFleet) -> None:
         self.fleet = fleet
 
     def schedule(self, fault: Fault) -> None:
-        """Have the fault begin and end at its times."""
+        """Schedules the effects of a fault."""
         fleet = self.fleet
         begin = START + int(fault.at * TICKS_PER_SECOND)
         end = START + int(fault.until * TICKS_PER_SECOND)
@@ -74,13 +75,13 @@
             fleet.events.schedule(at - fleet.events.now, switch)
 
     def _schedule_release(self, fault: Fault, begin: int, end: int) -> None:
-        """One after the other: it drains while another, or itself, is on its way back."""
+        """Schedules a replacement of the affected backends, spread evenly over the period."""
         fleet = self.fleet
         released = affected_indices(fault, fleet.scenario.seed, len(fleet.backends))
         for position, backend in enumerate(released):
             drains_at = begin + (end - begin) * position // len(released)
-            removed_at = drains_at + DRAIN_TIME
-            back_at = removed_at + RESTART_TIME
+            removed_at = drains_at + DRAIN_TICKS
+            back_at = removed_at + RESTART_TICKS
             fleet.change_state(drains_at, backend, EndpointState.DRAINING)
             fleet.change_state(removed_at, backend, EndpointState.REMOVED)
             fleet.change_state(back_at, backend, EndpointState.READY, since=back_at)
@@ -94,7 +95,7 @@
                 fleet.change_state(end, backend.index, EndpointState.READY, since=end)
 
     def _switch(self, fault: Fault, affected: Sequence[int], *, is_on: bool, end: int) -> None:
-        """The fault begins, or ends."""
+        """Begins the fault, or ends it."""
         fleet = self.fleet
         if fault.kind is FaultKind.DISPATCHERS_KILLED:
             for index in affected:
@@ -126,7 +127,7 @@
             conditions.silence_duration = int(fault.factor * TICKS_PER_SECOND)
         elif fault.kind is FaultKind.CLIENTS_LEAVE:
             conditions.departure_rate = fault.share if is_on else 0.0
-            conditions.departure_delay = int(fault.factor * TICKS_PER_SECOND / 10)
+            conditions.departure_delay = int(fault.factor * TICKS_PER_SECOND / DEPARTURE_UNITS_PER_SECOND)
         else:
             conditions.discovery_resumes_at = end if is_on else 0
 
--- a/crankfold/simulation/traffic/fleet.py
+++ b/crankfold/simulation/traffic/fleet.py
@@ -1,4 +1,4 @@
-"""Backends, clients and discovery round many dispatchers; one seed, one history."""
+"""A simulated fleet: dispatchers, backends, clients and discovery. The same seed gives the same run."""
 
 from functools import partial
 from random import Random
@@ -8,7 +8,7 @@
 from crankfold.simulation.traffic.backend import SimulatedBackend
 from crankfold.simulation.traffic.dispatcher import ONLY_CLASS, SimulatedDispatcher
 from crankfold.simulation.traffic.fault_script import FaultScript, FleetConditions
-from crankfold.simulation.traffic.invariants import PROPAGATION_LIMIT, InvariantChecker
+from crankfold.simulation.traffic.invariants import PROPAGATION_LIMIT_TICKS, InvariantChecker
 from crankfold.simulation.traffic.scenario import (
     START,
     ClientRequest,
@@ -17,19 +17,26 @@
     Scenario,
 )
 
-FAILOVER_DELAY = TICKS_PER_SECOND // 2  # until clients go round a dead dispatcher
-DEFAULT_DRAIN_GRACE = 3_000  # ticks
+FAILOVER_DELAY_TICKS = TICKS_PER_SECOND // 2  # until clients of a dead dispatcher use another one
+DEFAULT_DRAIN_GRACE_TICKS = 3_000
 
 
 class SimulatedFleet:
-    """Plays a scenario with a policy at each dispatcher."""
+    """Simulates a scenario with one instance of a policy at each dispatcher.
+
+    Args:
+        scenario: The load, the backends and the faults.
+        config: Of every policy.
+        policy_factory: Makes the policy of a dispatcher.
+        drain_grace: Ticks; see `InvariantChecker`.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
         config: RoutingConfig,
         policy_factory: PolicyFactory,
-        drain_grace: int = DEFAULT_DRAIN_GRACE,
+        drain_grace: int = DEFAULT_DRAIN_GRACE_TICKS,
     ) -> None:
         self.scenario = scenario
         self.config = config
@@ -39,7 +46,7 @@
         self.invariants = InvariantChecker(config, drain_grace)
         self.context = FleetContext(scenario, config, self.events, self.invariants)
         self.conditions = FleetConditions(arrival_rate=scenario.arrival_rate)
-        self.request_count = 0  # first tries of clients
+        self.request_count = 0  # without the retries of clients
         self.on_time_count = 0
         self.last_request_id = -1
         self.departure_rng = Random(f"{scenario.seed} leave")
@@ -65,7 +72,7 @@
             script.schedule(fault)
 
     def run(self) -> None:
-        """Play the day, and until the last request has to be answered."""
+        """Runs the scenario until the deadline of its last request has passed."""
         day_end = START + self.scenario.seconds * TICKS_PER_SECOND
         last_deadline = day_end + self.config.request_classes[ONLY_CLASS].deadline
         self.events.run(last_deadline + TICKS_PER_SECOND)
@@ -74,7 +81,7 @@
     # --- clients ---
 
     def submit_request(self, dispatcher: int, request: ClientRequest) -> None:
-        """A request at one dispatcher; where that is dead, after a while at another."""
+        """Sends a request to a dispatcher, or after `FAILOVER_DELAY_TICKS` to the next that is alive."""
         for step in range(len(self.dispatchers)):
             candidate = self.dispatchers[(dispatcher + step) % len(self.dispatchers)]
             if not candidate.alive:
@@ -82,22 +89,25 @@
             if step and not request.tries:
                 retry = ClientRequest(request.service_time, request.arrived_at, request.tries + 1)
                 submit = partial(self.submit_request, candidate.index, retry)
-                self.events.schedule(FAILOVER_DELAY, submit)
-                return
-            self.last_request_id += 1
-            candidate.receive_request(self.last_request_id, request)
-            departure_rate = self.conditions.departure_rate
-            if departure_rate and self.departure_rng.random() < departure_rate:
-                leave = partial(candidate.disconnect_client, self.last_request_id)
-                self.events.schedule(self.conditions.departure_delay, leave)
+                self.events.schedule(FAILOVER_DELAY_TICKS, submit)
+            else:
+                self._deliver(candidate, request)
             return
 
+    def _deliver(self, dispatcher: SimulatedDispatcher, request: ClientRequest) -> None:
+        self.last_request_id += 1
+        dispatcher.receive_request(self.last_request_id, request)
+        departure_rate = self.conditions.departure_rate
+        if departure_rate and self.departure_rng.random() < departure_rate:
+            disconnect = partial(dispatcher.disconnect_client, self.last_request_id)
+            self.events.schedule(self.conditions.departure_delay, disconnect)
+
     def request_completed(self, *, on_time: bool) -> None:
-        """A client has its result."""
+        """Counts a completed request that was on time."""
         self.on_time_count += on_time
 
     def _schedule_arrival(self, dispatcher: int, rng: Random) -> None:
-        """Open loop: the next arrival does not wait for any answer."""
+        """Schedules the next request in an open loop: arrivals do not depend on earlier answers."""
 
         def arrive() -> None:
             self.request_count += 1
@@ -112,26 +122,33 @@
     # --- backends and discovery ---
 
     def change_state(self, at: int, backend: int, state: EndpointState, since: int = 0) -> None:
-        """A backend drains, goes or comes back cold, `since` so long; discovery tells of it later."""
-
-        def change() -> None:
-            self.backends[backend].state = state
-            self.backends[backend].ready_since = since
-            conditions = self.conditions
-            delay = max(self.scenario.discovery_delay, conditions.discovery_resumes_at - self.events.now)
-            self.events.schedule(delay, partial(self._change_discovered, backend, state))
-            for dispatcher in range(len(self.dispatchers)):
-                is_silent = dispatcher in conditions.silent_watchers
-                self.events.schedule(
-                    delay + (conditions.silence_duration if is_silent else 0),
-                    partial(self._send_update, dispatcher, backend),
-                )
-
+        """Schedules a change of a backend's state; discovery publishes it later.
+
+        Args:
+            at: Time of the change, ticks.
+            backend: Its index.
+            state: The new state.
+            since: Start of the slow start, ticks; 0 for a warm backend.
+        """
+        change = partial(self._change_state_now, backend, state, since)
         self.events.schedule(at - self.events.now, change)
 
+    def _change_state_now(self, backend: int, state: EndpointState, since: int) -> None:
+        self.backends[backend].state = state
+        self.backends[backend].ready_since = since
+        conditions = self.conditions
+        delay = max(self.scenario.discovery_delay, conditions.discovery_resumes_at - self.events.now)
+        self.events.schedule(delay, partial(self._change_discovered, backend, state))
+        for dispatcher in range(len(self.dispatchers)):
+            is_silent = dispatcher in conditions.silent_watchers
+            self.events.schedule(
+                delay + (conditions.silence_duration if is_silent else 0),
+                partial(self._send_update, dispatcher, backend),
+            )
+
     def _change_discovered(self, backend: int, state: EndpointState) -> None:
         change = self.invariants.change_discovered(backend)
-        expires_at = self.events.now + PROPAGATION_LIMIT
+        expires_at = self.events.now + PROPAGATION_LIMIT_TICKS
         for dispatcher in range(len(self.dispatchers)):
             expire = partial(
                 self.invariants.propagation_expired,
@@ -141,18 +158,18 @@
                 state=state,
                 change=change,
             )
-            self.events.schedule(PROPAGATION_LIMIT, expire)
+            self.events.schedule(PROPAGATION_LIMIT_TICKS, expire)
 
     def _send_update(self, dispatcher: int, backend: int) -> None:
         if self.dispatchers[dispatcher].alive:
             self.dispatchers[dispatcher].update_endpoints((backend,), snapshot=False)
 
     def kill_dispatcher(self, index: int) -> None:
-        """A dispatcher dies with what it had in hand."""
+        """Kills a dispatcher; its unanswered requests are lost."""
         self.dispatchers[index].alive = False
         self.invariants.dispatcher_killed(self.events.now, index)
 
     def restart_dispatcher(self, index: int) -> None:
-        """It starts again from nothing."""
+        """Starts a killed dispatcher again, without its earlier state."""
         self.dispatchers[index] = self._make_dispatcher(index)
         self.dispatchers[index].update_endpoints(range(len(self.backends)), snapshot=True)
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -1,7 +1,11 @@
-"""The four rules, checked from what happens in the fleet and not from what a policy keeps.
+"""Checks the four invariants of a routing policy from the events of a simulated fleet.
 
-A request is answered once and by its deadline (1), not executed again where it must not be (2), not sent to
-a backend known to end (3), and a cold backend is not pushed over what it can do (4). Times are ticks.
+The checker keeps its own state and reads none of the policy's. Times are ticks. The invariants:
+
+1. A request gets one answer, by its deadline.
+2. A request that may have been executed is not sent again, unless its class permits it.
+3. A request is not sent to a backend that is known to drain or to be removed.
+4. A backend in slow start does not receive more work than its reduced capacity can process.
 """
 
 from collections import Counter, defaultdict, deque
@@ -19,14 +23,17 @@
     RoutingConfig,
 )
 
-HISTORY_LENGTH = 12  # events kept of a request, for the report of a violation
-PROPAGATION_LIMIT = 60_000  # a change counts as told so long after discovery had it and could be reached
-DISCONNECT_GRACE = 1_000  # nothing is sent so long after the client has gone
+MAX_HISTORY_EVENTS = 12  # per request, for the report of a violation
+PROPAGATION_LIMIT_TICKS = 60_000  # from a change in discovery until every dispatcher must know it
+DISCONNECT_GRACE_TICKS = 1_000  # in which an attempt may still start after its client disconnected
 TICKS_PER_MS = 10
+# The number of arrivals in a period varies by chance; this much above the mean is no violation.
+ALLOWED_STANDARD_DEVIATIONS = 2
+ALLOWED_EXTRA_REQUESTS = 2
 
 
 class Rule(IntEnum):
-    """What a policy must keep, by the numbers that reports name."""
+    """The invariants, with the numbers that reports use."""
 
     ANSWERS = 1
     EXECUTIONS = 2
@@ -35,26 +42,26 @@
 
 
 class Answer(StrEnum):
-    """How a request ended for its client, in the words of the reports."""
+    """How a request ended for its client; the values appear in reports."""
 
     COMPLETED = "done"
     SHED = "shed"
     FAILED = "given up"
-    DISCONNECTED = "left"  # the client did not wait
-    LOST = "lost"  # with its dispatcher
+    DISCONNECTED = "left"  # the client closed its connection first
+    LOST = "lost"  # its dispatcher was killed
 
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """A request may have been executed at a backend to which it was sent."""
+    """An attempt that the backend may have executed."""
 
-    sent_at: int
+    sent_at: int  # ticks
     backend: int
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What happened to one request."""
+    """The events of one request. Times are ticks."""
 
     dispatcher: int
     request_id: int
@@ -63,35 +70,41 @@
     answer: Answer | None = None
     disconnected_at: int = 0
     possible_executions: list[Execution] = field(default_factory=list)
-    history: deque[str] = field(default_factory=lambda: deque(maxlen=HISTORY_LENGTH))
+    history: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_HISTORY_EVENTS))
 
     def add_event(self, now: int, event: str) -> None:
-        """Keep it for a report."""
+        """Adds an event to the history that the report of a violation shows."""
         self.history.append(f"{now / TICKS_PER_MS:.1f} {event}")
 
 
 @dataclass(frozen=True, slots=True)
 class WarmingArrival:
-    """A request arrived at a backend that is warming up."""
+    """The arrival of a request at a backend in slow start."""
 
-    at: int
-    service_time: int
+    at: int  # ticks
+    service_time: int  # ticks on a warm backend
 
 
 class InvariantChecker:
-    """Is told what happens, and collects the violations."""
+    """Receives the events of a fleet and collects the violations.
+
+    Args:
+        config: Of the policy under test.
+        drain_grace: Ticks in which a dispatcher may still send requests to a backend after it learned that
+            the backend drains or is removed.
+    """
 
     def __init__(self, config: RoutingConfig, drain_grace: int) -> None:
         self.config = config
-        self.drain_grace = drain_grace  # a request may still be sent so long after the backend's end is known
+        self.drain_grace = drain_grace
         self.requests: dict[tuple[int, int], RequestRecord] = {}  # by dispatcher and request
         self.answer_counts: Counter[Answer] = Counter()
         self.zone_of: dict[int, int] = {}  # by backend
         self.cell_of: dict[int, int] = {}
-        # By dispatcher and backend: when it learned that the backend drains or is gone.
+        # By dispatcher and backend: when the dispatcher learned that the backend drains or is removed.
         self.excluded_since: dict[tuple[int, int], int] = {}
         self.warming_arrivals: dict[int, deque[WarmingArrival]] = defaultdict(deque)  # by backend
-        self.change_counts: Counter[int] = Counter()  # by backend, how many discovery has had
+        self.change_counts: Counter[int] = Counter()  # changes published by discovery, by backend
         self.violations: list[str] = []
 
     def _report_violation(self, now: int, rule: Rule, text: str, record: RequestRecord) -> None:
@@ -100,10 +113,10 @@
             f"{record.dispatcher} {text}; before: {'; '.join(record.history)}"
         )
 
-    # --- what dispatchers know of backends ---
+    # --- endpoints as dispatchers know them ---
 
     def endpoints_updated(self, now: int, dispatcher: int, endpoints: Sequence[Endpoint]) -> None:
-        """A dispatcher learns the states of backends."""
+        """Records the states of backends that a dispatcher received."""
         for endpoint in endpoints:
             self.zone_of[endpoint.backend] = endpoint.zone
             self.cell_of[endpoint.backend] = endpoint.cell
@@ -113,26 +126,29 @@
                 self.excluded_since.setdefault((dispatcher, endpoint.backend), now)
 
     def change_discovered(self, backend: int) -> int:
-        """A change that discovery could tell of from now on, had it been asked: its number."""
+        """Records that discovery publishes a change of a backend; returns the number of the change."""
         self.change_counts[backend] += 1
         return self.change_counts[backend]
 
     def propagation_expired(
         self, now: int, dispatcher: int, *, backend: int, state: EndpointState, change: int
     ) -> None:
-        """The time to learn of a change is over; later changes of the backend go before it."""
+        """Treats a change as known to a dispatcher, `PROPAGATION_LIMIT_TICKS` after its publication.
+
+        Has no effect if the backend has changed again since.
+        """
         if self.change_counts[backend] == change and state != EndpointState.READY:
             self.excluded_since.setdefault((dispatcher, backend), now)
 
-    # --- what happens to requests ---
+    # --- events of requests ---
 
     def request_received(self, now: int, record: RequestRecord) -> None:
-        """A dispatcher has a new request in hand."""
+        """Records that a dispatcher received a new request."""
         self.requests[record.dispatcher, record.request_id] = record
         record.add_event(now, "taken")
 
     def client_disconnected(self, now: int, dispatcher: int, request_id: int) -> None:
-        """Nobody waits for the answer any more."""
+        """Records that the client of an unanswered request closed its connection."""
         record = self.requests[dispatcher, request_id]
         if record.answer is None:
             record.disconnected_at = now
@@ -140,31 +156,43 @@
             record.add_event(now, "left")
 
     def attempt_sent(self, now: int, dispatcher: int, request_id: int, backend: int) -> None:
-        """A dispatcher sends a request to a backend."""
+        """Checks invariants 1 to 3 for an attempt that a dispatcher sends to a backend."""
         record = self.requests[dispatcher, request_id]
+        self._check_unanswered(now, record, backend)
+        self._check_not_excluded(now, record, backend)
+        self._check_repetition(now, record, backend)
+        record.possible_executions.append(Execution(now, backend))
+        record.add_event(now, f"to {backend}")
+
+    def _check_unanswered(self, now: int, record: RequestRecord, backend: int) -> None:
         if record.disconnected_at:
-            if now > record.disconnected_at + DISCONNECT_GRACE:
+            if now > record.disconnected_at + DISCONNECT_GRACE_TICKS:
                 gone_since = f"{record.disconnected_at / TICKS_PER_MS:.1f}"
                 text = f"was sent to runner {backend} for a client gone since {gone_since}"
                 self._report_violation(now, Rule.ANSWERS, text, record)
         elif record.answer is not None:
-            self._report_violation(
-                now, Rule.ANSWERS, f"was sent to runner {backend} after its answer", record
-            )
-        since = self.excluded_since.get((dispatcher, backend))
+            text = f"was sent to runner {backend} after its answer"
+            self._report_violation(now, Rule.ANSWERS, text, record)
+
+    def _check_not_excluded(self, now: int, record: RequestRecord, backend: int) -> None:
+        since = self.excluded_since.get((record.dispatcher, backend))
         if since is not None and now > since + self.drain_grace:
             text = f"was sent to runner {backend}, known to end since {since / TICKS_PER_MS:.1f}"
             self._report_violation(now, Rule.LEAVING_BACKENDS, text, record)
+
+    def _check_repetition(self, now: int, record: RequestRecord, backend: int) -> None:
         request_class = self.config.request_classes[record.request_class]
         for execution in record.possible_executions:
             if not self._may_repeat(now, request_class, execution, backend):
                 text = f"was sent to runner {backend} though it may have run at {execution.backend}"
                 self._report_violation(now, Rule.EXECUTIONS, text, record)
-        record.possible_executions.append(Execution(now, backend))
-        record.add_event(now, f"to {backend}")
 
     def _may_repeat(self, now: int, request_class: RequestClass, execution: Execution, backend: int) -> bool:
-        """Whether a request that may have been executed may be sent to that backend."""
+        """Whether a request may be sent to `backend` after a possible execution elsewhere.
+
+        Permitted for idempotent requests, and for requests with a deduplication key while the deduplication
+        window lasts and `backend` belongs to the same deduplication scope.
+        """
         if request_class.idempotency == Idempotency.IDEMPOTENT:
             return True
         if request_class.idempotency != Idempotency.IDEMPOTENT_WITH_KEY:
@@ -179,7 +207,7 @@
         return scope == DeduplicationScope.GLOBAL
 
     def attempt_not_executed(self, now: int, dispatcher: int, request_id: int, backend: int) -> None:
-        """The last attempt at the backend is known not to have been executed."""
+        """Records that the last attempt at the backend was not executed."""
         record = self.requests[dispatcher, request_id]
         for position in range(len(record.possible_executions) - 1, -1, -1):
             if record.possible_executions[position].backend == backend:
@@ -188,27 +216,30 @@
         record.add_event(now, f"not run at {backend}")
 
     def request_answered(self, now: int, dispatcher: int, request_id: int, answer: Answer) -> None:
-        """A dispatcher answers a request."""
+        """Checks invariants 1 and 2 for the answer of a dispatcher to a request."""
         record = self.requests[dispatcher, request_id]
         self.answer_counts[answer] += 1
         if record.disconnected_at:
-            return  # nobody gets it
+            return  # the client does not receive the answer
         if record.answer is not None:
             self._report_violation(now, Rule.ANSWERS, f"was answered again ({answer})", record)
         elif now > record.deadline:
             self._report_violation(now, Rule.ANSWERS, f"was answered after its cut-off ({answer})", record)
+        if answer is Answer.SHED and record.possible_executions and not self._client_may_retry(record):
+            self._report_violation(now, Rule.EXECUTIONS, "was shed though it may have run", record)
+        record.answer = answer
+        record.add_event(now, answer)
+
+    def _client_may_retry(self, record: RequestRecord) -> bool:
+        """Whether a second execution after a shed answer has no further effect, at any backend."""
         request_class = self.config.request_classes[record.request_class]
-        is_harmless = request_class.idempotency == Idempotency.IDEMPOTENT or (
+        return request_class.idempotency == Idempotency.IDEMPOTENT or (
             request_class.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
             and request_class.deduplication_scope == DeduplicationScope.GLOBAL
         )
-        if answer is Answer.SHED and record.possible_executions and not is_harmless:
-            self._report_violation(now, Rule.EXECUTIONS, "was shed though it may have run", record)
-        record.answer = answer
-        record.add_event(now, answer)
 
     def dispatcher_killed(self, now: int, dispatcher: int) -> None:
-        """What it had in hand is lost with it, which no rule forbids."""
+        """Records that the unanswered requests of a dispatcher are lost, which violates no invariant."""
         for record in self.requests.values():
             if record.dispatcher == dispatcher and record.answer is None:
                 record.answer = Answer.LOST
@@ -225,11 +256,19 @@
         capacity: float,
         mean_service_time: int,
     ) -> None:
-        """A request arrives at a backend that is warming up, with `capacity` slots' worth of speed now.
-
-        The work that arrived within the overload period is held against what it can do, and the number of
-        requests against what is allowed of mean work; of these, twice the root and two more are chance. The
-        sum of all dispatchers counts, whoever sent them.
+        """Checks invariant 4 for a request that arrives at a backend in slow start.
+
+        Both the work and the number of the requests that arrived within the overload period are limited.
+        The limits apply to the sum over all dispatchers.
+
+        Args:
+            now: Ticks.
+            dispatcher: The sender.
+            request_id: Of the arriving request.
+            backend: Its receiver.
+            service_time: Of the request on a warm backend, ticks.
+            capacity: Current speed of the backend, in slots of a warm backend.
+            mean_service_time: Of all requests on a warm backend, ticks.
         """
         record = self.requests[dispatcher, request_id]
         arrivals = self._recent_arrivals(now, backend, service_time)
@@ -239,12 +278,13 @@
                 now, Rule.WARMING_BACKENDS, f"pushed the cold runner {backend} over", record
             )
         allowed_count = allowed_work / mean_service_time
-        if len(arrivals) > allowed_count + 2 * sqrt(allowed_count) + 2:
+        chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
+        if len(arrivals) > allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
             text = f"is call {len(arrivals)} at the cold runner {backend}, of {allowed_count:.1f}"
             self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
 
     def _recent_arrivals(self, now: int, backend: int, service_time: int) -> Sequence[WarmingArrival]:
-        """Those at the backend within the overload period, this one among them."""
+        """Adds an arrival; returns the arrivals at the backend within the overload period."""
         arrivals = self.warming_arrivals[backend]
         arrivals.append(WarmingArrival(now, service_time))
         while arrivals[0].at <= now - self.config.overload_period:
@@ -252,7 +292,7 @@
         return arrivals
 
     def finish(self, now: int) -> None:
-        """At the end: nobody may be without an answer whose deadline has passed."""
+        """Checks at the end of the run that each request whose deadline has passed has an answer."""
         for record in self.requests.values():
             if record.answer is None and now > record.deadline:
                 self._report_violation(now, Rule.ANSWERS, "has no answer", record)
--- a/crankfold/simulation/traffic/scenario.py
+++ b/crankfold/simulation/traffic/scenario.py
@@ -1,4 +1,4 @@
-"""The day that a simulated fleet plays, and what all parts of the fleet share."""
+"""The scenario of a simulated fleet, and the objects that all parts of the fleet share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,26 +8,27 @@
 from crankfold.simulation.traffic.faults import Fault
 from crankfold.simulation.traffic.invariants import InvariantChecker
 
-START = TICKS_PER_SECOND  # the time when the day begins: 0 stands for long ago
+START = TICKS_PER_SECOND  # ticks; a scenario begins after 0, which means "never" in timestamps
 ZONE_COUNT = 3
 CELL_COUNT = 2 * ZONE_COUNT
-PolicyFactory = Callable[[RoutingConfig, int, RoutingActions], RoutingEvents]  # the number is a seed
+# Makes a policy from its configuration, a seed and the actions that it may take.
+PolicyFactory = Callable[[RoutingConfig, int, RoutingActions], RoutingEvents]
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A day of a fleet. Times are ticks where nothing else is said."""
+    """Size, load and faults of a fleet. Times are ticks unless a field states another unit."""
 
     dispatcher_count: int = 3
     backend_count: int = 9
     slots_per_backend: int = 4
-    queue_capacity: int = 40  # places behind the slots of a backend
+    queue_capacity: int = 40  # requests in the queue of a backend
     arrival_rate: float = 10.0  # requests a second at each dispatcher
     mean_service_time: int = 2_000  # on a warm backend, exponential
     seconds: int = 10
     network_delay: int = 5  # one way
-    cross_zone_delay: int = 5  # the same between zones
-    client_retries: int = 0  # of a client whose request was shed, while its time lasts
+    cross_zone_delay: int = 5  # one way, between zones
+    client_retries: int = 0  # per request, after shed answers
     retry_delay: int = 100
     report_interval: int = TICKS_PER_SECOND
     discovery_delay: int = TICKS_PER_SECOND
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetContext:
-    """What backends, dispatchers and faults of one fleet share."""
+    """The objects that backends, dispatchers and faults of one fleet share."""
 
     scenario: Scenario
     config: RoutingConfig
@@ -47,18 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as its client sends it, for the first time or again."""
+    """A request as a client sends it, or a retry of it."""
 
-    service_time: int  # on a warm backend
-    arrived_at: int  # for the first time
-    tries: int = 0  # before this one
+    service_time: int  # ticks on a warm backend
+    arrived_at: int  # ticks; of the first try
+    tries: int = 0  # earlier tries
 
 
 def zone_of(index: int) -> int:
-    """The zone of a backend or a dispatcher."""
+    """Returns the zone of the backend or dispatcher with this index."""
     return index % ZONE_COUNT
 
 
 def cell_of(backend: int) -> int:
-    """The cell of a backend, a part of its zone."""
+    """Returns the cell of a backend; a cell is a part of a zone."""
     return backend % CELL_COUNT
