--- a/crankfold/fault_injection/__init__.py
+++ b/crankfold/fault_injection/__init__.py
@@ -1,4 +1,4 @@
-"""Real processes of the program, faults injected between them, and checks of what they promise.
+"""Trials: real dispatcher processes under injected faults, and checks of the program's guarantees.
 
 See docs/trial.md.
 """
--- a/crankfold/fault_injection/backends.py
+++ b/crankfold/fault_injection/backends.py
@@ -1,4 +1,4 @@
-"""The stand-in backends of a trial: listed, taken down, lost and replaced."""
+"""The stand-in backends of a trial: their start, downtime, loss and replacement."""
 
 import asyncio
 from collections import Counter
@@ -8,11 +8,13 @@
 from crankfold.fault_injection.records import Observations, Period
 from crankfold.fault_injection.stand_ins import BackendBehavior, EndpointList, StandInBackend
 
-SUCCESSOR_SUFFIX = "b"  # of the backend that comes in the place of a lost one
+SUCCESSOR_SUFFIX = "b"  # of the id of a backend that replaces a lost one
+DEFAULT_ZONE = "here"
+MILLISECONDS_PER_SECOND = 1000
 
 
 class BackendPool:
-    """All backends of a trial, and the list of those in service."""
+    """All backends of a trial, and the endpoint list of those in service."""
 
     def __init__(
         self, plan: TrialPlan, observations: Observations, callback_ports: dict[str, int], seed: int
@@ -24,20 +26,20 @@
         self.endpoint_list = EndpointList()
         self.backends: dict[str, StandInBackend] = {}
         self.losses: dict[str, list[Period]] = {}  # by backend
-        self.down_counts: Counter[str] = Counter()  # by backend, how many have it down at the moment
+        self.down_counts: Counter[str] = Counter()  # faults and jobs that keep a backend down
 
     async def open(self) -> None:
-        """Start the plan's backends, and list them."""
+        """Starts the backends of the plan and adds them to the endpoint list."""
         for backend_id, zone in self.plan.machine_zones().items():
             await self._add(backend_id, zone)
 
     async def _add(self, backend_id: str, zone: str) -> None:
         plan = self.plan
         behavior = BackendBehavior(
-            mean_seconds=plan.mean_run_ms / 1000,
+            mean_seconds=plan.mean_run_ms / MILLISECONDS_PER_SECOND,
             failure_share=plan.failure_share,
             long_share=plan.long_share,
-            long_seconds=plan.long_ms / 1000,
+            long_seconds=plan.long_ms / MILLISECONDS_PER_SECOND,
         )
         backend = StandInBackend(
             backend_id,
@@ -50,27 +52,27 @@
         self.endpoint_list.add(backend_id, await backend.open(), zone)
 
     def close(self) -> None:
-        """Stop all of them."""
+        """Closes all backends."""
         for backend in self.backends.values():
             backend.close()
 
     def take_down(self, backend_id: str) -> None:
-        """A machine goes away, and discovery lists it no more."""
+        """Ends a backend abruptly and removes it from the endpoint list."""
         self.down_counts[backend_id] += 1
         if self.down_counts[backend_id] == 1:
             self.backends[backend_id].abort()
             self.endpoint_list.remove(backend_id)
 
     async def bring_up(self, backend_id: str) -> None:
-        """It is back once nobody has it down any more: a loss may come in the middle of work."""
+        """Starts a backend again when no other fault or job keeps it down."""
         self.down_counts[backend_id] -= 1
         if self.down_counts[backend_id]:
             return
         port = await self.backends[backend_id].open()
-        self.endpoint_list.add(backend_id, port, self.plan.machine_zones().get(backend_id, "here"))
+        self.endpoint_list.add(backend_id, port, self.plan.machine_zones().get(backend_id, DEFAULT_ZONE))
 
     async def run_fault(self, fault: FaultSpecification, seconds: float) -> None:
-        """Backends are lost, one or a zone, and come back cold; or others come in their place."""
+        """Takes down a backend or a zone; after `seconds`, brings it up or starts replacements."""
         zones = self.plan.machine_zones()
         lost = [backend_id for backend_id, zone in zones.items() if fault.target in (backend_id, zone)]
         for backend_id in lost:
--- a/crankfold/fault_injection/configuration.py
+++ b/crankfold/fault_injection/configuration.py
@@ -1,24 +1,27 @@
 """The configuration of a trial's processes, and the request classes that its operators publish."""
 
-from typing import Any
-
 from crankfold.fault_injection.http_client import HOST
 from crankfold.fault_injection.plan import TrialPlan
+from crankfold.fault_injection.records import JsonObject
 
-Settings = dict[str, Any]  # in the form of the configuration file
+Settings = JsonObject  # in the form of the configuration file
 
 DEADLINE_US = 3_000_000
 LATENCY_OBJECTIVE_US = 1_000_000
 DEDUPLICATION_WINDOW_US = 2_000_000
 MICROSECONDS_PER_SECOND = 1_000_000
 REQUEST_CLASSES = ["flips", "once", "free"]
-# What operators make of the request class `flips`; "dropped" leaves it out.
+INITIAL_CAPACITY = 0.5  # of a backend in slow start, share of its full capacity
+OVERLOAD_FACTOR = 3.0
+OVERLOAD_PERIOD_US = 1_000_000
+TICK_US = 2000
+# Values of the request class `flips` in published settings; "dropped" removes the class.
 IDEMPOTENCY_VALUES = ("safe", "keyed", "unsafe", "dropped")
 ALLOWED: Settings = {"most-dispatches": 3, "cancel": True, "second-copies": True}
 
 
 def request_class_settings(idempotency: str) -> list[Settings]:
-    """The request classes, with `flips` of that idempotency."""
+    """Returns the request classes, with the given value for `flips`."""
     times = {"cut-off": DEADLINE_US, "expected-time": LATENCY_OBJECTIVE_US}
     constant = [
         {"name": "once", "effect": "unsafe", **times},
@@ -41,10 +44,15 @@
     voters: dict[str, str],
     storage: str,
 ) -> Settings:
-    """The configuration file of one process, over thirty lines as it is one document.
+    """Returns the contents of the configuration file of one process.
 
-    `ports` has its ports for clients ("listen"), discovery and the admin server; `voters` the address of
-    each voter as this process is to see it.
+    Args:
+        plan: Of the trial.
+        seed: Of the process.
+        name: Of the process.
+        ports: "listen" for clients, "discovery" and "admin".
+        voters: The address by which this process reaches each voter.
+        storage: The folder for its state.
     """
     return {
         "listen": f"{HOST}:{ports['listen']}",
@@ -59,19 +67,23 @@
             "stated-time": plan.staleness_bound,
             "when-cut-off": plan.without_lease,
         },
-        "settings": {
-            "allowed": ALLOWED,
-            "tick": 2000,
-            "zones": sorted(set(plan.machine_zones().values())),
-            "balancers": len(plan.process_names()),
-            "rules": {
-                "cold-from": 0.5,
-                "warm-after": int(plan.slow_start_seconds * MICROSECONDS_PER_SECOND),
-                "overload-factor": 3.0,
-                "overload-for": 1_000_000,
-            },
-            "specifics": {"tells-start": False, "report-x0": "free slots"},
-            "report": {"names": ["queue", "x0"], "via": "inline"},
-            "service-grades": request_class_settings("safe"),
+        "settings": _initial_settings(plan),
+    }
+
+
+def _initial_settings(plan: TrialPlan) -> Settings:
+    return {
+        "allowed": ALLOWED,
+        "tick": TICK_US,
+        "zones": sorted(set(plan.machine_zones().values())),
+        "balancers": len(plan.process_names()),
+        "rules": {
+            "cold-from": INITIAL_CAPACITY,
+            "warm-after": int(plan.slow_start_seconds * MICROSECONDS_PER_SECOND),
+            "overload-factor": OVERLOAD_FACTOR,
+            "overload-for": OVERLOAD_PERIOD_US,
         },
+        "specifics": {"tells-start": False, "report-x0": "free slots"},
+        "report": {"names": ["queue", "x0"], "via": "inline"},
+        "service-grades": request_class_settings("safe"),
     }
--- a/crankfold/fault_injection/context.py
+++ b/crankfold/fault_injection/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a running trial share."""
+"""The clock of a running trial, and the objects that its parts share."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,27 +11,27 @@
 
 
 class TrialClock:
-    """Seconds since the trial began, on the event loop's clock."""
+    """Measures the seconds since the start of the trial, by the event loop's clock."""
 
     def __init__(self) -> None:
         self._started_at = 0.0
 
     def start(self) -> None:
-        """The trial begins now."""
+        """Sets the start of the trial to now."""
         self._started_at = asyncio.get_running_loop().time()
 
     def elapsed(self) -> float:
-        """How long the trial lasts already."""
+        """Returns the seconds since the start."""
         return asyncio.get_running_loop().time() - self._started_at
 
     async def sleep_until(self, seconds: float) -> None:
-        """Sleep until the trial has lasted that long; return at once if it has."""
+        """Sleeps until `seconds` after the start; returns at once if they have passed."""
         await asyncio.sleep(max(seconds - self.elapsed(), 0))
 
 
 @dataclass(frozen=True, slots=True)
 class TrialContext:
-    """A running trial."""
+    """The shared objects of a running trial."""
 
     plan: TrialPlan
     seed: int
--- a/crankfold/fault_injection/fault_injector.py
+++ b/crankfold/fault_injection/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan, each at its time."""
+"""Injects the faults of a plan at their times."""
 
 import asyncio
 
@@ -18,15 +18,17 @@
     PlanError,
 )
 from crankfold.fault_injection.processes import ManagedProcess
+from crankfold.fault_injection.records import is_step_record
 from crankfold.fault_injection.stand_ins import StandInDiscovery
 
 RESET_INTERVAL = 0.25  # seconds between the resets of a link's connections
 STEP_POLL_INTERVAL = 0.005  # seconds
-RECENT_RECORDS = 50  # that are looked through for a step, at each poll
+MAX_RECENT_RECORDS = 50  # of each process, searched for a step at each poll
+MILLISECONDS_PER_SECOND = 1000
 
 
 class FaultInjector:
-    """Knows all that a fault can hit: links, processes, discovery, backends."""
+    """Injects faults into links, processes, discovery and backends."""
 
     def __init__(
         self,
@@ -40,13 +42,13 @@
         self.links = links  # by sender and receiver
         self.proxies = proxies  # by member and voter
         self.discoveries = discoveries  # by process
-        self.log: list[str] = []
+        self.log: list[str] = []  # one line for each injected fault
 
     async def run(self, fault: FaultSpecification) -> None:
-        """Wait for the fault's begin, and carry it out until its end.
+        """Waits for the begin of a fault and injects it until its end.
 
         Raises:
-            PlanError: it waits for a step that did not come.
+            PlanError: The maintenance step that starts the fault does not occur during the trial.
         """
         clock = self.context.clock
         await clock.sleep_until(fault.begin)
@@ -73,7 +75,7 @@
         return await self.context.admin.find_leader(self.context.plan.voter_names())
 
     async def _wait_for_step(self, fault: FaultSpecification) -> FaultSpecification:
-        """The fault as it is to be from the moment when such a step is recorded anywhere."""
+        """Waits for a record of the step `on_step`; returns the fault shifted to begin now."""
         clock = self.context.clock
         begin = boot_time_ns()
         while not self._step_recorded(fault.on_step, begin):
@@ -85,10 +87,10 @@
 
     def _step_recorded(self, step: str, since: int) -> bool:
         return any(
-            record["what"] == "step" and record["step"] == step and record["at"] > since
+            is_step_record(record, step, since)
             for process in self.context.processes.values()
             for records in process.raw_records.values()
-            for record in records[-RECENT_RECORDS:]
+            for record in records[-MAX_RECENT_RECORDS:]
         )
 
     async def _disturb_process(
@@ -109,13 +111,13 @@
         affected = [server for name, server in self.discoveries.items() if target in (ANY, name)]
         for server in affected:
             if fault.kind is FaultKind.LATE_LIST:
-                server.delay = fault.delay_ms / 1000
+                server.delay = fault.delay_ms / MILLISECONDS_PER_SECOND
                 server.silent = False
             else:
                 server.delay = 0.0
                 server.silent = True
                 server.abort()
-                await server.open()  # who calls is heard, and not answered
+                await server.open()  # connections are accepted, but requests get no response
         await asyncio.sleep(seconds)
         for server in affected:
             server.delay = 0.0
@@ -139,7 +141,7 @@
             FaultKind.LOSS: fault.share,
             FaultKind.CUT: 1.0,
             FaultKind.DUPLICATION: fault.share,
-            FaultKind.DELAY: fault.delay_ms / 1000,
+            FaultKind.DELAY: fault.delay_ms / MILLISECONDS_PER_SECOND,
             FaultKind.SLOW: fault.bytes_per_second,
         }
         for link in links:
--- a/crankfold/fault_injection/fault_proxy.py
+++ b/crankfold/fault_injection/fault_proxy.py
@@ -1,7 +1,7 @@
-"""Proxies between processes: one for each way from a member to a voter.
+"""Proxies between processes: one for each pair of a member and a voter.
 
-They know nothing of the messages but where each ends, so that whole ones are lost, delayed, duplicated or
-reordered.
+A proxy reads only the length of each message, so that it loses, delays, duplicates and reorders whole
+messages.
 """
 
 import asyncio
@@ -9,11 +9,11 @@
 
 from crankfold.fault_injection.http_client import HOST
 
-LENGTH_SIZE = 4  # bytes before each message that say how long it is
+LENGTH_PREFIX_BYTES = 4  # before each message, big-endian
 
 
 class Link:
-    """What happens on the way from one process to another; changed as faults begin and end."""
+    """One direction between two processes, with the faults in force on it."""
 
     def __init__(self, sender: str, receiver: str, seed: int) -> None:
         self.sender = sender
@@ -21,14 +21,20 @@
         self.rng = Random(f"{seed} {sender} {receiver}")
         self.loss_share = 0.0
         self.duplicate_share = 0.0
-        self.max_delay = 0.0  # seconds, drawn anew for each message
-        self.bytes_per_second = 0.0  # 0 if it is not limited
-        self.busy_until = 0.0  # on the loop's clock
+        self.max_delay = 0.0  # seconds; the delay of each message is uniform below it
+        self.bytes_per_second = 0.0  # 0 for no limit
+        self.busy_until = 0.0  # seconds on the event loop's clock
         self.messages_passed = 0
         self.bytes_passed = 0
 
     def forward(self, data: bytes, writer: asyncio.StreamWriter, *, is_first: bool) -> None:
-        """Pass a message on as the faults let it; the first one of a connection gets lost only in a cut."""
+        """Forwards a message subject to the faults of the link.
+
+        Args:
+            data: The message with its length prefix.
+            writer: To the receiver.
+            is_first: Whether it is the first of its connection, which only a full cut loses.
+        """
         loop = asyncio.get_running_loop()
         if self.loss_share >= 1 or (not is_first and self.rng.random() < self.loss_share):
             return
@@ -53,7 +59,7 @@
 
 
 class FaultProxy:
-    """Listens in a voter's place for one member."""
+    """Accepts the connections of one member on behalf of a voter."""
 
     def __init__(self, outbound: Link, inbound: Link, target_port: int) -> None:
         self.outbound = outbound  # from the member to the voter
@@ -63,7 +69,7 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> int:
-        """Listen; the port."""
+        """Starts to listen and returns the port."""
         self.server = await asyncio.start_server(self._accepted, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -95,7 +101,7 @@
         is_first = True
         try:
             while True:
-                length = await reader.readexactly(LENGTH_SIZE)
+                length = await reader.readexactly(LENGTH_PREFIX_BYTES)
                 message = await reader.readexactly(int.from_bytes(length, "big"))
                 link.forward(length + message, writer, is_first=is_first)
                 is_first = False
@@ -104,12 +110,12 @@
             pass
 
     def reset_connections(self) -> None:
-        """Break all connections that are open."""
+        """Aborts all open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """Stop to listen, and break all connections."""
+        """Stops listening and aborts all connections."""
         if self.server:
             self.server.close()
         self.reset_connections()
--- a/crankfold/fault_injection/harness.py
+++ b/crankfold/fault_injection/harness.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a plan, has its faults carried out, and has the records judged."""
+"""Runs a trial: starts its processes, injects its faults, collects the records and checks them."""
 
 import asyncio
 import json
@@ -23,6 +23,7 @@
 from crankfold.fault_injection.processes import READY_TIMEOUT, ManagedProcess, ProcessFiles
 from crankfold.fault_injection.records import (
     DOCUMENTS,
+    NANOSECONDS_PER_SECOND,
     DocumentVersion,
     Histories,
     JobLimits,
@@ -35,17 +36,20 @@
 
 SETTLE_TIMEOUT = 15.0  # seconds until all processes act on the same documents, after the faults
 POLL_INTERVAL = 0.1  # seconds
-NANOSECONDS = 1e9  # in a second
-EXIT_HELD = 0
-EXIT_BROKEN = 1
+EXIT_SATISFIED = 0
+EXIT_VIOLATED = 1
 EXIT_PLAN_ERROR = 2
+LinkEnds = tuple[str, str]  # sender and receiver
 
 
 class TrialHarness:
-    """One trial, from its processes' start to the verdicts.
+    """One trial, from the start of its processes to the verdicts.
 
-    Its constructor is over thirty lines as it puts all parts of a trial together. `adjust_configuration` may
-    change the configuration of a process before it is written.
+    Args:
+        plan: The processes, load, faults and guarantees.
+        seed: Of all random choices.
+        folder: An empty folder for configurations, logs and records.
+        adjust_configuration: May change the configuration of each process before it is written.
     """
 
     def __init__(
@@ -55,36 +59,22 @@
         folder: Path,
         adjust_configuration: Callable[[Settings], None] | None = None,
     ) -> None:
-        names = plan.process_names()
         self.plan = plan
         self.folder = folder
         self.adjust_configuration = adjust_configuration
-        self.process_names = names
+        self.process_names = plan.process_names()
         self.voters = plan.voter_names()
         self.observations = Observations()
-        self.client_ports = {name: find_free_port() for name in names}
-        self.admin_ports = {name: find_free_port() for name in names}
+        self.client_ports = {name: find_free_port() for name in self.process_names}
+        self.admin_ports = {name: find_free_port() for name in self.process_names}
         self.peer_ports = {name: find_free_port() for name in self.voters}
-        self.links = {
-            (sender, receiver): Link(sender, receiver, seed)
-            for sender in names
-            for receiver in names
-            if sender != receiver
-        }
-        self.proxies: dict[tuple[str, str], FaultProxy] = {}
-        self.discoveries: dict[str, StandInDiscovery] = {}
+        self.links = _make_links(self.process_names, seed)
+        self.proxies: dict[LinkEnds, FaultProxy] = {}  # by member and voter
+        self.discoveries: dict[str, StandInDiscovery] = {}  # by process
         self.processes: dict[str, ManagedProcess] = {}
         self.backends = BackendPool(plan, self.observations, self.client_ports, seed)
         self.admin = AdminClient(self.admin_ports)
-        self.context = TrialContext(
-            plan=plan,
-            seed=seed,
-            folder=folder,
-            clock=TrialClock(),
-            admin=self.admin,
-            processes=self.processes,
-            backends=self.backends,
-        )
+        self.context = self._make_context(seed)
         self.fault_injector = FaultInjector(
             self.context, links=self.links, proxies=self.proxies, discoveries=self.discoveries
         )
@@ -92,11 +82,22 @@
         self.maintenance = MaintenanceDriver(self.context)
         self.tasks: list[asyncio.Task[None]] = []
 
+    def _make_context(self, seed: int) -> TrialContext:
+        return TrialContext(
+            plan=self.plan,
+            seed=seed,
+            folder=self.folder,
+            clock=TrialClock(),
+            admin=self.admin,
+            processes=self.processes,
+            backends=self.backends,
+        )
+
     async def run(self) -> list[Verdict]:
-        """Play the plan and judge its promises.
+        """Runs the trial and checks its guarantees.
 
         Raises:
-            PlanError: the processes do not start, or a fault can't be carried out.
+            PlanError: The processes do not start, or a fault cannot be injected.
         """
         await self.prepare()
         try:
@@ -114,7 +115,7 @@
         return [checker.judge(promise) for promise in self.plan.promises]
 
     async def prepare(self) -> None:
-        """Open all stand-ins and proxies, and write the processes' configurations."""
+        """Opens all stand-ins and proxies, and writes the configurations of the processes."""
         await self.backends.open()
         for name in self.process_names:
             self.discoveries[name] = StandInDiscovery(self.backends.endpoint_list)
@@ -142,7 +143,7 @@
         self.processes[name] = ManagedProcess(name, files, self.client_ports[name])
 
     async def _voter_port(self, name: str, voter: str) -> int:
-        """Where the process reaches the voter: through a proxy, unless it is the voter itself."""
+        """Returns the port by which the process reaches the voter: a proxy, or its own port."""
         if voter == name:
             return self.peer_ports[voter]
         proxy = FaultProxy(self.links[name, voter], self.links[voter, name], self.peer_ports[voter])
@@ -150,10 +151,10 @@
         return await proxy.open()
 
     async def start(self) -> None:
-        """Start the processes, and the clock once all act on the same documents.
+        """Starts the processes, and the clock when all processes act on the same documents.
 
         Raises:
-            PlanError: they don't in time.
+            PlanError: They do not within `READY_TIMEOUT`.
         """
         await asyncio.gather(*(process.start() for process in self.processes.values()))
         faults = await self.wait_until_consistent(READY_TIMEOUT)
@@ -177,10 +178,13 @@
         await asyncio.gather(*self.tasks)
 
     async def wait_until_consistent(self, seconds: float) -> dict[str, str]:
-        """Wait so long at most until all act on the same versions and none is pending.
+        """Waits until all processes act on the same versions and none is pending.
+
+        Args:
+            seconds: The timeout.
 
         Returns:
-            By process, why it does not.
+            The reason by process, for processes that do not; empty on success.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -204,7 +208,7 @@
         return histories
 
     async def shut_down(self) -> None:
-        """End all processes, stand-ins and proxies."""
+        """Ends all processes, stand-ins and proxies."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -232,7 +236,7 @@
         self, histories: Histories, final_faults: dict[str, str], unfinished_jobs: dict[str, str]
     ) -> TrialRecord:
         return TrialRecord(
-            staleness_bound=int(self.plan.staleness_bound * NANOSECONDS),
+            staleness_bound=int(self.plan.staleness_bound * NANOSECONDS_PER_SECOND),
             process_records={
                 key: [parse_record(raw) for raw in records]
                 for process in self.processes.values()
@@ -251,8 +255,17 @@
         )
 
 
+def _make_links(names: list[str], seed: int) -> dict[LinkEnds, Link]:
+    return {
+        (sender, receiver): Link(sender, receiver, seed)
+        for sender in names
+        for receiver in names
+        if sender != receiver
+    }
+
+
 def _inconsistencies(views: dict[str, AdminResponse]) -> dict[str, str]:
-    """By process, why it does not act on the newest versions."""
+    """Returns the reason by process, for processes that do not act on the newest versions."""
 
     def canonical(view: AdminResponse) -> str:
         return json.dumps(view.content.get("versions"), sort_keys=True)
@@ -262,19 +275,19 @@
     for name, view in views.items():
         versions = view.content.get("versions", {})
         if not view.ok or not view.content.get("acts"):
-            faults[name] = view.content.get("why-not") or "does not answer at its door"
+            faults[name] = view.content.get("why-not") or "its admin server does not respond"
         elif any(version["counts"] != version["newest"] for version in versions.values()):
-            faults[name] = f"on its way: {versions}"
+            faults[name] = f"activation pending: {versions}"
         elif canonical(view) != newest:
             faults[name] = f"acts on {versions}"
     return faults
 
 
 def run_trial(plan: TrialPlan, seed: int, folder: Path) -> list[Verdict]:
-    """Play a plan in that folder and judge its promises.
+    """Runs a plan in an empty folder and checks its guarantees.
 
     Raises:
-        PlanError: it can't be played.
+        PlanError: The processes do not start, or a fault cannot be injected.
     """
 
     async def run() -> list[Verdict]:
@@ -284,18 +297,22 @@
 
 
 def run_command(path: Path, seed: int, keep: Path | None) -> int:
-    """Play the plan of a file and print the verdicts; the exit code of `crankfold trial`.
+    """Runs the plan of a file and prints the verdicts.
+
+    Args:
+        path: The plan.
+        seed: Of all random choices; 0 for the seed of the plan.
+        keep: An empty folder in which records and logs stay; None to delete them.
 
-    `keep` is an empty folder for what the trial leaves; without one, nothing is kept.
+    Returns:
+        The exit code of `crankfold trial`.
     """
     try:
         plan = load_plan(path)
         seed = seed or plan.seed
         with tempfile.TemporaryDirectory(prefix="crankfold-trial-") as scratch:
             folder = keep or Path(scratch)
-            folder.mkdir(parents=True, exist_ok=True)
-            if os.listdir(folder):
-                raise PlanError(f"{folder}: not empty")
+            _require_empty(folder)
             verdicts = run_trial(plan, seed, folder)
     except (PlanError, OSError) as error:
         click.echo(f"crankfold: {error}", err=True)
@@ -303,6 +320,17 @@
     size = f"{plan.voters} voters, {plan.followers} followers, {plan.seconds} s"
     click.echo(f"{plan.name}, seed {seed}: {size}")
     for verdict in verdicts:
-        outcome = "held  " if verdict.held else "BROKEN"
+        outcome = "held  " if verdict.satisfied else "BROKEN"
         click.echo(f"{outcome}  {verdict.promise:16} {verdict.detail}".rstrip())
-    return EXIT_HELD if all(verdict.held for verdict in verdicts) else EXIT_BROKEN
+    return EXIT_SATISFIED if all(verdict.satisfied for verdict in verdicts) else EXIT_VIOLATED
+
+
+def _require_empty(folder: Path) -> None:
+    """Creates the folder if it is missing.
+
+    Raises:
+        PlanError: The folder has entries.
+    """
+    folder.mkdir(parents=True, exist_ok=True)
+    if os.listdir(folder):
+        raise PlanError(f"{folder}: not empty")
--- a/crankfold/fault_injection/http_client.py
+++ b/crankfold/fault_injection/http_client.py
@@ -1,4 +1,4 @@
-"""The little HTTP that a trial speaks itself, on addresses of its own."""
+"""A minimal HTTP client for trials, and the addresses that a trial uses."""
 
 import asyncio
 import contextlib
@@ -8,23 +8,28 @@
 import time
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
 
-# Of the whole loopback range, so that trials side by side take no port from each other.
+from crankfold.fault_injection.records import JsonObject
+
+# A loopback address derived from the process id, so that concurrent trials do not share ports.
 HOST = f"127.{os.getpid() >> 16 & 255 or 1}.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}"
-# Below those that the system gives to connections: a call to a process not there yet could take its port.
+# Below the ephemeral ports: an outgoing connection could otherwise occupy the port of a later process.
 CANDIDATE_PORTS = iter(range(20_001, 30_000))
 READ_TIMEOUT = 1.0  # seconds
-WRITE_TIMEOUT = 6.0  # seconds; a publish is answered when the voters agreed
+WRITE_TIMEOUT = 6.0  # seconds; a publish is answered after its commit by the voters
+STATUS_OK = 200
+STATUS_NO_CONTENT = 204
+STATUS_BAD_REQUEST = 400
+STATUS_CONFLICT = 409
 
 
 def boot_time_ns() -> int:
-    """Nanoseconds on the clock by which the processes stamp their records."""
+    """Returns the boot-time clock in nanoseconds, the clock of all records."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def find_free_port() -> int:
-    """A port of `HOST` that nobody listens on, and that is not given out again."""
+    """Returns an unused port of `HOST`; each port is returned once."""
     while True:
         port = next(CANDIDATE_PORTS)
         with contextlib.suppress(OSError), socket.create_server((HOST, port)):
@@ -33,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpMessage:
-    """A request or a response."""
+    """An HTTP request or response."""
 
     start_line: str
     headers: Mapping[str, str]  # by name in lower case
@@ -41,15 +46,15 @@
 
     @property
     def status(self) -> int:
-        """Of a response."""
+        """The status of a response."""
         return int(self.start_line.split()[1])
 
 
 async def read_http_message(reader: asyncio.StreamReader) -> HttpMessage:
-    """The next message on a connection; its body has to have a length.
+    """Reads the next message of a connection; its body is framed by Content-Length.
 
     Raises:
-        asyncio.IncompleteReadError: the connection ended before it did.
+        asyncio.IncompleteReadError: The connection was closed before the end of the message.
     """
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     split = (line.partition(":") for line in lines[1:])
@@ -59,11 +64,17 @@
 
 
 async def http_call(port: int, target: str, body: bytes | None = None, headers: str = "") -> HttpMessage:
-    """The response to one request on a connection of its own: a POST if there is a body, else a GET.
+    """Sends one request on a new connection and returns the response.
+
+    Args:
+        port: Of `HOST`.
+        target: The path.
+        body: None for a GET, else the body of a POST.
+        headers: Further header lines, each with its line end.
 
     Raises:
-        OSError: nobody listens there.
-        asyncio.IncompleteReadError: the connection ended before the response did.
+        OSError: The connection was refused or reset.
+        asyncio.IncompleteReadError: The connection was closed before the end of the response.
     """
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
@@ -80,25 +91,25 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """What an admin server answered; status 0 and no content if nobody did."""
+    """The response of an admin server; status 0 and no content if there is none."""
 
     status: int
-    content: dict[str, Any]
+    content: JsonObject
 
     @property
     def ok(self) -> bool:
-        """Whether the call was carried out."""
-        return self.status == 200
+        """Whether the call succeeded."""
+        return self.status == STATUS_OK
 
 
 class AdminClient:
-    """Calls to the admin servers of a trial's processes."""
+    """Calls the admin servers of a trial's processes."""
 
     def __init__(self, ports: dict[str, int]) -> None:
-        self.ports = ports  # by process; changes when a process is replaced
+        self.ports = ports  # by process; updated when a process is replaced
 
-    async def call(self, process: str, path: str, body: dict[str, Any] | None = None) -> AdminResponse:
-        """One call; a POST if there is a body, else a GET."""
+    async def call(self, process: str, path: str, body: JsonObject | None = None) -> AdminResponse:
+        """Calls one process: a GET without a body, a POST with one."""
         data = None if body is None else json.dumps(body).encode()
         try:
             async with asyncio.timeout(READ_TIMEOUT if body is None else WRITE_TIMEOUT):
@@ -108,7 +119,7 @@
             return AdminResponse(0, {})
 
     async def find_leader(self, voters: list[str]) -> str:
-        """The leader as the first voter that knows one sees it; the first voter if none does."""
+        """Returns the leader that the first voter with one reports; the first voter if none does."""
         for voter in voters:
             leader = (await self.call(voter, "fleet")).content.get("leader")
             if leader:
--- a/crankfold/fault_injection/invariants.py
+++ b/crankfold/fault_injection/invariants.py
@@ -1,14 +1,14 @@
-"""Whether the promises of a plan held, from the records of the processes and of the stand-ins alone.
+"""Checks the guarantees of a plan against the records of the processes and of the stand-ins.
 
-Shares no code with the program: what documents mean for one another is worked out here again, from their
-content. A check returns what broke the promise, or an empty text.
+Shares no code with the program: the relations between documents are derived here again from their content.
+A check returns a description of the first violation, or an empty text.
 """
 
 import json
 from bisect import bisect_right
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterator
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from crankfold.fault_injection.maintenance_invariants import MaintenanceChecker
 from crankfold.fault_injection.records import (
@@ -16,38 +16,45 @@
     DRAINED_BACKENDS,
     FOREVER,
     MILLISECOND,
+    SETTINGS,
     ActionRecord,
+    ClientAnswer,
     ConfigurationRecord,
     DocumentVersion,
+    JsonObject,
     Promise,
     PublishOutcome,
     PublishRecord,
+    SubmittedRequest,
     TrialRecord,
     Verdict,
     VersionState,
 )
 
-PROPAGATION_GRACE = 300 * MILLISECOND  # a request under way when a backend is drained may still arrive
-ANSWERED_STATUSES = ("200", "503", "504")
+# Nanoseconds in which a request sent before its backend was drained may still arrive.
+PROPAGATION_GRACE = 300 * MILLISECOND
+ANSWERED_STATUSES = ("200", "503", "504")  # completed, shed, failed
+BAD_REQUEST = "400"
+MAX_EXECUTIONS = 1  # of a non-idempotent request
 NO_STATE = VersionState(newest=0, active=0)
 
 
 class FirstUse(NamedTuple):
-    """When a version was first acted on, and by which process."""
+    """The first activation of a version: its time (nanoseconds) and its process."""
 
     at: int
     process: str
 
 
 class Action(NamedTuple):
-    """An action and the process that took it."""
+    """An action on a request and its process."""
 
     process: str
     record: ActionRecord
 
 
 class DrainedPeriod(NamedTuple):
-    """From when to when a backend was drained by the operators."""
+    """A period in which operators had drained a backend, in nanoseconds."""
 
     begin: int
     end: int
@@ -55,11 +62,11 @@
 
 
 class TrialChecker:
-    """Judges the promises of a trial that is over."""
+    """Checks the guarantees against the records of a finished trial."""
 
     def __init__(self, trial: TrialRecord) -> None:
         self.trial = trial
-        # By document and state: the content that was acted on, and who first did from when on.
+        # By document and state: the content in force, and the first activation.
         self.contents: dict[tuple[str, VersionState], str] = {}
         self.first_used: dict[str, dict[VersionState, FirstUse]] = {document: {} for document in DOCUMENTS}
         self.actions: list[Action] = []
@@ -86,12 +93,17 @@
                 self.first_used[document][state] = FirstUse(record.at, process)
 
     def judge(self, promise: str) -> Verdict:
-        """Check one promise.
+        """Checks one guarantee.
 
         Raises:
-            ValueError: there is no such promise.
+            ValueError: `promise` names no guarantee.
         """
-        checks: dict[Promise, Callable[[], str]] = {
+        checked = Promise(promise)
+        violation = self._checks()[checked]()
+        return Verdict(checked, not violation, violation or self._summary(checked))
+
+    def _checks(self) -> dict[Promise, Callable[[], str]]:
+        return {
             Promise.STALENESS_BOUND: self.check_staleness_bound,
             Promise.KNOWN_BEFORE_EFFECT: self.check_known_before_effect,
             Promise.HISTORY: self.check_history,
@@ -103,9 +115,6 @@
             Promise.FINAL_HEALTH: self.check_final_health,
             **self.maintenance.checks(),
         }
-        checked = Promise(promise)
-        violation = checks[checked]()
-        return Verdict(checked, not violation, violation or self._summary(checked))
 
     def _summary(self, promise: Promise) -> str:
         if promise is Promise.STALENESS_BOUND:
@@ -123,7 +132,7 @@
     # --- documents ---
 
     def check_staleness_bound(self) -> str:
-        """Nobody acts for longer than the bound after another acted on a later, differing version."""
+        """No process acts on a version for longer than the bound after a differing later one is active."""
         if self.inconsistencies:
             return self.inconsistencies[0]
         for document in DOCUMENTS:
@@ -151,7 +160,7 @@
             )
 
     def check_known_before_effect(self) -> str:
-        """A version is active nowhere while somebody acts who does not know of it."""
+        """No process acts without knowing a version that is already active at another process."""
         for document in DOCUMENTS:
             activations: dict[int, FirstUse] = {}  # by version
             for state, first_use in self.first_used[document].items():
@@ -171,7 +180,7 @@
         return ""
 
     def check_history(self) -> str:
-        """Every process has the same version under the same number."""
+        """Versions with the same number are identical at all processes."""
         if self.inconsistencies:
             return self.inconsistencies[0]
         known: dict[tuple[str, int], tuple[str, str]] = {}
@@ -190,7 +199,7 @@
             highest: dict[str, int] = {}
             for record in records:
                 if not isinstance(record, ActionRecord):
-                    continue  # a process that starts reads its history before it may act
+                    continue  # a starting process activates old versions before it may act
                 for document in DOCUMENTS:
                     active = record.versions.get(document, NO_STATE).active
                     if active < highest.get(document, 0):
@@ -202,12 +211,15 @@
         return ""
 
     def check_publishes(self) -> str:
-        """A confirmed publish is in every history, a refused one in none, and none twice."""
+        """A confirmed publish is in every history, a refused one in none, and none is there twice."""
         for publish in self.trial.publishes:
             for process, documents in self.trial.histories.items():
                 violation = self._publish_violation(publish, process, documents.get(publish.document, {}))
                 if violation:
                     return violation
+        return self._lost_publish()
+
+    def _lost_publish(self) -> str:
         for publish in self.trial.publishes:
             newest = max(
                 (max(documents.get(publish.document) or [0]) for documents in self.trial.histories.values()),
@@ -237,17 +249,12 @@
     # --- requests ---
 
     def check_single_answer(self) -> str:
-        """Every client gets one answer, unless its dispatcher was down."""
+        """Every client gets exactly one answer, unless its dispatcher was down."""
         observations = self.trial.observations
         answers: dict[str, list[str]] = defaultdict(list)
         for answer in observations.answers:
             answers[answer.request_id].append(answer.text)
-            request = observations.requests[answer.request_id]
-            if answer.status == "400" and self._class_was_removed(request.request_class):
-                continue  # nobody accepted it
-            if answer.status not in ANSWERED_STATUSES and not self._was_down(
-                answer.dispatcher, request.at, answer.at
-            ):
+            if not self._is_answered(answer, observations.requests[answer.request_id]):
                 moment = self.trial.format_time(answer.at)
                 return (
                     f"{answer.request_id} got {answer.text} at {moment}, though {answer.dispatcher} was there"
@@ -257,22 +264,30 @@
                 return f"{request_id} got {answers[request_id] or 'nothing'}"
         return ""
 
+    def _is_answered(self, answer: ClientAnswer, request: SubmittedRequest) -> bool:
+        """Whether the dispatcher answered the request, or had a valid reason not to."""
+        if answer.status in ANSWERED_STATUSES:
+            return True
+        if answer.status == BAD_REQUEST and self._class_was_removed(request.request_class):
+            return True
+        return self._was_down(answer.dispatcher, request.at, answer.at)
+
     def _was_down(self, process: str, begin: int, end: int) -> bool:
         return any(period.overlaps(begin, end) for period in self.trial.downtimes.get(process, ()))
 
     def _class_was_removed(self, request_class: str) -> bool:
-        """Whether there ever was a version without that request class."""
+        """Whether any version of the settings lacks the request class."""
         return any(
             request_class not in [one["name"] for one in version.content.get("service-grades", ())]
             for documents in self.trial.histories.values()
-            for version in documents.get("settings", {}).values()
+            for version in documents.get(SETTINGS, {}).values()
         )
 
     def check_no_duplicate_effect(self) -> str:
-        """A request accepted as non-idempotent ran once at most, whatever its class became later."""
+        """A request accepted as non-idempotent is executed at most once, also if its class changes later."""
         executions = Counter(received.request_id for received in self.trial.observations.received_requests)
         for process, record in self.actions:
-            if record.kind != "take" or executions[record.request_id] < 2:
+            if record.kind != "take" or executions[record.request_id] <= MAX_EXECUTIONS:
                 continue
             if self._is_non_idempotent(record):
                 count = executions[record.request_id]
@@ -280,16 +295,16 @@
         return ""
 
     def _is_non_idempotent(self, record: ActionRecord) -> bool:
-        """Whether the request was, under the settings that the process acted on."""
-        state = record.versions.get("settings", NO_STATE)
-        settings: dict[str, Any] = json.loads(self.contents.get(("settings", state), "null")) or {}
+        """Whether the request was non-idempotent under the settings in force at the process."""
+        state = record.versions.get(SETTINGS, NO_STATE)
+        settings: JsonObject = json.loads(self.contents.get((SETTINGS, state), "null")) or {}
         return any(
             one["name"] == record.request_class and one["effect"] == "unsafe"
             for one in settings.get("service-grades", ())
         )
 
     def check_drained_backends(self) -> str:
-        """Nothing reaches a backend from when its draining is active anywhere until its return is known."""
+        """No request reaches a backend from the activation of its drain until its return is known."""
         periods = list(self._drained_periods())
         for received in self.trial.observations.received_requests:
             for period in periods:
@@ -325,6 +340,6 @@
                 yield DrainedPeriod(active_from[number], end, backend_id)
 
     def check_final_health(self) -> str:
-        """At the end, every process acts on the same documents."""
+        """At the end, all processes act on the same documents."""
         faults = self.trial.final_faults
         return "; ".join(f"{process}: {reason}" for process, reason in faults.items() if reason)
--- a/crankfold/fault_injection/maintenance_driver.py
+++ b/crankfold/fault_injection/maintenance_driver.py
@@ -1,22 +1,26 @@
-"""Maintenance in a trial: jobs are submitted, and commands, operators and machines play their parts."""
+"""Maintenance in a trial: submits jobs and stands in for commands, operators and machines."""
 
 import asyncio
 import json
 import sys
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any
 
 import msgspec
 from msgspec import Struct, field
 
 from crankfold.fault_injection.context import TrialContext
-from crankfold.fault_injection.http_client import AdminResponse, boot_time_ns
+from crankfold.fault_injection.http_client import (
+    STATUS_BAD_REQUEST,
+    STATUS_CONFLICT,
+    AdminResponse,
+    boot_time_ns,
+)
 from crankfold.fault_injection.maintenance_invariants import DISPATCHER_PREFIX
 from crankfold.fault_injection.plan import JobCommand, JobSpecification, PlanError
-from crankfold.fault_injection.records import MaintenanceRun
+from crankfold.fault_injection.records import JsonObject, MaintenanceRun
 
-# What a job's command is: it writes that it began, lasts a while, and writes that it ended.
+# The command of a job: logs its begin, sleeps, logs its end, and fails with the given probability.
 COMMAND_SCRIPT = """
 import json, os, random, sys, time
 def write(what):
@@ -30,23 +34,50 @@
 write("end")
 sys.exit(random.Random(os.environ["CRANKFOLD_MACHINE"] + sys.argv[3]).random() < float(sys.argv[4]))
 """
-POLL_INTERVAL = 0.05  # seconds between looks at what commands wrote
-OPERATOR_INTERVAL = 0.3  # seconds between looks for machines that are free
+POLL_INTERVAL = 0.05  # seconds between reads of the command log
+FINAL_READ_DELAY = 2 * POLL_INTERVAL  # seconds, for the last read of the command log
+OPERATOR_INTERVAL = 0.3  # seconds between checks for free machines
 RETRY_INTERVAL = 0.2  # seconds
 HALTED = "stopped by itself"
 ENDED_STATES = ("done", "stop", HALTED)
 JOBS_PATH = "agreed/works"
 MACHINES_PATH = "agreed/machines"
 
-Jobs = dict[str, dict[str, Any]]  # by name, as the document has them
+Jobs = dict[str, JsonObject]  # specification by name, in the form of the document
+
+
+class JobsVersion(Struct):
+    """A version of the jobs document."""
+
+    number: int
+    reason: str
+    content: dict[str, Jobs] = field(name="text")
+
+    def jobs(self) -> Jobs:
+        """Returns the jobs of this version."""
+        return self.content["works"]
+
+
+class JobsHistory(Struct):
+    """The jobs document at a process."""
+
+    newest: int  # 0 without any version
+    versions: list[JobsVersion]
+
+    def newest_jobs(self) -> Jobs:
+        """Returns the jobs of the newest version."""
+        if not self.newest:
+            return {}
+        by_number = {version.number: version for version in self.versions}
+        return by_number[self.newest].jobs()
 
 
 class JobView(Struct):
-    """How far a job is, as the leader sees it."""
+    """The progress of a job as reported by the leader."""
 
     state: str
-    halted: str  # why it stopped by itself, or nothing
-    left: list[str]  # machines
+    halted: str  # the reason why the leader halted it, or ""
+    left: list[str]  # machines not done
 
 
 class MachineView(Struct):
@@ -59,14 +90,14 @@
 
 
 class WaitView(Struct):
-    """A machine that waits, or all others of its job."""
+    """A machine that waits to go out, or for which its job waits."""
 
     machine: str
     job: str = field(name="work")
 
 
 class MaintenanceView(Struct):
-    """What a process knows of maintenance."""
+    """The state of maintenance as reported by a process."""
 
     leads: bool
     jobs: dict[str, JobView] = field(name="works")
@@ -74,7 +105,7 @@
     waits: list[WaitView]
 
     def is_finished(self) -> bool:
-        """Whether nothing more will happen by itself."""
+        """Whether no job makes further progress without an operator."""
         ended = all(job.state in ENDED_STATES for job in self.jobs.values())
         return ended and all(
             machine.job in self.jobs and self.jobs[machine.job].state == HALTED
@@ -83,7 +114,7 @@
 
 
 class CommandLine(Struct):
-    """What a command wrote of itself."""
+    """A line that a command wrote to the command log."""
 
     event: str = field(name="what")
     at: int
@@ -93,7 +124,7 @@
 
 
 class MaintenanceDriver:
-    """Plays the operators, the commands and the machines of a trial's maintenance jobs."""
+    """Stands in for the operators and the machines of a trial's maintenance jobs."""
 
     def __init__(self, context: TrialContext) -> None:
         self.context = context
@@ -101,14 +132,14 @@
         self.runs: list[MaintenanceRun] = []
         self.script = context.folder / "command.py"
         self.command_log = context.folder / "commands"
-        self.command_log_offset = 0  # up to where it was read
+        self.command_log_offset = 0  # characters read
         self.rng = Random(f"{context.seed} hands")
-        self.started_work: set[tuple[str, int]] = set()  # machine and number, by operators or itself
+        self.started_work: set[tuple[str, int]] = set()  # machine and log index of its free step
         self.background_tasks: set[asyncio.Task[None]] = set()
         self.finished = False
 
     def start_tasks(self) -> list["asyncio.Task[None]"]:
-        """Start all; those that end by themselves before the trial's end are returned."""
+        """Starts all tasks; returns those that end before the end of the trial."""
         if not self.plan.jobs:
             return []
         self.script.write_text(COMMAND_SCRIPT)
@@ -119,14 +150,15 @@
         commands = [asyncio.ensure_future(self._command_job(each)) for each in self.plan.job_commands]
         return submissions + commands
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.ensure_future(work)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
     # --- operators ---
 
-    async def _call_any(self, path: str, body: dict[str, Any] | None = None) -> AdminResponse:
+    async def _call_any(self, path: str, body: JsonObject | None = None) -> AdminResponse:
+        """Calls a random process."""
         process = self.rng.choice(self.plan.process_names())
         return await self.context.admin.call(process, path, body)
 
@@ -162,43 +194,42 @@
     async def _publish_jobs(
         self, change: Callable[[Jobs], Jobs], reason: str, *, changed_job: str = ""
     ) -> None:
-        """Until it is in the history. Over 30 lines: one loop, whose every step may have to be taken again.
+        """Publishes a change of the jobs; repeats it until a process has it in its history.
 
         Args:
-            change: Makes the new document from the newest one that a dispatcher knows.
-            reason: Stands in the history with it, and tells it from others.
-            changed_job: Has to be known there already; the dispatcher that is asked may lag behind.
+            change: Makes the new jobs from the newest ones that a process knows.
+            reason: Identifies the change in the history.
+            changed_job: Must be known already; a process that lags behind may not know it yet.
 
         Raises:
-            PlanError: it was refused for what it says.
+            PlanError: The content was rejected.
         """
         while True:
-            known = await self._call_any(JOBS_PATH)
-            if not known.ok:
-                await asyncio.sleep(RETRY_INTERVAL)
-                continue
-            versions = {version["number"]: version for version in known.content["versions"]}
-            if any(version["reason"] == reason for version in versions.values()):
-                return
-            newest = known.content["newest"]
-            jobs = versions[newest]["text"]["works"] if newest else {}
-            if changed_job and changed_job not in jobs:
-                await asyncio.sleep(RETRY_INTERVAL)
-                continue
-            request = {
-                "call": f"{reason} {newest}",
-                "made-from": newest,
-                "author": "o",
-                "text": {"works": change(jobs)},
-                "reason": reason,
-            }
-            answer = await self._call_any(JOBS_PATH, request)
-            if answer.status == 400 or (answer.status == 409 and not answer.content.get("number")):
-                raise PlanError(f"{reason}: {answer.content['text']}")
+            response = await self._call_any(JOBS_PATH)
+            if response.ok:
+                history = msgspec.convert(response.content, JobsHistory)
+                if any(version.reason == reason for version in history.versions):
+                    return
+                jobs = history.newest_jobs()
+                if not changed_job or changed_job in jobs:
+                    await self._send_jobs(change(jobs), reason, history.newest)
             await asyncio.sleep(RETRY_INTERVAL)
 
+    async def _send_jobs(self, jobs: Jobs, reason: str, base_version: int) -> None:
+        request = {
+            "call": f"{reason} {base_version}",
+            "made-from": base_version,
+            "author": "o",
+            "text": {"works": jobs},
+            "reason": reason,
+        }
+        answer = await self._call_any(JOBS_PATH, request)
+        is_conflict = answer.status == STATUS_CONFLICT
+        if answer.status == STATUS_BAD_REQUEST or (is_conflict and not answer.content.get("number")):
+            raise PlanError(f"{reason}: {answer.content['text']}")
+
     async def _report_step(self, machine_id: str, step: str, number: int) -> bool:
-        """Ask until there is an outcome: whether the step was accepted."""
+        """Reports a maintenance step until a process accepts or rejects it; returns whether accepted."""
         request = {
             "call": f"{step} {machine_id} {number}",
             "machine": machine_id,
@@ -210,13 +241,13 @@
             answer = await self._call_any(MACHINES_PATH, request)
             if answer.ok:
                 return True
-            if answer.status == 409 and "out for any work" not in answer.content.get("text", ""):
+            if answer.status == STATUS_CONFLICT and "out for any work" not in answer.content.get("text", ""):
                 return False
             await asyncio.sleep(RETRY_INTERVAL)
         return False
 
     async def _play_operators(self) -> None:
-        """Somebody asks some process for machines that are free, and works on them."""
+        """Polls random processes for free machines and starts the work on them."""
         modes = {job.name: job.specification.get("way", "hand") for job in self.plan.jobs}
         while not self.finished:
             await asyncio.sleep(OPERATOR_INTERVAL)
@@ -224,14 +255,16 @@
             if not answer.ok:
                 continue
             for machine_id, machine in msgspec.convert(answer.content, MaintenanceView).machines.items():
-                if machine.state != "free" or (machine_id, machine.number) in self.started_work:
-                    continue
-                if modes[machine.job] == "hand" or machine.unhealthy:
-                    self.started_work.add((machine_id, machine.number))
-                    self._spawn(self._work_manually(machine_id, machine.job, machine.number))
-                elif modes[machine.job] == "list":
-                    self.started_work.add((machine_id, machine.number))
-                    self._spawn(self._work_on(machine_id, machine.job, machine.number))
+                if machine.state == "free" and (machine_id, machine.number) not in self.started_work:
+                    self._start_work(machine_id, machine, modes[machine.job])
+
+    def _start_work(self, machine_id: str, machine: MachineView, mode: str) -> None:
+        if mode == "hand" or machine.unhealthy:
+            self.started_work.add((machine_id, machine.number))
+            self._spawn(self._work_manually(machine_id, machine.job, machine.number))
+        elif mode == "list":
+            self.started_work.add((machine_id, machine.number))
+            self._spawn(self._work_on(machine_id, machine.job, machine.number))
 
     async def _work_manually(self, machine_id: str, job: str, number: int) -> None:
         if await self._report_step(machine_id, "begin", number):
@@ -259,7 +292,7 @@
         await backends.bring_up(machine_id)
 
     async def _follow_commands(self) -> None:
-        """Restart the machines on which commands run."""
+        """Reads the command log and restarts the machines on which commands run."""
         while not self.finished:
             await asyncio.sleep(POLL_INTERVAL)
             with self.command_log.open() as log:
@@ -267,9 +300,9 @@
                 text = log.read()
             self.command_log_offset += len(text)
             for line in text.splitlines():
-                self._command_wrote(msgspec.json.decode(line, type=CommandLine))
+                self._handle_command_line(msgspec.json.decode(line, type=CommandLine))
 
-    def _command_wrote(self, line: CommandLine) -> None:
+    def _handle_command_line(self, line: CommandLine) -> None:
         machine_id = line.machine_id
         if machine_id not in self.context.backends.backends:
             machine_id = DISPATCHER_PREFIX + machine_id
@@ -281,41 +314,46 @@
             if (run.machine_id, run.job, run.number) == (machine_id, line.job, line.number):
                 run.ended_at = line.at
 
-    # --- the end ---
+    # --- end of the trial ---
 
     async def wait_until_finished(self, seconds: float) -> dict[str, str]:
-        """Wait so long at most; of each job that did not end as it should, what is wrong."""
+        """Waits until the leader reports that all jobs have ended, for `seconds` at most.
+
+        Returns:
+            The reason by job, for jobs that did not end as specified.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while True:
-            leading = await self._ask_leader()
+            leading = await self._query_leader()
             if (leading and msgspec.convert(leading, MaintenanceView).is_finished()) or loop.time() > end:
                 break
             await asyncio.sleep(RETRY_INTERVAL)
         self.finished = True
-        await asyncio.sleep(2 * POLL_INTERVAL)
+        await asyncio.sleep(FINAL_READ_DELAY)
         for task in list(self.background_tasks):
             task.cancel()
         await asyncio.gather(*self.background_tasks, return_exceptions=True)
         if leading is None:
-            return {job.name: "nobody leads" for job in self.plan.jobs}
+            return {job.name: "no process is the leader" for job in self.plan.jobs}
         (self.context.folder / "works.json").write_text(json.dumps(leading, indent=1))
         return self._unfinished_jobs(msgspec.convert(leading, MaintenanceView))
 
-    async def _ask_leader(self) -> dict[str, Any] | None:
+    async def _query_leader(self) -> JsonObject | None:
+        """Returns the maintenance state of the leader, or None without one."""
         names = self.plan.process_names()
         answers = [await self.context.admin.call(name, MACHINES_PATH) for name in names]
         return next((answer.content for answer in answers if answer.ok and answer.content["leads"]), None)
 
     def _unfinished_jobs(self, view: MaintenanceView) -> dict[str, str]:
-        """Something is left of them, and nobody says why."""
+        """Returns the reason by job, for jobs with machines left for which no reason is reported."""
         waiting_machines = {wait.machine for wait in view.waits}
         waiting_jobs = {wait.job for wait in view.waits}
         faults = {}
         for submitted in self.plan.jobs:
             job = view.jobs.get(submitted.name)
             if job is None:
-                faults[submitted.name] = "was handed in and is not known"
+                faults[submitted.name] = "was submitted and is unknown to the leader"
                 continue
             left = [machine for machine in job.left if machine not in waiting_machines]
             explained = job.halted or submitted.name in waiting_jobs or job.state != "go"
--- a/crankfold/fault_injection/maintenance_invariants.py
+++ b/crankfold/fault_injection/maintenance_invariants.py
@@ -1,7 +1,7 @@
-"""Whether machines were out as their maintenance jobs allow, from what was recorded alone.
+"""Checks the guarantees of maintenance against the records of a trial.
 
-Shares no code with the program: what a step means for a machine is worked out here again. A check returns
-what broke the promise, or an empty text.
+Shares no code with the program: the meaning of each step is defined here again. A check returns a
+description of the first violation, or an empty text.
 """
 
 from collections import Counter, defaultdict
@@ -17,22 +17,22 @@
     TrialRecord,
 )
 
-DISCOVERY_DELAY = 1500 * MILLISECOND  # a loss is listed after this long at most, if no fault is between
+DISCOVERY_DELAY = 1500 * MILLISECOND  # nanoseconds until a loss is known to a dispatcher without faults
 OUT = "out"
 FREE = "free"
-RETURNING_STEPS = ("back", "gone", "out", "unwell")  # after these, a machine is not free any more
+RETURNING_STEPS = ("back", "gone", "out", "unwell")  # end the period in which a machine is free
 FAILED_STEPS = ("unwell", "undone")
 FINAL_STEPS = ("well", "undone", "gone")
-DISPATCHER_PREFIX = "@"  # of machines that are dispatchers
-ROUNDING = 1e-9  # of shares
+DISPATCHER_PREFIX = "@"  # of the ids of dispatchers
+SHARE_TOLERANCE = 1e-9  # for rounding of shares
 
 
 class MaintenanceChecker:
-    """Judges the promises on maintenance of a trial that is over."""
+    """Checks the guarantees of maintenance against the records of a finished trial."""
 
     def __init__(self, trial: TrialRecord) -> None:
         self.trial = trial
-        # By log entry, machine and step: the record of the process that knew of it first.
+        # By log index, machine and step: the earliest record of any process.
         first_known: dict[tuple[int, str, str], TransitionRecord] = {}
         for records in trial.process_records.values():
             for record in records:
@@ -43,7 +43,7 @@
         self.transitions = [first_known[key] for key in sorted(first_known)]  # in the log's order
 
     def checks(self) -> dict[Promise, Callable[[], str]]:
-        """The check of each promise on maintenance."""
+        """Returns the check of each guarantee of maintenance."""
         return {
             Promise.FREED_MACHINES: self.check_freed_machines,
             Promise.MAINTENANCE_LIMITS: self.check_limits,
@@ -52,8 +52,8 @@
         }
 
     def check_freed_machines(self) -> str:
-        """Nothing reaches a machine from when anybody knew that it is free until it is back."""
-        numbers: dict[str, int] = {}  # under which each machine was called free last
+        """No request reaches a machine from the first record that it is free until its return."""
+        numbers: dict[str, int] = {}  # log index of the latest free step, by machine
         for freed in self.transitions:
             machine_id = freed.machine_id
             if freed.step != FREE:
@@ -84,8 +84,8 @@
         )
 
     def check_limits(self) -> str:
-        """No limit of a job is exceeded when one more machine goes out; unplanned losses count."""
-        absent: dict[str, str] = {}  # machine to its job
+        """No limit of a job is exceeded when a machine goes out; lost machines count as out."""
+        absent: dict[str, str] = {}  # job by machine
         for transition in self.transitions:
             machine_id = transition.machine_id
             if transition.step == OUT and not machine_id.startswith(DISPATCHER_PREFIX):
@@ -100,7 +100,7 @@
         return self._check_dispatcher_limits()
 
     def _check_dispatcher_limits(self) -> str:
-        """At no moment more of them in work than their job allows; those killed by faults do not count."""
+        """Checks how many dispatchers are in maintenance at once; killed dispatchers do not count."""
         runs = [run for run in self.trial.runs if run.machine_id.startswith(DISPATCHER_PREFIX)]
         for run in runs:
             at_once = [
@@ -137,7 +137,7 @@
         if job.per_zone and len(zoned) >= job.per_zone:
             return f"{sorted(zoned)} are out, {name} allows {job.per_zone} in a zone"
         remaining = sum(one not in out and one != machine_id for one in zones) / max(len(zones), 1)
-        if remaining < job.remaining_share - ROUNDING:
+        if remaining < job.remaining_share - SHARE_TOLERANCE:
             return f"{remaining:.2f} stay, {name} wants {job.remaining_share}"
         return ""
 
@@ -153,7 +153,7 @@
         }
 
     def check_commands(self) -> str:
-        """Each ran once unless its job allows more, on a machine that was free, and never two at once."""
+        """Work is done on free machines only, and once for each job unless the job is repeatable."""
         runs: dict[tuple[str, str], list[MaintenanceRun]] = defaultdict(list)
         for run in self.trial.runs:
             runs[run.machine_id, run.job].append(run)
@@ -161,15 +161,21 @@
                 moment = self.trial.format_time(run.began_at)
                 return f"{run.machine_id} was worked on at {moment}, not free under {run.number}"
         for (machine_id, job), repeated in runs.items():
-            numbers = [run.number for run in repeated]
-            if len(set(numbers)) < len(numbers):
-                return f"{machine_id} was worked on twice for {job} under one number, {numbers}"
-            failed = any(
-                transition.machine_id == machine_id and transition.step in FAILED_STEPS
-                for transition in self.transitions
-            )
-            if len(repeated) > 1 and not self.trial.jobs[job].repeatable and not failed:
-                return f"{machine_id} was worked on {len(repeated)} times for {job}"
+            violation = self._repetition_violation(machine_id, job, repeated)
+            if violation:
+                return violation
+        return ""
+
+    def _repetition_violation(self, machine_id: str, job: str, runs: list[MaintenanceRun]) -> str:
+        numbers = [run.number for run in runs]
+        if len(set(numbers)) < len(numbers):
+            return f"{machine_id} was worked on twice for {job} under one number, {numbers}"
+        failed = any(
+            transition.machine_id == machine_id and transition.step in FAILED_STEPS
+            for transition in self.transitions
+        )
+        if len(runs) > 1 and not self.trial.jobs[job].repeatable and not failed:
+            return f"{machine_id} was worked on {len(runs)} times for {job}"
         return ""
 
     def _was_free(self, run: MaintenanceRun) -> bool:
@@ -183,11 +189,11 @@
         return bool(freed) and freed[0] <= run.began_at
 
     def check_job_ends(self) -> str:
-        """Every job is done, or it is said of each machine that is left why it is."""
+        """Every job is done, or the leader states a reason for each machine that is left."""
         return "; ".join(f"{job}: {fault}" for job, fault in self.trial.unfinished_jobs.items() if fault)
 
     def summary(self, promise: Promise) -> str:
-        """A figure of interest for a promise that held."""
+        """Returns the detail of a verdict without violation."""
         if promise is Promise.MAINTENANCE_LIMITS:
             steps = Counter(transition.step for transition in self.transitions)
             return ", ".join(f"{count} {step}" for step, count in steps.items())
@@ -198,7 +204,7 @@
         return ""
 
     def _longest_drain(self) -> int:
-        """From going out to the machine's next step, in nanoseconds."""
+        """Returns the longest time from a machine's step out to its next step, in nanoseconds."""
         durations = []
         for departure in self.transitions:
             if departure.step == OUT:
--- a/crankfold/fault_injection/operators.py
+++ b/crankfold/fault_injection/operators.py
@@ -1,17 +1,16 @@
-"""Operators who publish documents at random during a trial, and write down what they were told."""
+"""Operators that publish random documents during a trial and record the results."""
 
 import asyncio
 from random import Random
-from typing import Any
 
 from crankfold.fault_injection.configuration import ALLOWED, IDEMPOTENCY_VALUES, request_class_settings
 from crankfold.fault_injection.context import TrialContext
-from crankfold.fault_injection.http_client import boot_time_ns
-from crankfold.fault_injection.records import PublishOutcome, PublishRecord
+from crankfold.fault_injection.http_client import STATUS_CONFLICT, boot_time_ns
+from crankfold.fault_injection.records import SETTINGS, JsonObject, PublishOutcome, PublishRecord
 
 
 class Operators:
-    """Publish as the plan says, each time at processes drawn by the seed."""
+    """Publishes documents at random processes, as the plan specifies."""
 
     def __init__(self, context: TrialContext) -> None:
         self.context = context
@@ -19,7 +18,7 @@
         self.rng = Random(f"{context.seed} operators")
 
     async def run(self) -> None:
-        """Publish until the plan's end, and wait for the last answers."""
+        """Publishes until the end of the plan and waits for the last responses."""
         plan = self.context.plan
         names = plan.process_names()
         count = 0
@@ -34,8 +33,8 @@
                 tasks.append(asyncio.ensure_future(self._publish(f"call{count}", process, document)))
         await asyncio.gather(*tasks)
 
-    def _random_content(self, document: str) -> dict[str, Any]:
-        if document == "settings":
+    def _random_content(self, document: str) -> JsonObject:
+        if document == SETTINGS:
             classes = request_class_settings(self.rng.choice(IDEMPOTENCY_VALUES))
             return {"service-grades": classes, "allowed": ALLOWED}
         backend_ids = list(self.context.plan.machine_zones())
@@ -67,5 +66,5 @@
             if answer.ok and answer.content.get("well"):
                 publish.outcome = PublishOutcome.CONFIRMED
                 publish.version = answer.content["number"]
-            elif answer.status == 409 and publish.outcome is PublishOutcome.UNKNOWN:
+            elif answer.status == STATUS_CONFLICT and publish.outcome is PublishOutcome.UNKNOWN:
                 publish.outcome = PublishOutcome.REFUSED
--- a/crankfold/fault_injection/plan.py
+++ b/crankfold/fault_injection/plan.py
@@ -1,15 +1,15 @@
-"""What a trial is to do, read from TOML and checked. `docs/trial.md` explains each key."""
+"""Trial plans: decoded from TOML and validated. `docs/trial.md` explains each key."""
 
 import tomllib
 from enum import StrEnum
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta, Struct, field
 
 from crankfold.errors import CrankfoldError
-from crankfold.fault_injection.records import Promise
+from crankfold.fault_injection.records import JsonObject, Promise
 
 PositiveNumber = Annotated[float, Meta(gt=0)]
 NonNegativeNumber = Annotated[float, Meta(ge=0)]
@@ -17,31 +17,32 @@
 
 PROMISES = tuple(promise.value for promise in Promise)
 ANY = "*"  # every process, or every receiver
-LEADER = "leader"  # whichever process leads when the fault begins
+LEADER = "leader"  # the process that is the leader when the fault begins
+UNLIMITED_SECONDS = 1e9
 
 
 class PlanError(CrankfoldError):
-    """The plan can't be used; the text says where and why, in a line."""
+    """A plan is not valid or cannot be carried out; the text is one line with the place and the reason."""
 
 
 class FaultKind(StrEnum):
-    """What goes wrong, by the names that plans use."""
-
-    LOSS = "loss"  # a share of the messages on a link is lost
-    DELAY = "delay"  # messages take up to so much longer, and overtake one another
-    DUPLICATION = "double"  # a share of the messages arrives twice
-    CUT = "cut"  # nothing passes
-    RESET = "reset"  # connections break again and again
-    SLOW = "slow"  # a link passes so many bytes a second
-    KILL = "kill"  # a process dies and starts again at the end
-    PAUSE = "pause"  # a process stands still
-    FULL_DISK = "disk"  # no file of a process may grow
-    DRAIN = "drain"  # a process is told to end, and starts again at the end
-    REPLACEMENT = "replace"  # another process takes over, as at an upgrade
-    LATE_LIST = "list-late"  # discovery tells of changes late
+    """Kinds of faults; the values are the names in plans."""
+
+    LOSS = "loss"  # a link drops a share of the messages
+    DELAY = "delay"  # a link delays each message by a random time below `ms`, so that it reorders them
+    DUPLICATION = "double"  # a link delivers a share of the messages twice
+    CUT = "cut"  # a link drops all messages
+    RESET = "reset"  # connections are reset repeatedly
+    SLOW = "slow"  # a link has the bandwidth `bytes-a-second`
+    KILL = "kill"  # a process is killed and restarts at the end of the fault
+    PAUSE = "pause"  # a process is stopped and continues at the end of the fault
+    FULL_DISK = "disk"  # the files of a process cannot grow
+    DRAIN = "drain"  # a process ends gracefully and restarts at the end of the fault
+    REPLACEMENT = "replace"  # a new process takes over, as at an upgrade
+    LATE_LIST = "list-late"  # discovery publishes changes late
     SILENT_LIST = "list-down"  # discovery does not answer
-    BACKEND_LOSS = "lose"  # backends are gone and come back cold
-    BACKEND_SUCCESSION = "succeed"  # other backends come in the place of those that are gone
+    BACKEND_LOSS = "lose"  # backends fail and return in slow start
+    BACKEND_SUCCESSION = "succeed"  # new backends replace failed ones
 
 
 PROCESS_FAULTS = frozenset(
@@ -52,15 +53,15 @@
 
 
 class PublishSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
-    """How operators publish during the trial."""
+    """The publishes of operators during the trial."""
 
     mean_interval: PositiveNumber = field(name="every", default=0.7)  # seconds
-    until: NonNegativeNumber = 1e9  # seconds from the start
+    until: NonNegativeNumber = UNLIMITED_SECONDS  # seconds from the start
     documents: list[Literal["settings", "runners-out"]] = field(
         default_factory=lambda: ["settings", "runners-out"]
     )
     at_once: Annotated[int, Meta(ge=1, le=8)] = 1  # operators that publish at the same moment
-    repeat_share: Share = field(name="repeat", default=0.0)  # asked for twice with the same call
+    repeat_share: Share = field(name="repeat", default=0.0)  # of the publishes, sent twice with one call id
 
 
 class FaultSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
@@ -69,28 +70,28 @@
     kind: FaultKind
     begin: NonNegativeNumber
     end: NonNegativeNumber
-    target: str = field(name="at", default=ANY)  # a process, LEADER or ANY; of a link the sender
+    target: str = field(name="at", default=ANY)  # a process, LEADER or ANY; the sender for faults of links
     receiver: str = field(name="to", default=ANY)  # of a link
-    both_ways: bool = field(name="both", default=False)  # of a link: the way back too
+    both_ways: bool = field(name="both", default=False)  # of a link: also from the receiver to the sender
     share: Share = 1.0  # of the messages
     delay_ms: NonNegativeNumber = field(name="ms", default=0.0)
     bytes_per_second: PositiveNumber = field(name="bytes-a-second", default=10_000.0)
-    keep_folder: bool = True  # of a process that is killed
-    on_step: str = ""  # not at `begin`, but when a machine's next such step after it is known anywhere
+    keep_folder: bool = True  # whether a killed process keeps its storage
+    on_step: str = ""  # if set, the fault begins at the first record of this maintenance step after `begin`
 
 
 class JobSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A maintenance job that is submitted; its own fields are checked by the program."""
+    """A maintenance job that an operator submits; the program validates its specification."""
 
     name: str
-    specification: dict[str, Any] = field(name="work")
+    specification: JsonObject = field(name="work")
     begin: NonNegativeNumber = 1.0  # seconds from the start
-    down_seconds: PositiveNumber = field(name="lasts", default=0.5)  # that a machine is down for it
+    down_seconds: PositiveNumber = field(name="lasts", default=0.5)  # downtime of each machine
     failure_share: Share = field(name="fails", default=0.0)  # of the commands
 
 
 class JobCommand(Struct, rename="kebab", forbid_unknown_fields=True):
-    """An operator sets the state of a job under way."""
+    """An operator's change of the state of a running job."""
 
     name: str
     begin: NonNegativeNumber  # seconds from the start
@@ -98,7 +99,7 @@
 
 
 class TrialPlan(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A trial: its processes, load, faults, and the promises to check."""
+    """A trial: its processes, load, faults, and the guarantees to check."""
 
     name: Annotated[str, Meta(pattern="^[a-z0-9-]+$")]
     seconds: PositiveNumber
@@ -111,35 +112,37 @@
     backends: Annotated[int, Meta(ge=1, le=50)] = field(name="runners", default=4)
     load: Annotated[float, Meta(ge=0, le=2000)] = 60.0  # requests a second at all processes together
     mean_run_ms: PositiveNumber = field(name="work-ms", default=40.0)
-    failure_share: Share = field(name="fails", default=0.1)  # of the runs that a backend calls failed
-    long_share: Share = field(name="long", default=0.0)  # of the requests that run for `long_ms`
+    failure_share: Share = field(name="fails", default=0.1)  # of the requests at backends
+    long_share: Share = field(name="long", default=0.0)  # of the requests, with the duration `long_ms`
     long_ms: PositiveNumber = 8000.0
     zones: Annotated[int, Meta(ge=1, le=10)] = 1
     slow_start_seconds: NonNegativeNumber = field(name="warm-after", default=0.0)
-    settle_seconds: NonNegativeNumber = field(name="settle", default=15.0)  # for jobs, after the end
+    settle_seconds: NonNegativeNumber = field(
+        name="settle", default=15.0
+    )  # for jobs, after the end of the load
     publish: PublishSpecification = field(default_factory=PublishSpecification)
     faults: list[FaultSpecification] = field(name="fault", default_factory=list)
     jobs: list[JobSpecification] = field(name="work", default_factory=list)
     job_commands: list[JobCommand] = field(name="turn", default_factory=list)
 
     def process_names(self) -> list[str]:
-        """The voters first, then the followers."""
+        """Returns the names of all processes, voters first."""
         return [f"n{number}" for number in range(self.voters + self.followers)]
 
     def voter_names(self) -> list[str]:
-        """The processes that vote."""
+        """Returns the names of the voters."""
         return self.process_names()[: self.voters]
 
     def machine_zones(self) -> dict[str, str]:
-        """The zone of each backend."""
+        """Returns the zone by backend."""
         return {f"r{number}": f"z{number % self.zones}" for number in range(self.backends)}
 
 
 def load_plan(path: Path) -> TrialPlan:
-    """Read a plan and check it as a whole.
+    """Reads and validates a plan.
 
     Raises:
-        PlanError: it can't be used.
+        PlanError: The file cannot be read or is not valid.
     """
     try:
         plan = msgspec.convert(tomllib.loads(path.read_text()), TrialPlan)
--- a/crankfold/fault_injection/processes.py
+++ b/crankfold/fault_injection/processes.py
@@ -1,4 +1,4 @@
-"""The dispatcher processes of a trial: how each is started, and the faults that hit one of them."""
+"""The dispatcher processes of a trial: start, end, and faults of a single process."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,15 @@
 import sys
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-from crankfold.fault_injection.http_client import HOST, boot_time_ns, find_free_port, http_call
-from crankfold.fault_injection.records import FOREVER, Period
+from crankfold.fault_injection.http_client import (
+    HOST,
+    STATUS_OK,
+    boot_time_ns,
+    find_free_port,
+    http_call,
+)
+from crankfold.fault_injection.records import FOREVER, JsonObject, Period
 
 ROOT = Path(__file__).parents[2]
 READY_TIMEOUT = 20.0  # seconds
@@ -20,22 +25,22 @@
 POLL_INTERVAL = 0.02  # seconds
 READY_POLL_INTERVAL = 0.05  # seconds
 RECORD_LINE_LIMIT = 1 << 24  # bytes
-FULL_DISK_FILE_SIZE = 16  # bytes that a file may grow to
-RESUME_GRACE = 500_000_000  # nanoseconds; clients may have given up on a process that stood still
+FULL_DISK_FILE_SIZE = 16  # bytes; the limit of each file of a process with a full disk
+RESUME_GRACE = 500_000_000  # nanoseconds after a pause in which clients may still time out
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFiles:
-    """Where a process keeps what it needs, all in the trial's folder."""
+    """The paths of the files of a process in the folder of the trial."""
 
     config: Path
     storage: Path  # folder of the voter's log
-    handover: Path  # folder by which a replacement finds it
+    handover: Path  # folder of the handover socket
     log: Path
 
     @classmethod
     def in_folder(cls, folder: Path, name: str) -> "ProcessFiles":
-        """The files of the process of that name."""
+        """Returns the paths for the process `name`."""
         return cls(
             config=folder / f"{name}.json",
             storage=folder / name,
@@ -45,23 +50,23 @@
 
 
 class ManagedProcess:
-    """A dispatcher that the trial starts, ends, and disturbs."""
+    """A dispatcher process that the trial starts, ends and injects faults into."""
 
     def __init__(self, name: str, files: ProcessFiles, port: int) -> None:
         self.name = name
         self.files = files
         self.port = port  # for clients
         self.running: asyncio.subprocess.Process | None = None
-        self.admin_options: tuple[str, ...] = ()  # of the last replacement: it keeps its port when restarted
-        self.restart_lock = asyncio.Lock()  # one fault or job ends and starts it at a time
+        self.admin_options: tuple[str, ...] = ()  # of the latest replacement, also for its restarts
+        self.restart_lock = asyncio.Lock()  # held by the fault or job that restarts the process
         self.record_key = name
-        # As written, one JSON object each; those of two processes that ran side by side apart.
-        self.raw_records: dict[str, list[dict[str, Any]]] = {}
+        # By record key; a replacement writes under a key of its own, as it runs beside its predecessor.
+        self.raw_records: dict[str, list[JsonObject]] = {}
         self.reader_tasks: list[asyncio.Task[None]] = []
         self.downtimes: list[Period] = []
 
     async def start(self) -> None:
-        """Start it; if it was down, wait until it accepts connections again."""
+        """Starts the process; after a downtime, waits until it accepts connections again."""
         with self.files.log.open("ab") as log:
             self.running = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-O", "-m", "crankfold", "serve"),
@@ -85,30 +90,30 @@
         return bool(self.downtimes) and self.downtimes[-1].end == FOREVER
 
     @staticmethod
-    async def _read_records(running: asyncio.subprocess.Process, records: list[dict[str, Any]]) -> None:
+    async def _read_records(running: asyncio.subprocess.Process, records: list[JsonObject]) -> None:
         assert running.stdout is not None
         while line := await running.stdout.readline():
-            if line.endswith(b"}\n"):  # one that was killed may leave a part of a line
+            if line.endswith(b"}\n"):  # a killed process may leave an incomplete last line
                 records.append(json.loads(line))
 
     def is_alive(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process has started and not ended."""
         return self.running is not None and self.running.returncode is None
 
     def send_signal(self, number: int) -> None:
-        """Signal it, if it is there."""
+        """Sends a signal to the process if it is alive."""
         if self.running and self.is_alive():
             self.running.send_signal(number)
 
     async def kill(self) -> None:
-        """End it at once; it is down until it is started again."""
+        """Kills the process; its downtime lasts until the next start."""
         if self.running and self.is_alive():
             self.downtimes.append(Period(boot_time_ns()))
             self.running.kill()
             await self.running.wait()
 
     async def shut_down(self) -> None:
-        """Wait until it has ended by itself, or kill it; all its records are read then."""
+        """Waits until the process ends, kills it after `SHUTDOWN_TIMEOUT`, and reads its last records."""
         if self.running:
             try:
                 async with asyncio.timeout(SHUTDOWN_TIMEOUT):
@@ -118,10 +123,10 @@
                 await self.running.wait()
         await asyncio.gather(*self.reader_tasks, return_exceptions=True)
 
-    # --- faults; each takes so many seconds ---
+    # --- faults; `seconds` is the duration of each ---
 
     async def kill_and_restart(self, seconds: float, *, keep_folder: bool) -> None:
-        """It dies, perhaps with what it stored, and starts again."""
+        """Kills the process, optionally deletes its storage, and starts it again."""
         await self.kill()
         if not keep_folder:
             shutil.rmtree(self.files.storage)
@@ -129,7 +134,7 @@
         await self.start()
 
     async def pause(self, seconds: float) -> None:
-        """It stands still."""
+        """Stops the process with SIGSTOP, then continues it."""
         begin = boot_time_ns()
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
@@ -137,7 +142,7 @@
         self.downtimes.append(Period(begin, boot_time_ns() + RESUME_GRACE))
 
     async def drain_and_restart(self, seconds: float) -> None:
-        """It is told to end, and started again; meanwhile its clients find nobody."""
+        """Ends the process gracefully and starts it again; it refuses connections in between."""
         if self.running and self.is_alive():
             self.downtimes.append(Period(boot_time_ns()))
             self.send_signal(signal.SIGTERM)
@@ -145,20 +150,17 @@
         await self.start()
 
     async def replace(self, admin_ports: dict[str, int]) -> None:
-        """Another process takes its place under load, as at an upgrade, with an admin port of its own."""
+        """Replaces the process under load, as at an upgrade; the replacement gets its own admin port.
+
+        Args:
+            admin_ports: By process; receives the new admin port.
+        """
         predecessor = self.running
         admin_port = find_free_port()
         self.record_key += "'"
         self.admin_options = ("--admin", f"{HOST}:{admin_port}")
         await self.start()
-        loop = asyncio.get_running_loop()
-        end = loop.time() + READY_TIMEOUT
-        while loop.time() < end:
-            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                response = await http_call(admin_port, "/control/ready")
-                if response.status == 200:
-                    break
-            await asyncio.sleep(READY_POLL_INTERVAL)
+        await _wait_until_ready(admin_port)
         admin_ports[self.name] = admin_port
         if predecessor and predecessor.returncode is None:
             predecessor.send_signal(signal.SIGTERM)
@@ -166,10 +168,22 @@
         await asyncio.sleep(0)
 
     async def fill_disk(self, seconds: float) -> None:
-        """None of its files may grow any more: it disables itself, is killed, and starts again."""
+        """Limits the size of the process's files as a full disk does, then kills and starts it."""
         if self.running and self.is_alive():
             limits = (FULL_DISK_FILE_SIZE, resource.RLIM_INFINITY)
             resource.prlimit(self.running.pid, resource.RLIMIT_FSIZE, limits)
         await asyncio.sleep(seconds)
         await self.kill()
         await self.start()
+
+
+async def _wait_until_ready(admin_port: int) -> None:
+    """Polls the readiness of a process, for `READY_TIMEOUT` at most."""
+    loop = asyncio.get_running_loop()
+    end = loop.time() + READY_TIMEOUT
+    while loop.time() < end:
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            response = await http_call(admin_port, "/control/ready")
+            if response.status == STATUS_OK:
+                break
+        await asyncio.sleep(READY_POLL_INTERVAL)
--- a/crankfold/fault_injection/records.py
+++ b/crankfold/fault_injection/records.py
@@ -1,6 +1,6 @@
-"""What is known of a trial once it is over: the evidence that the invariant checks judge.
+"""The records of a trial, from which the invariant checks give their verdicts.
 
-Times are nanoseconds on the boot-time clock, by which processes and stand-ins stamp alike.
+Times are nanoseconds on the boot-time clock, which all processes and stand-ins of a trial share.
 """
 
 import json
@@ -9,13 +9,19 @@
 from typing import Any, NamedTuple
 
 MILLISECOND = 1_000_000  # nanoseconds
-FOREVER = 1 << 62  # a time that never comes, in nanoseconds
-DOCUMENTS = ("settings", "runners-out")  # the documents that a trial's operators publish
+NANOSECONDS_PER_SECOND = 1e9
+FOREVER = 1 << 62  # nanoseconds, after the end of every trial
+SETTINGS = "settings"
 DRAINED_BACKENDS = "runners-out"
+DOCUMENTS = (SETTINGS, DRAINED_BACKENDS)  # published by the operators of a trial
+STATUS_DIGITS = 3  # of an HTTP response
+DEFAULT_REMAINING_SHARE = 0.5  # of the machines, if a job does not state it
+
+JsonObject = dict[str, Any]  # in the form of the program's files and messages
 
 
 class Promise(StrEnum):
-    """What a plan can have checked, by the names that plans use."""
+    """The guarantees that a plan can check; the values are the names in plans."""
 
     STALENESS_BOUND = "bound"
     KNOWN_BEFORE_EFFECT = "heard-first"
@@ -34,48 +40,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a promise held; `detail` says what broke it, or a figure of interest where it held."""
+    """The result of checking one guarantee.
+
+    `detail` describes the first violation, or summarizes the trial if there is none.
+    """
 
     promise: Promise
-    held: bool
+    satisfied: bool
     detail: str
 
 
 @dataclass(slots=True)
 class Period:
-    """From one time to another; to `FOREVER` while it lasts."""
+    """A period of time, in nanoseconds; its end is `FOREVER` while it lasts."""
 
     begin: int
     end: int = FOREVER
 
     def overlaps(self, begin: int, end: int) -> bool:
-        """Whether it has a moment in common with the period from `begin` to `end`."""
+        """Whether the period overlaps the one from `begin` to `end`, both inclusive."""
         return self.begin <= end and begin <= self.end
 
 
 class VersionState(NamedTuple):
-    """How far a process is with a document; they sort in the order of the history."""
+    """The versions of a document at a process. States sort in the order of the history."""
 
-    newest: int  # the newest version that it knows of
-    active: int  # the one that it acts on
+    newest: int  # the newest version that the process knows
+    active: int  # the version in force at the process
 
     def __str__(self) -> str:
-        """As verdicts show it."""
+        """Returns the form that verdicts show."""
         return f"({self.newest}, {self.active})"
 
 
 @dataclass(slots=True)
 class ConfigurationRecord:
-    """A process acts on other documents from now on."""
+    """A process activated other versions of documents."""
 
     at: int
     versions: dict[str, VersionState]  # by document
-    configuration: dict[str, Any]  # by document, what it acts on
+    configuration: JsonObject  # content in force, by document
 
 
 @dataclass(slots=True)
 class ActionRecord:
-    """A process did something with a request, under the versions it had then."""
+    """A process accepted, sent or answered a request, with its document versions at that time."""
 
     at: int
     kind: str
@@ -86,7 +95,7 @@
 
 @dataclass(slots=True)
 class TransitionRecord:
-    """A process learned that a machine took a step of its maintenance."""
+    """A process learned of a step in the maintenance of a machine."""
 
     at: int
     machine_id: str
@@ -98,8 +107,13 @@
 ProcessRecord = ConfigurationRecord | ActionRecord | TransitionRecord
 
 
-def parse_record(raw: dict[str, Any]) -> ProcessRecord:
-    """A record as a process wrote it, as one JSON object a line."""
+def is_step_record(raw: JsonObject, step: str, since: int) -> bool:
+    """Whether a raw record is a maintenance step of this name after `since` (nanoseconds)."""
+    return bool(raw["what"] == "step" and raw["step"] == step and raw["at"] > since)
+
+
+def parse_record(raw: JsonObject) -> ProcessRecord:
+    """Decodes a record; a process writes each as one JSON object a line."""
     if raw["what"] == "step":
         return TransitionRecord(
             at=raw["at"],
@@ -134,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedRequest:
-    """A client sent a request to a dispatcher."""
+    """A stand-in client sent a request to a dispatcher."""
 
     at: int
     dispatcher: str
@@ -143,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """What a client got: status and body, or what became of the connection."""
+    """The answer to a client: status and body, or the failure of the connection."""
 
     at: int
     request_id: str
@@ -152,13 +166,13 @@
 
     @property
     def status(self) -> str:
-        """The three digits of the HTTP status, if there was one."""
-        return self.text[:3]
+        """The digits of the HTTP status; another text if the connection failed."""
+        return self.text[:STATUS_DIGITS]
 
 
 @dataclass(slots=True)
 class Observations:
-    """What the stand-ins saw, in the order of time."""
+    """The events at the stand-ins, in the order of their times."""
 
     received_requests: list[ReceivedRequest] = field(default_factory=list)
     answers: list[ClientAnswer] = field(default_factory=list)
@@ -166,7 +180,7 @@
 
 
 class PublishOutcome(StrEnum):
-    """What an operator was told of a publish."""
+    """The result of a publish as its operator received it."""
 
     CONFIRMED = "confirmed"
     REFUSED = "refused"
@@ -175,13 +189,13 @@
 
 @dataclass(slots=True)
 class PublishRecord:
-    """A publish as its operator saw it."""
+    """A publish with its result. Times are nanoseconds."""
 
     call_id: str
     started_at: int
     process: str
     document: str
-    content: dict[str, Any]
+    content: JsonObject
     outcome: PublishOutcome = PublishOutcome.UNKNOWN
     version: int = 0
     ended_at: int = 0
@@ -189,21 +203,21 @@
 
 @dataclass(slots=True)
 class DocumentVersion:
-    """A version of a document, as a process has it at the end."""
+    """A version of a document in the history of a process at the end of the trial."""
 
     number: int
     reason: str
-    content: dict[str, Any]
-    other_fields: dict[str, Any] = field(default_factory=dict)
+    content: JsonObject
+    other_fields: JsonObject = field(default_factory=dict)
 
     @classmethod
-    def from_raw(cls, raw: dict[str, Any]) -> "DocumentVersion":
-        """A version as the admin server shows it."""
+    def from_raw(cls, raw: JsonObject) -> "DocumentVersion":
+        """Decodes a version from the response of an admin server."""
         other = {name: value for name, value in raw.items() if name not in ("number", "reason", "text")}
         return cls(number=raw["number"], reason=raw["reason"], content=raw["text"], other_fields=other)
 
     def canonical(self) -> str:
-        """A text that is the same for two versions only if all their fields are."""
+        """Returns a text that is equal for two versions if and only if all their fields are."""
         return json.dumps([self.number, self.reason, self.content, self.other_fields], sort_keys=True)
 
 
@@ -213,24 +227,24 @@
 
 @dataclass(frozen=True, slots=True)
 class JobLimits:
-    """What a maintenance job allows, read from its specification without the program's code."""
+    """The limits of a maintenance job, decoded without the program's own code."""
 
     on_dispatchers: bool
-    at_once: int
-    per_zone: int  # 0 if it is not limited
-    remaining_share: float  # of all machines, that has to stay in service
-    repeatable: bool  # its command may run again on a machine
+    at_once: int  # machines
+    per_zone: int  # machines; 0 for no limit
+    remaining_share: float  # of all machines, must stay in service
+    repeatable: bool  # the command may run again on a machine
     zones: frozenset[str]  # empty for all
     machines: frozenset[str]  # empty for all
 
     @classmethod
-    def from_specification(cls, specification: dict[str, Any]) -> "JobLimits":
-        """The limits of a job as a plan hands it in."""
+    def from_specification(cls, specification: JsonObject) -> "JobLimits":
+        """Decodes the limits from the specification of a job in a plan."""
         return cls(
             on_dispatchers=specification.get("of") == "dispatchers",
             at_once=specification.get("at-once", 1),
             per_zone=specification.get("a-zone", 0),
-            remaining_share=specification.get("stays", 0.5),
+            remaining_share=specification.get("stays", DEFAULT_REMAINING_SHARE),
             repeatable=specification.get("again", False),
             zones=frozenset(specification.get("zones") or ()),
             machines=frozenset(specification.get("machines") or ()),
@@ -239,16 +253,16 @@
 
 @dataclass(slots=True)
 class MaintenanceRun:
-    """Work on a machine, as whoever did it saw it."""
+    """Work on a machine, recorded by the operator or the command that did it."""
 
     machine_id: str
     job: str
-    number: int  # under which the machine was called free
+    number: int  # log index of the step that freed the machine
     began_at: int
-    ended_at: int = 0  # 0 while it goes on
+    ended_at: int = 0  # 0 while the work lasts
 
     def format_line(self) -> str:
-        """The line that a trial's folder keeps of it."""
+        """Returns the line for the file `runs.txt` of the trial."""
         return (
             f"Run(uid={self.machine_id!r}, work={self.job!r}, number={self.number}, "
             f"begin={self.began_at}, end={self.ended_at})"
@@ -257,25 +271,25 @@
 
 @dataclass(slots=True)
 class TrialRecord:
-    """All that is known of a trial once it is over."""
+    """All records of a finished trial."""
 
-    staleness_bound: int  # how long two processes may act on contradicting documents
+    staleness_bound: int  # nanoseconds in which two processes may act on different documents
     process_records: dict[str, list[ProcessRecord]]  # by process, in the order written
     observations: Observations
     publishes: list[PublishRecord]
     histories: Histories
     downtimes: dict[str, list[Period]]  # by process
-    final_faults: dict[str, str] = field(default_factory=dict)  # by process, why it is not healthy, or ""
+    final_faults: dict[str, str] = field(default_factory=dict)  # reason by process; "" if healthy
     zones: dict[str, str] = field(default_factory=dict)  # by backend
     jobs: dict[str, JobLimits] = field(default_factory=dict)
     runs: list[MaintenanceRun] = field(default_factory=list)
     losses: dict[str, list[Period]] = field(default_factory=dict)  # by backend
-    unfinished_jobs: dict[str, str] = field(default_factory=dict)  # by job, what is wrong with its end
+    unfinished_jobs: dict[str, str] = field(default_factory=dict)  # reason by job
 
     def started_at(self) -> int:
-        """When the first process wrote its first record."""
+        """Returns the time of the first record of any process."""
         return min((records[0].at for records in self.process_records.values() if records), default=0)
 
     def format_time(self, time_ns: int) -> str:
-        """The time since the start, in seconds."""
-        return f"{(time_ns - self.started_at()) / 1e9:.3f} s"
+        """Returns the time since the start of the trial, in seconds."""
+        return f"{(time_ns - self.started_at()) / NANOSECONDS_PER_SECOND:.3f} s"
--- a/crankfold/fault_injection/stand_ins.py
+++ b/crankfold/fault_injection/stand_ins.py
@@ -1,4 +1,4 @@
-"""Backends, discovery and clients, in the trial's own process. They write down all that they see."""
+"""Stand-ins for backends, discovery and clients, in the trial's own process; they record all events."""
 
 import asyncio
 import contextlib
@@ -7,10 +7,11 @@
 import time
 from dataclasses import dataclass
 from random import Random
-from typing import Any
 
 from crankfold.fault_injection.http_client import (
     HOST,
+    STATUS_NO_CONTENT,
+    STATUS_OK,
     boot_time_ns,
     find_free_port,
     http_call,
@@ -18,6 +19,7 @@
 )
 from crankfold.fault_injection.records import (
     ClientAnswer,
+    JsonObject,
     Observations,
     ReceivedRequest,
     SubmittedRequest,
@@ -27,22 +29,26 @@
 CALLBACK_ATTEMPTS = 5
 CALLBACK_TIMEOUT = 1.0  # seconds
 CALLBACK_PAUSE = 0.1  # seconds between attempts
-POLL_DURATION = 3.0  # seconds that discovery keeps a poll waiting if nothing changes
-POLL_STEP = 0.03  # seconds
-CLIENT_TIMEOUT = 7.0  # seconds; clients give the dispatchers three
-LAST_ANSWERS_TIMEOUT = 8.0  # seconds after the load's end
+MIN_RUN_FACTOR = 0.5  # of the mean duration of a request
+MAX_RUN_FACTOR = 1.5
+POLL_DURATION = 3.0  # seconds until discovery answers a long poll without a change
+POLL_STEP = 0.03  # seconds between checks for a change
+REQUEST_TIMEOUT = 3  # seconds that clients give the dispatchers
+CLIENT_TIMEOUT = 7.0  # seconds until a client closes its connection
+LAST_ANSWERS_TIMEOUT = 8.0  # seconds after the end of the load
+NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 class StandInServer:
-    """Listens on a port that it keeps, also where it dies and comes back."""
+    """A server that keeps its port when it is closed and opened again."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
-        self.port = 0  # the one that it has, if it was there before
+        self.port = 0  # 0 before it is opened first
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> int:
-        """Listen; the port."""
+        """Starts to listen and returns the port."""
         self.port = self.port or find_free_port()
         self.server = await asyncio.start_server(self._handle_connection, HOST, self.port)
         return self.port
@@ -52,7 +58,7 @@
         try:
             await self._serve(reader, writer)
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
-            pass  # the other side is done, or the trial
+            pass  # the peer closed the connection, or the trial ends
         finally:
             self.writers.discard(writer)
             writer.close()
@@ -61,12 +67,12 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stops listening."""
         if self.server:
             self.server.close()
 
     def abort(self) -> None:
-        """As a machine that is gone: nobody listens, and connections break."""
+        """Stops listening and aborts all connections, as a failed machine does."""
         self.close()
         for writer in list(self.writers):
             writer.transport.abort()
@@ -74,16 +80,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendBehavior:
-    """How long requests run at stand-in backends, and how many fail."""
+    """Durations and failures of requests at stand-in backends."""
 
     mean_seconds: float
-    failure_share: float
+    failure_share: float  # of the requests
     long_share: float = 0.0  # share of the requests that run for `long_seconds`
     long_seconds: float = 0.0
 
 
 class StandInBackend(StandInServer):
-    """Runs requests for a while and tells their dispatcher by a callback what became of them."""
+    """Executes requests by waiting, and reports each result to its dispatcher by a callback."""
 
     def __init__(
         self,
@@ -125,9 +131,11 @@
         async with self.slots:
             self.busy_slots += 1
             is_long = behavior.long_share and self.rng.random() < behavior.long_share
-            await asyncio.sleep(
-                behavior.long_seconds if is_long else behavior.mean_seconds * self.rng.uniform(0.5, 1.5)
-            )
+            if is_long:
+                seconds = behavior.long_seconds
+            else:
+                seconds = behavior.mean_seconds * self.rng.uniform(MIN_RUN_FACTOR, MAX_RUN_FACTOR)
+            await asyncio.sleep(seconds)
             self.busy_slots -= 1
         state = "failed" if self.rng.random() < behavior.failure_share else "done"
         await self._call_back(request_id, state)
@@ -147,12 +155,12 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
                 async with asyncio.timeout(CALLBACK_TIMEOUT):
                     response = await http_call(self.callback_ports[dispatcher], "/v1/job-events", body)
-                if response.status in (200, 204):
+                if response.status in (STATUS_OK, STATUS_NO_CONTENT):
                     return
             await asyncio.sleep(CALLBACK_PAUSE)
 
     def close(self) -> None:
-        """Stop to listen; what runs is lost."""
+        """Stops listening and drops all requests."""
         super().close()
         for task in self.tasks:
             task.cancel()
@@ -162,14 +170,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A backend as discovery lists it."""
+    """A backend in the endpoint list."""
 
     port: int
     zone: str
     started_ms: int  # since the epoch
 
-    def to_target(self, backend_id: str) -> dict[str, Any]:
-        """The entry on the wire."""
+    def to_target(self, backend_id: str) -> JsonObject:
+        """Encodes the entry in the form of the discovery protocol."""
         return {
             "uid": backend_id,
             "endpoint": f"{HOST}:{self.port}",
@@ -184,26 +192,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """The list as it is from a moment on the monotonic clock, in seconds."""
+    """A version of the endpoint list."""
 
-    since: float
-    targets: list[dict[str, Any]]
+    since: float  # seconds on the monotonic clock
+    targets: list[JsonObject]  # encoded entries
 
 
 class EndpointList:
-    """The backends as they are listed, with all versions of the list; a version's index is its revision."""
+    """The endpoint list with all its versions; the index of a version is its revision."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, EndpointEntry] = {}  # by backend
         self.versions = [ListVersion(0.0, [])]
 
     def add(self, backend_id: str, port: int, zone: str = "here") -> None:
-        """List a backend, as started now."""
-        self.endpoints[backend_id] = EndpointEntry(port, zone, time.time_ns() // 1_000_000)
+        """Adds a backend that starts now."""
+        self.endpoints[backend_id] = EndpointEntry(port, zone, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
         self._add_version()
 
     def remove(self, backend_id: str) -> None:
-        """List it no more."""
+        """Removes a backend."""
         self.endpoints.pop(backend_id, None)
         self._add_version()
 
@@ -213,13 +221,13 @@
 
 
 class StandInDiscovery(StandInServer):
-    """Tells one dispatcher of the list, late or not at all if a fault says so."""
+    """Serves the endpoint list to one dispatcher by long polling; faults delay or silence it."""
 
     def __init__(self, endpoint_list: EndpointList) -> None:
         super().__init__()
         self.endpoint_list = endpoint_list
-        self.delay = 0.0  # seconds until it knows of a change
-        self.silent = False  # it reads requests and answers none
+        self.delay = 0.0  # seconds until a change is visible
+        self.silent = False  # reads requests and answers none
 
     def _visible_revision(self) -> int:
         latest = time.monotonic() - self.delay
@@ -231,8 +239,7 @@
             message = await read_http_message(reader)
             known = re.search(r"after=(\d+)", message.start_line)
             end = time.monotonic() + POLL_DURATION
-            # What is visible changes by the clock, which sets no event.
-            while (  # noqa: ASYNC110 - the clock sets no event
+            while (  # noqa: ASYNC110 - the visible revision depends on the clock, which sets no event
                 known and int(known[1]) == self._visible_revision() and time.monotonic() < end
             ):
                 await asyncio.sleep(POLL_STEP)
@@ -245,7 +252,7 @@
 
 
 class LoadGenerator:
-    """Open loop: requests come when they come, whatever became of those before."""
+    """Sends requests in an open loop: arrivals do not depend on earlier answers."""
 
     def __init__(
         self,
@@ -264,7 +271,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Send requests for so long, and wait for their answers."""
+        """Sends requests for `seconds`, then waits for the last answers."""
         loop = asyncio.get_running_loop()
         due = loop.time()
         end = due + seconds
@@ -289,7 +296,7 @@
         self.observations.requests[request_id] = SubmittedRequest(boot_time_ns(), dispatcher, request_class)
         headers = (
             f"X-Request-ID: {request_id}\r\nIdempotency-Key: {request_id}\r\n"
-            f"X-Priority-Class: {request_class}\r\nX-Timeout: 3\r\nX-Cost: 40000\r\n"
+            f"X-Priority-Class: {request_class}\r\nX-Timeout: {REQUEST_TIMEOUT}\r\nX-Cost: 40000\r\n"
         )
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT):
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -284,12 +284,12 @@
     def test_a_story_without_fault_holds_and_each_planted_one_is_told_by_its_promise(self) -> None:
         for promise in PROMISES:
             verdict = TrialChecker(trial_record()).judge(promise)
-            self.assertTrue(verdict.held, verdict)
+            self.assertTrue(verdict.satisfied, verdict)
         for promise, plant in PLANTED:
             one = trial_record()
             plant(one)
             verdict = TrialChecker(one).judge(promise)
-            self.assertFalse(verdict.held, plant.__name__)
+            self.assertFalse(verdict.satisfied, plant.__name__)
             self.say(f"{plant.__name__}: {promise}: {verdict.detail}")
         self.close("trial-planted")
 
