--- a/crankfold/simulation/consensus/case.py
+++ b/crankfold/simulation/consensus/case.py
@@ -1,6 +1,6 @@
-"""What a simulated cluster goes through: its size, its operators, and its faults, drawn by a seed.
+"""The cases of a simulated cluster: its size, its operators and its faults, chosen at random by a seed.
 
-Times are ticks where nothing else is said.
+Times are ticks unless another unit is stated.
 """
 
 from collections.abc import Sequence
@@ -11,35 +11,50 @@
 
 from crankfold.simulation.event_queue import TICKS_PER_SECOND
 
-REQUEST_DEADLINE = 20_000  # of the only request class
+REQUEST_DEADLINE = 20_000  # ticks, of the only request class
+LATENCY_OBJECTIVE_US = 1000
 MICROSECONDS_PER_TICK = 100  # settings have times in microseconds
-TOTAL_QUOTA = 30  # requests that all members together may have in hand
-CALM_SECONDS = 2  # without faults, at the end of a drawn case
-FAULT_DURATIONS = (20, 300, 1000, 5000, 15_000, 30_000)
-# Of faults that hit all links, to draw from; a single one is not drawn.
+MAX_ATTEMPTS = 3
+TOTAL_QUOTA = 30  # requests in flight at all members together
+DEFAULT_SECONDS = 12.0
+CALM_SECONDS = 2  # without faults, at the end of a random case
+UNLIMITED_SECONDS = 1e9
+MIN_FAULTS = 2
+MAX_FAULTS = 8
+FIRST_FAULT_TICKS = 5000
+FAULT_DURATIONS_TICKS = (20, 300, 1000, 5000, 15_000, 30_000)
+MAX_RESTART_DELAY_TICKS = 3000  # after the end of a fault that kills all voters
+REVERSE_CUT_SHARE = 0.5  # of the cuts, which cut the reverse direction too
+# Of faults of all links: a share of the messages, or ticks. A single value takes no random draw.
 MAGNITUDES: dict[str, tuple[float, ...]] = {
     "loss": (0.05, 0.3, 0.6),
     "delay": (100, 2000, 8000),
     "double": (0.3,),
 }
+# A kind that stands twice is twice as likely; a cut is a loss of all messages in one or both directions.
+RANDOM_KINDS = (
+    *("loss", "loss", "cut", "cut", "delay", "double"),
+    *("pause", "pause", "kill", "kill", "disk", "all"),
+)
 ANY = ""  # process
+Document = dict[str, Any]  # the content of a document, in the form that operators publish
 
 
 class ClusterFaultKind(StrEnum):
-    """What goes wrong."""
+    """Kinds of faults."""
 
-    LOSS = "loss"  # a share of `magnitude` of the messages from `process` to `receiver` is lost
-    DELAY = "delay"  # they take up to `magnitude` longer, drawn for each, so that they overtake one another
-    DUPLICATION = "double"  # a share of `magnitude` of all messages comes twice
-    PAUSE = "pause"  # `process` stands still
-    KILL = "kill"  # it dies, and starts at the end
-    WIPE = "wipe"  # it dies and loses what it stored
-    SLOW_DISK = "disk"  # what it writes is on the disk at the end
+    LOSS = "loss"  # drops a share of `magnitude` of the messages from `process` to `receiver`
+    DELAY = "delay"  # delays each by a random time up to `magnitude`, so that messages are reordered
+    DUPLICATION = "double"  # delivers a share of `magnitude` of all messages twice
+    PAUSE = "pause"  # `process` executes nothing until the end of the fault
+    KILL = "kill"  # `process` is killed and starts again at the end of the fault
+    WIPE = "wipe"  # as KILL, and its storage is deleted
+    SLOW_DISK = "disk"  # the writes of `process` complete at the end of the fault
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterFault:
-    """A fault from one time to another."""
+    """A fault with its begin and end, in ticks."""
 
     kind: ClusterFaultKind
     begin: int
@@ -49,48 +64,48 @@
     magnitude: float = 1.0
 
     def is_active(self, now: int) -> bool:
-        """Whether it lasts at that time."""
+        """Whether the fault is in force at `now`."""
         return self.begin <= now < self.end
 
     def affects(self, sender: str, receiver: str) -> bool:
-        """Whether it is a fault of the link between the two."""
+        """Whether it is a fault of the link from `sender` to `receiver`."""
         return self.process in (ANY, sender) and self.receiver in (ANY, receiver)
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterCase:
-    """A cluster and what it goes through."""
+    """The size, the load and the faults of a cluster."""
 
     voter_count: int = 3
     follower_count: int = 2
-    seconds: float = 12.0
+    seconds: float = DEFAULT_SECONDS
     seed: int = 1
     publish_every: float = 0.7  # seconds, on average
-    publish_until: float = 1e9  # seconds
-    allocates_quotas: bool = False  # operators publish quotas drawn at random
+    publish_until: float = UNLIMITED_SECONDS
+    allocates_quotas: bool = False  # operators publish random quotas
     publishes_limits: bool = False  # operators publish limits, which the leader allocates
-    with_load: bool = True  # members have requests in hand, counted against their quotas
+    with_load: bool = True  # members accept requests, counted against their quotas
     staleness_bound: int = 20_000
     faults: tuple[ClusterFault, ...] = ()
     network_delay: int = 4
-    disk_write_range: tuple[int, int] = (5, 40)  # what a write takes, from and to
-    polls_when_due: bool = False  # a member is told the time only when it asked for that
-    clock_drift: float = 0.01  # by which a member's clock runs too fast or too slow, at most
+    disk_write_range: tuple[int, int] = (5, 40)  # duration of a write, without the upper end
+    polls_when_due: bool = False  # Member.tick is called only at the deadlines of the member
+    clock_drift: float = 0.01  # largest deviation of a member's clock rate from 1
 
     def process_names(self) -> list[str]:
-        """The voters first, then the followers."""
+        """Returns the names of all processes, voters first."""
         return _process_names(self.voter_count, self.follower_count)
 
 
-def settings_document(idempotency: str) -> dict[str, Any]:
-    """Settings with one request class of that idempotency, as operators write them."""
+def settings_document(idempotency: str) -> Document:
+    """Returns settings with one request class of this idempotency, in the form of the file."""
     request_class = {
         "name": "g",
         "effect": idempotency,
         "cut-off": REQUEST_DEADLINE * MICROSECONDS_PER_TICK,
-        "expected-time": 1000,
+        "expected-time": LATENCY_OBJECTIVE_US,
     }
-    return {"service-grades": [request_class], "allowed": {"most-dispatches": 3}}
+    return {"service-grades": [request_class], "allowed": {"most-dispatches": MAX_ATTEMPTS}}
 
 
 def random_scenario(
@@ -98,16 +113,25 @@
     voter_count: int = 3,
     follower_count: int = 2,
     *,
-    seconds: float = 12.0,
+    seconds: float = DEFAULT_SECONDS,
     allocates_quotas: bool = False,
     publishes_limits: bool = False,
 ) -> ClusterCase:
-    """A case with faults drawn by the seed, the last two seconds without."""
+    """Returns a case with random faults, which end `CALM_SECONDS` before its end.
+
+    Args:
+        seed: The same seed gives the same case.
+        voter_count: Voters of the cluster.
+        follower_count: Followers of the cluster.
+        seconds: Duration of the case.
+        allocates_quotas: See `ClusterCase`.
+        publishes_limits: See `ClusterCase`.
+    """
     rng = Random(f"schedule {seed}")
     names = _process_names(voter_count, follower_count)
     end = int((seconds - CALM_SECONDS) * TICKS_PER_SECOND)
     faults: list[ClusterFault] = []
-    for _ in range(rng.randrange(2, 9)):
+    for _ in range(rng.randrange(MIN_FAULTS, MAX_FAULTS + 1)):
         faults += _draw_faults(rng, names, voter_count, end)
     return ClusterCase(
         voter_count=voter_count,
@@ -126,24 +150,17 @@
 
 
 def _draw_faults(rng: Random, names: Sequence[str], voter_count: int, last: int) -> list[ClusterFault]:
-    """One fault, or those that come together."""
-    # Some kinds twice, as they come twice as often; a cut is a loss of all messages, one way or both.
-    kind = rng.choice(
-        ("loss", "loss", "cut", "cut", "delay", "double", "pause", "pause", "kill", "kill", "disk", "all")
-    )
-    begin = rng.randrange(5000, last)
-    end = min(begin + rng.choice(FAULT_DURATIONS), last + 1)
+    """Returns a random fault, or several that begin together."""
+    kind = rng.choice(RANDOM_KINDS)
+    begin = rng.randrange(FIRST_FAULT_TICKS, last)
+    end = min(begin + rng.choice(FAULT_DURATIONS_TICKS), last + 1)
     process = rng.choice(names)
     receiver = rng.choice(names)
     if kind == "cut":
-        faults = [ClusterFault(ClusterFaultKind.LOSS, begin, end, process, rng.choice((receiver, ANY)))]
-        if rng.random() < 0.5:
-            sender = rng.choice((receiver, ANY))
-            faults.append(ClusterFault(ClusterFaultKind.LOSS, begin, end, sender, process))
-        return faults
+        return _draw_cut(rng, begin, end, process=process, receiver=receiver)
     if kind == "all":
         return [
-            ClusterFault(ClusterFaultKind.KILL, begin, end + rng.randrange(3000), name)
+            ClusterFault(ClusterFaultKind.KILL, begin, end + rng.randrange(MAX_RESTART_DELAY_TICKS), name)
             for name in names[:voter_count]
         ]
     if kind in MAGNITUDES:
@@ -154,8 +171,16 @@
     return [ClusterFault(ClusterFaultKind(kind), begin, end, process)]
 
 
+def _draw_cut(rng: Random, begin: int, end: int, *, process: str, receiver: str) -> list[ClusterFault]:
+    faults = [ClusterFault(ClusterFaultKind.LOSS, begin, end, process, rng.choice((receiver, ANY)))]
+    if rng.random() < REVERSE_CUT_SHARE:
+        sender = rng.choice((receiver, ANY))
+        faults.append(ClusterFault(ClusterFaultKind.LOSS, begin, end, sender, process))
+    return faults
+
+
 def _without_overlapping_kills(faults: Sequence[ClusterFault]) -> tuple[ClusterFault, ...]:
-    """A process that is dead is not killed again."""
+    """Removes each kill of a process that overlaps an earlier kill of it."""
     accepted: list[ClusterFault] = []
     for fault in faults:
         is_repeated = fault.kind is ClusterFaultKind.KILL and any(
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -1,8 +1,8 @@
-"""Many members of a cluster in simulated time: losses, cuts, pauses, crashes and clocks that differ."""
+"""A simulated cluster of members with message loss, partitions, pauses, crashes and clock drift."""
 
 from functools import partial
 from random import Random
-from typing import Any, Self
+from typing import Self
 
 import msgspec
 
@@ -20,6 +20,7 @@
     ClusterCase,
     ClusterFault,
     ClusterFaultKind,
+    Document,
     random_scenario,
     settings_document,
 )
@@ -32,6 +33,7 @@
     "ClusterCase",
     "ClusterFault",
     "ClusterFaultKind",
+    "Document",
     "IdleHost",
     "SimulatedCluster",
     "SimulatedProcess",
@@ -40,23 +42,31 @@
 ]
 
 IDEMPOTENCY_VALUES = ("safe", "keyed", "unsafe")  # of the request class that operators publish
-FRAME_HEADER_SIZE = 4  # bytes before each message
-# Ticks, where nothing else is said.
-MAX_START_DELAY = 2000
-LOAD_START = 5000
-LOAD_INTERVAL = 400
-MIN_REQUEST_DURATION = 500
-MAX_DUPLICATE_DELAY = 5000
-REPEAT_INTERVAL = 4000  # until an operator asks again
-QUOTA_SHARE = 0.6  # of the publishes, where operators allocate quotas
-LIMITS_SHARE = 0.3  # of the publishes, where operators publish limits
+FRAME_HEADER_BYTES = 4  # before each message
+MAX_START_DELAY_TICKS = 2000
+LOAD_START_TICKS = 5000
+LOAD_INTERVAL_TICKS = 400
+MIN_REQUEST_DURATION_TICKS = 500
+MAX_DUPLICATE_DELAY_TICKS = 5000
+REPEAT_INTERVAL_TICKS = 4000  # until an operator repeats a publish
+SUBMISSION_COUNTS = (1, 1, 2)  # of a publish: a third of them is sent twice
+QUOTA_SHARE = 0.6  # of the publishes, if operators allocate quotas
+LIMITS_SHARE = 0.3  # of the publishes, if operators publish limits
 NEW_DEMAND_SHARE = 0.01  # of the rounds, in which the demand of a member changes
+SEED_COUNT = 1 << 62  # of members
+INCARNATION_COUNT = 1 << 40
 
 
 class SimulatedCluster:
-    """Plays a case. `violations` says what did not hold, with the time and the processes."""
+    """Simulates a case and collects the violations of the invariants.
 
-    # Faults that tests plant.
+    Args:
+        case: The size, the load and the faults.
+        voter_type: The class of the voters; tests use subclasses with a fault.
+        follower_type: The class of the followers.
+    """
+
+    # Faults that tests inject.
     sends_before_write = False
     forgets_votes = False
 
@@ -78,30 +88,30 @@
             for name in case.process_names()
         }
         self.invariants = ClusterInvariants(self.events, case.staleness_bound)
-        self.message_counts: dict[str, list[int]] = {}  # by sender: how many, and their bytes
-        self.outcomes: dict[str, ProposalResponse] = {}  # by call, what its operator was told
+        self.message_counts: dict[str, list[int]] = {}  # by sender: messages and bytes
+        self.outcomes: dict[str, ProposalResponse] = {}  # by call
         self.call_count = 0
 
     @property
     def violations(self) -> list[str]:
-        """What did not hold."""
+        """The violations, with the time and the processes of each."""
         return self.invariants.violations
 
     @property
     def longest_contradiction(self) -> int:
-        """For how long two processes acted on different versions, at most, in ticks."""
+        """The longest time in which two processes acted on different versions, in ticks."""
         return self.invariants.longest_contradiction
 
     def run(self) -> Self:
-        """Play the whole case."""
+        """Runs the whole case."""
         case = self.cluster_case
         for process in self.processes.values():
-            self.events.schedule(self.rng.randrange(MAX_START_DELAY), process.start)
+            self.events.schedule(self.rng.randrange(MAX_START_DELAY_TICKS), process.start)
         for fault in case.faults:
             self._schedule_fault(fault)
         self.events.schedule(int(case.publish_every * TICKS_PER_SECOND), self._publish_at_random)
         if case.with_load:
-            self.events.schedule(LOAD_START, self._generate_load)
+            self.events.schedule(LOAD_START_TICKS, self._generate_load)
         self.events.run(int(case.seconds * TICKS_PER_SECOND))
         self._check_final_state()
         return self
@@ -112,7 +122,7 @@
         self.invariants.report(text)
 
     def check_invariants(self) -> None:
-        """Something changed that may break an invariant."""
+        """Checks the invariants of all processes, after a change of any of them."""
         self.invariants.check(self.processes)
 
     def _check_final_state(self) -> None:
@@ -122,10 +132,10 @@
     # --- processes, disks and the network ---
 
     def make_member(self, process: SimulatedProcess) -> Member:
-        """The member that a process runs from now on."""
-        seed = self.rng.randrange(1 << 62)
+        """Makes the member of a process that starts, from its storage."""
+        seed = self.rng.randrange(SEED_COUNT)
         now = process.local_time()
-        incarnation = self.rng.randrange(1 << 40)
+        incarnation = self.rng.randrange(INCARNATION_COUNT)
         if process.name not in self.voters:
             return self.follower_type(
                 process.name,
@@ -152,11 +162,11 @@
         )
 
     def coordinator_of(self, process: SimulatedProcess) -> MaintenanceCoordinator | None:  # noqa: ARG002 - overridden
-        """Who decides about machines in maintenance if that process leads; None here."""
+        """Returns the maintenance coordinator of a process; None without maintenance."""
         return None
 
     def disk_delay(self, name: str) -> int:
-        """How long a write of that process takes, if it begins now."""
+        """Returns the duration in ticks of a disk write that begins now."""
         for fault in self._active_faults(ClusterFaultKind.SLOW_DISK):
             if fault.process == name:
                 return fault.end - self.events.now
@@ -182,10 +192,10 @@
         self.processes[fault.process].paused_until = fault.end
 
     def send_message(self, sender: SimulatedProcess, receiver: str, message: Message) -> None:
-        """A message leaves a process; it is lost, late or doubled as the faults say."""
+        """Sends a message; active faults drop, delay or duplicate it."""
         counts = self.message_counts.setdefault(sender.name, [0, 0])
         counts[0] += 1
-        counts[1] += len(msgspec.msgpack.encode(message)) + FRAME_HEADER_SIZE
+        counts[1] += len(msgspec.msgpack.encode(message)) + FRAME_HEADER_BYTES
         for fault in self._active_faults(ClusterFaultKind.LOSS):
             if fault.affects(sender.name, receiver) and self.rng.random() < fault.magnitude:
                 return
@@ -197,7 +207,7 @@
         arrive = partial(self._message_arrived, sender.name, receiver, message)
         for fault in self._active_faults(ClusterFaultKind.DUPLICATION):
             if self.rng.random() < fault.magnitude:
-                self.events.schedule(delay + self.rng.randrange(MAX_DUPLICATE_DELAY), arrive)
+                self.events.schedule(delay + self.rng.randrange(MAX_DUPLICATE_DELAY_TICKS), arrive)
         self.events.schedule(delay, arrive)
 
     def _message_arrived(self, sender: str, receiver: str, message: Message) -> None:
@@ -221,9 +231,7 @@
         if process.member is None or not process.running or is_over:
             return
         self.call_count += 1
-        document = QUOTAS if case.allocates_quotas and self.rng.random() < QUOTA_SHARE else SETTINGS
-        if case.publishes_limits and self.rng.random() < LIMITS_SHARE:
-            document = LIMITS
+        document = self._random_document()
         publish = {
             "doc": document,
             "made_from": process.member.documents.document(document).latest_number(),
@@ -233,10 +241,18 @@
             "text": self._random_content(document),
         }
         submit = partial(self._submit_publish, process.name, f"c{self.call_count}", publish)
-        for repetition in range(self.rng.choice((1, 1, 2))):  # an answer may be lost, and is asked for again
-            self.events.schedule(repetition * REPEAT_INTERVAL, submit)
+        # An operator repeats a publish with the same call, as the response may be lost.
+        for repetition in range(self.rng.choice(SUBMISSION_COUNTS)):
+            self.events.schedule(repetition * REPEAT_INTERVAL_TICKS, submit)
+
+    def _random_document(self) -> str:
+        case = self.cluster_case
+        document = QUOTAS if case.allocates_quotas and self.rng.random() < QUOTA_SHARE else SETTINGS
+        if case.publishes_limits and self.rng.random() < LIMITS_SHARE:
+            document = LIMITS
+        return document
 
-    def _random_content(self, document: str) -> dict[str, Any]:
+    def _random_content(self, document: str) -> Document:
         if document == LIMITS:
             return {"limits": {QUOTA_KEY: self.rng.choice((TOTAL_QUOTA, TOTAL_QUOTA // 2))}}
         if document == SETTINGS:
@@ -246,11 +262,11 @@
         quotas = [high - low for low, high in zip([0, *cuts], [*cuts, TOTAL_QUOTA], strict=True)]
         return {"shares": {QUOTA_KEY: dict(zip(names, quotas, strict=True))}}
 
-    def _submit_publish(self, name: str, call: str, data: dict[str, Any]) -> None:
+    def _submit_publish(self, name: str, call: str, data: Document) -> None:
         self.processes[name].deliver(lambda member, now: member.propose(now, call, EntryKind.PUBLISH, data))  # type: ignore[attr-defined]
 
     def publish_answered(self, response: ProposalResponse) -> None:
-        """An operator is told what became of a publish; an acceptance is final."""
+        """Records the response to an operator's publish; an acceptance is final."""
         before = self.outcomes.get(response.proposal_id)
         if before and before.accepted and not response.accepted and response.version_number:
             self._report_violation(f"{response.proposal_id} was confirmed, then refused")
@@ -260,13 +276,13 @@
     # --- load ---
 
     def allocation_count(self) -> int:
-        """How many allocations of quotas there were."""
+        """Returns the number of allocations of quotas."""
         members = [process.member for process in self.processes.values() if process.member]
         return max((member.documents.document(QUOTAS).latest_number() for member in members), default=0)
 
     def _generate_load(self) -> None:
-        """Each process accepts what its quota lets it, under the documents it acts on."""
-        self.events.schedule(LOAD_INTERVAL, self._generate_load)
+        """Lets each process accept requests within its quota, and checks the total."""
+        self.events.schedule(LOAD_INTERVAL_TICKS, self._generate_load)
         for process in self.processes.values():
             self._accept_requests(process)
         if all(process.has_active_quota() for process in self.processes.values() if process.running):
@@ -285,5 +301,5 @@
         if self.rng.random() < NEW_DEMAND_SHARE:
             process.wanted_requests = self.rng.randrange(TOTAL_QUOTA)
         if quota is not None and len(process.request_ends) < quota:
-            duration = self.rng.randrange(MIN_REQUEST_DURATION, REQUEST_DEADLINE)
+            duration = self.rng.randrange(MIN_REQUEST_DURATION_TICKS, REQUEST_DEADLINE)
             process.request_ends.append(now + duration)
--- a/crankfold/simulation/consensus/invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold in a cluster, checked after every change.
+"""Checks the invariants of a simulated cluster after each change.
 
-Uses none of the product's bookkeeping beyond what each process would do if a request came in now: what it
-acts on, whether it may, and what it knows.
+Reads of each member only the state by which it would decide on a request: the versions in force, its lease,
+and the log index that it has applied.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,19 +15,19 @@
 from crankfold.simulation.consensus.process import SimulatedProcess
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
 
-MAX_VIOLATIONS = 20  # that are kept
+MAX_VIOLATIONS = 20  # recorded; further ones are dropped
 TICKS_PER_MS = 10
 
 
 class LeaseView(NamedTuple):
-    """What a process acted on at the last check, and until when it may go on with that."""
+    """The applied index and the lease of a process at the last check."""
 
     applied: int  # log index
-    until: int  # ticks of true time
+    until: int  # end of the lease, ticks of simulated time
 
 
 class CheckPoint(NamedTuple):
-    """Up to where a process was checked."""
+    """The generation and the log index up to which a process is checked."""
 
     generation: int
     applied: int
@@ -38,37 +38,42 @@
 
 @dataclass(slots=True)
 class CheckedProcess:
-    """What was seen of a process, in all its generations."""
+    """The progress of the checks of a process, over all its generations."""
 
     history: CheckPoint = NOT_CHECKED
     versions: CheckPoint = NOT_CHECKED
-    newest_versions: dict[str, int] = field(default_factory=dict)  # by document, that it acted on
+    newest_versions: dict[str, int] = field(default_factory=dict)  # newest version in force, by document
 
 
 class ClusterInvariants:
-    """Looks at all processes, and collects the violations."""
+    """Checks all processes and collects the violations.
+
+    Args:
+        events: The simulated time.
+        staleness_bound: Ticks in which two processes may act on different versions.
+    """
 
     def __init__(self, events: EventQueue, staleness_bound: int) -> None:
         self.events = events
         self.staleness_bound = staleness_bound
         self.violations: list[str] = []
         self.longest_contradiction = 0  # ticks for which two acted on different versions
-        self.first_applied_at: dict[int, int] = {}  # by log index: when somebody first acted on it
+        self.first_applied_at: dict[int, int] = {}  # ticks by log index, at the first process
         self.highest_applied = 0
         self.leaders_by_term: dict[int, str] = {}
-        self.state_by_index: dict[int, bytes] = {}  # after each log index that somebody stopped at
-        # By the log index that made a version active: that of its publish.
+        self.state_by_index: dict[int, bytes] = {}  # encoded documents by applied log index
+        # Log index of the publish of a version, by the log index that activates the version.
         self.pending_publishes: dict[int, int] = {}
         self.lease_views: dict[str, LeaseView] = {}  # by process
         self.checked: dict[str, CheckedProcess] = {}
 
     def report(self, text: str) -> None:
-        """Something does not hold."""
+        """Records a violation with the current time."""
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(f"{self.events.now / TICKS_PER_SECOND:.3f} s: {text}")
 
     def check(self, processes: Mapping[str, SimulatedProcess]) -> None:
-        """Check all that holds at this moment."""
+        """Checks all invariants at the current time."""
         self._check_staleness()
         views: dict[str, LeaseView] = {}
         for name, process in processes.items():
@@ -82,19 +87,25 @@
                 self._check_history(name, member)
             self._check_leadership(name, member)
             if member.has_lease(process.local_time()):
-                remaining = int((member.lease_expires_at - process.local_time()) / process.clock_rate)
-                views[name] = LeaseView(member.last_applied, self.events.now + remaining)
+                views[name] = self._lease_view(process, member)
                 if checked.versions != point:
                     checked.versions = point
                     self._check_versions(name, member, checked)
-                for index in range(self.highest_applied + 1, member.last_applied + 1):
-                    self.first_applied_at[index] = self.events.now
-                self.highest_applied = max(self.highest_applied, member.last_applied)
+                self._note_applied(member.last_applied)
         self.lease_views = views
         self._check_known_before_active()
 
+    def _lease_view(self, process: SimulatedProcess, member: Member) -> LeaseView:
+        remaining = int((member.lease_expires_at - process.local_time()) / process.clock_rate)
+        return LeaseView(member.last_applied, self.events.now + remaining)
+
+    def _note_applied(self, last_applied: int) -> None:
+        for index in range(self.highest_applied + 1, last_applied + 1):
+            self.first_applied_at[index] = self.events.now
+        self.highest_applied = max(self.highest_applied, last_applied)
+
     def _check_staleness(self) -> None:
-        """Nobody could act on an old state since the last check for longer than the bound."""
+        """No process with a lease acts on an old state for longer than the bound."""
         for name, view in self.lease_views.items():
             missed = next(
                 (
@@ -112,7 +123,7 @@
                 self.report(f"{name} acts on {view.applied} {duration / TICKS_PER_MS:.0f} ms after {missed}")
 
     def _check_leadership(self, name: str, member: Member) -> None:
-        """A term has one leader."""
+        """Each term has at most one leader."""
         if isinstance(member, Voter) and member.raft.role == Role.LEADER:
             term = member.raft.term
             leader = self.leaders_by_term.setdefault(term, name)
@@ -120,7 +131,7 @@
                 self.report(f"{name} and {leader} lead in term {term}")
 
     def _check_history(self, name: str, member: Member) -> None:
-        """All have the same documents after the same log entry."""
+        """All members have the same documents after the same log entry."""
         index = member.last_applied
         state = self.state_by_index.get(index)
         if state is not None:
@@ -134,25 +145,25 @@
                     self.pending_publishes.setdefault(index, version.index)
 
     def _check_versions(self, name: str, member: Member, checked: CheckedProcess) -> None:
-        """Nobody acts on an older version than before."""
+        """No process returns to an older version of a document."""
         for document, (active, _) in member.documents.version_numbers().items():
             if active < checked.newest_versions.get(document, 0):
                 self.report(f"{name} went back to version {active} of {document}")
             checked.newest_versions[document] = active
 
     def _check_known_before_active(self) -> None:
-        """A version is active nowhere while somebody may act who does not know of its publish."""
+        """No version is active while a process with a lease does not know its publish."""
         lowest = min((view.applied for view in self.lease_views.values()), default=self.highest_applied)
         for activation, publish in self.pending_publishes.items():
             if activation <= self.highest_applied and lowest < publish:
                 unaware = [name for name, view in self.lease_views.items() if view.applied < publish]
                 self.report(f"{unaware} may act without having heard of {publish}, which counts")
-        # What all know of is settled.
+        # Publishes that all processes with a lease know need no further check.
         for activation in [index for index in self.pending_publishes if index <= lowest]:
             del self.pending_publishes[activation]
 
     def check_outcomes(self, responses: Mapping[str, ProposalResponse], members: Iterable[Member]) -> None:
-        """At the end: what operators were told is what took effect."""
+        """Checks that the responses to operators agree with the replicated outcomes."""
         newest = max(members, key=lambda member: member.last_applied, default=None)
         if newest is None:
             return
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -1,6 +1,7 @@
-"""Explores all orders of messages, losses, timeouts and crashes of a small Raft group, to a stated depth.
+"""A bounded model checker for a Raft group of three voters.
 
-Three voters, one of them leading, and a few publishes. A state that was met before is not explored again.
+Explores all orders of messages, losses, timeouts, crashes and publishes up to a depth, from a state with a
+leader. Each state is explored once.
 """
 
 import pickle
@@ -15,40 +16,41 @@
 from crankfold.consensus.messages import LogEntry, Message
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.raft_log import RaftLog
-from crankfold.consensus.raft_state import PersistentState, Role
+from crankfold.consensus.raft_state import PersistentState, Ready, Role
 from crankfold.consensus.timing import Timing
 
 TIMING = Timing(20_000)
 VOTERS = ("v0", "v1", "v2")
-MAX_READY_ROUNDS = 4  # a write brings more to send
+MAX_READY_ROUNDS = 4  # an advance after a write may make the next one ready
+TIMEOUT_ADVANCE_FACTOR = 2  # election timeouts; after that no voter rejects a vote for its current leader
 MAX_STATES = 1_000_000
 NodeFactory = Callable[[str, PersistentState], Raft]
 
 
 class MoveKind(StrEnum):
-    """What can happen next."""
+    """Kinds of moves from a state to the next."""
 
     DELIVER = "deliver"
     LOSE = "lose"
     TIME_OUT = "time out"  # a voter's election is due
     HEARTBEAT = "beat"  # the leader's heartbeat is due
-    CRASH = "crash"  # a voter dies and starts again
+    CRASH = "crash"  # a voter crashes and restarts from its storage
     PUBLISH = "publish"
 
 
 class Move(NamedTuple):
-    """What happens, and to which message or voter."""
+    """A move and the message or voter that it affects."""
 
     kind: MoveKind
     target: int  # index in `in_flight` or of the voter
 
     def __str__(self) -> str:
-        """As a report names it."""
+        """Returns the form that reports show."""
         return f"{self.kind} {self.target}"
 
 
 class SentMessage(NamedTuple):
-    """A message that has not arrived."""
+    """A message in flight."""
 
     sender: str
     receiver: str
@@ -56,31 +58,31 @@
 
 
 class EveryoneMayVote:
-    """The registry of voters that never lose their storage."""
+    """A voter registry without changes of storage: every voter may vote."""
 
     def may_vote(self, log: RaftLog, candidate_last_index: int, founding_member: bool) -> bool:  # noqa: ARG002 - a Protocol's signature
-        """Always."""
+        """Returns True."""
         return True
 
     def folder_ids_of(self, names: set[str]) -> dict[str, str]:  # noqa: ARG002 - a Protocol's signature
-        """None are known."""
+        """Returns an empty map."""
         return {}
 
 
 @dataclass(slots=True)
 class ModelState:
-    """One state. Disks are as fast as can be: what is to be written is, before anything is sent."""
+    """A state of the group. Writes take no time: they complete before the messages of a move are sent."""
 
     nodes: list[Raft]
     persistent_states: list[PersistentState]
-    moves_left: dict[MoveKind, int]  # how often each kind may still come; deliveries are not limited
+    moves_left: dict[MoveKind, int]  # remaining moves by kind; deliveries are not limited
     in_flight: list[SentMessage] = field(default_factory=list)
     committed: dict[int, LogEntry] = field(default_factory=dict)  # by log index
     leaders_by_term: dict[int, str] = field(default_factory=dict)
     now: int = 0  # ticks
 
     def possible_moves(self) -> Iterator[Move]:
-        """All that can happen next."""
+        """Yields all moves from this state."""
         left = self.moves_left
         for index in range(len(self.in_flight)):
             yield Move(MoveKind.DELIVER, index)
@@ -98,7 +100,7 @@
                 yield Move(MoveKind.PUBLISH, index)
 
     def apply(self, move: Move, node_factory: NodeFactory) -> str:
-        """Make a move; what does not hold after it, or nothing."""
+        """Makes a move; returns a description of the invariant that it violates, or ""."""
         kind, index = move
         if kind in self.moves_left:
             self.moves_left[kind] -= 1
@@ -119,7 +121,7 @@
         return self._persist_and_check(index)
 
     def _restart(self, index: int, node_factory: NodeFactory) -> None:
-        """The node gets a copy of what is stored, so that the two do not share entries."""
+        """Restarts a voter from a copy of its storage, so that the two share no entries."""
         stored = msgspec.msgpack.encode(self.persistent_states[index])
         self.persistent_states[index] = msgspec.msgpack.decode(stored, type=PersistentState)
         loaded = msgspec.msgpack.decode(stored, type=PersistentState)
@@ -127,8 +129,7 @@
 
     def _advance_clock(self, kind: MoveKind, node: Raft) -> None:
         if kind is MoveKind.TIME_OUT:
-            # So much later that no other voter is still protected by what it heard.
-            self.now += 2 * TIMING.election_timeout
+            self.now += TIMEOUT_ADVANCE_FACTOR * TIMING.election_timeout
         node.election_due_at = self.now
         node.heartbeat_due_at = self.now
         if kind is MoveKind.HEARTBEAT:
@@ -137,22 +138,19 @@
             node.tick(self.now)
 
     def _persist_and_check(self, index: int) -> str:
-        """Write and send what a voter wants; what does not hold then, or nothing."""
+        """Persists and sends the output of a voter; returns a violated invariant, or ""."""
         node = self.nodes[index]
-        stored = self.persistent_states[index]
         for _ in range(MAX_READY_ROUNDS):
             ready = node.take_ready(self.now)
-            stored.term = ready.term
-            stored.vote = ready.vote
-            stored.founding_member = ready.founding_member
-            if ready.entries:
-                del stored.entries[ready.first_index - 1 :]
-                stored.entries += ready.entries
+            _persist(self.persistent_states[index], ready)
             self.in_flight += [
                 SentMessage(node.name, receiver, message)
                 for receiver, message in node.take_immediate_messages() + ready.messages
             ]
             node.advance(self.now, ready)
+        return self._violation(node)
+
+    def _violation(self, node: Raft) -> str:
         if node.role == Role.LEADER:
             leader = self.leaders_by_term.setdefault(node.term, node.name)
             if leader != node.name:
@@ -163,7 +161,7 @@
         return ""
 
     def fingerprint(self) -> bytes:
-        """The same for two states from which the same can follow."""
+        """Returns bytes that are equal for states with the same future behavior."""
         nodes = [
             (
                 node.term,
@@ -185,8 +183,17 @@
         return msgspec.msgpack.encode((nodes, self.persistent_states, messages, moves_left))
 
 
+def _persist(stored: PersistentState, ready: Ready) -> None:
+    stored.term = ready.term
+    stored.vote = ready.vote
+    stored.founding_member = ready.founding_member
+    if ready.entries:
+        del stored.entries[ready.first_index - 1 :]
+        stored.entries += ready.entries
+
+
 def make_node(name: str, stored: PersistentState) -> Raft:
-    """A voter of the group, started from what it stored."""
+    """Makes a voter of the group from its storage."""
     return Raft(
         name,
         stored,
@@ -199,7 +206,7 @@
 
 
 def initial_state(node_factory: NodeFactory, move_limits: Mapping[MoveKind, int]) -> ModelState:
-    """The first voter leads, and all know it."""
+    """Returns a state in which the first voter is the leader of all."""
     limited = [kind for kind in MoveKind if kind is not MoveKind.DELIVER]
     state = ModelState(
         nodes=[node_factory(name, PersistentState()) for name in VOTERS],
@@ -214,7 +221,7 @@
 
 
 class Exploration(NamedTuple):
-    """How many states there were, and what did not hold in one, with the moves that led there."""
+    """The number of states, and the first violation with the moves that led to it, or ""."""
 
     states: int
     violation: str
@@ -226,9 +233,13 @@
     max_states: int = MAX_STATES,
     node_factory: NodeFactory = make_node,
 ) -> Exploration:
-    """Go through all states up to so many moves from the initial one, until something does not hold.
+    """Explores all states within `depth` moves of the initial one, up to the first violation.
 
-    `move_limits` says how often each kind of move comes at most.
+    Args:
+        depth: Moves.
+        move_limits: The largest number of moves of each kind on a path.
+        max_states: States after which the exploration ends.
+        node_factory: Makes a voter; tests use voters with a fault.
     """
     level: list[tuple[ModelState, tuple[Move, ...]]] = [(initial_state(node_factory, move_limits), ())]
     met: set[bytes] = set()
--- a/crankfold/simulation/consensus/process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -1,8 +1,8 @@
-"""One process of a simulated cluster: its clock, its disk, its requests, and the member that it runs."""
+"""A process of a simulated cluster: its clock, its disk, its requests and its member."""
 
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 from crankfold.consensus.conservative_merge import QUOTAS
 from crankfold.consensus.follower import Follower
@@ -10,16 +10,16 @@
 from crankfold.consensus.messages import MaintenanceReport, Message, ProposalResponse
 from crankfold.consensus.raft_state import PersistentState, Ready, Role
 from crankfold.consensus.voter import Voter
-from crankfold.simulation.consensus.case import ClusterCase
+from crankfold.simulation.consensus.case import ClusterCase, Document
 from crankfold.simulation.event_queue import EventQueue
 
-POLL_INTERVAL = 20  # ticks between two looks at the time
-MAX_CLOCK_OFFSET = 1_000_000  # ticks by which clocks differ from the start
+POLL_INTERVAL_TICKS = 20  # between two calls of Member.tick
+MAX_CLOCK_OFFSET_TICKS = 1_000_000  # between the clocks of two processes at the start
 QUOTA_KEY = "all"  # the only quota
 
 
 class ClusterEnvironment(Protocol):
-    """What a process needs of the cluster round it."""
+    """The interface of a cluster for its processes."""
 
     cluster_case: ClusterCase
     events: EventQueue
@@ -28,65 +28,65 @@
     forgets_votes: bool
 
     def make_member(self, process: "SimulatedProcess") -> Member:
-        """The member that the process runs."""
+        """Makes the member of a process that starts."""
 
     def disk_delay(self, name: str) -> int:
-        """How long its next write takes, in ticks."""
+        """Returns the duration of a disk write that begins now, in ticks."""
 
     def send_message(self, sender: "SimulatedProcess", receiver: str, message: Message) -> None:
-        """A message leaves the process."""
+        """Sends a message of the process."""
 
     def publish_answered(self, response: ProposalResponse) -> None:
-        """An operator is told what became of a publish."""
+        """Receives the response to an operator's publish."""
 
     def check_invariants(self) -> None:
-        """Something changed that may break an invariant."""
+        """Checks the invariants after a change of a process."""
 
 
 class IdleHost:
-    """The host of a member without requests and machines in maintenance; it can use any document."""
+    """A member's host without requests and maintenance; it accepts every document."""
 
     def quiesced_index(self, last_applied: int) -> int:
-        """All of it."""
+        """Returns `last_applied`: no request uses an older version."""
         return last_applied
 
     def quota_usage(self) -> dict[str, int]:
-        """None."""
+        """Returns an empty map."""
         return {}
 
     def maintenance_report(self) -> MaintenanceReport | None:
-        """None."""
+        """Returns None."""
         return None
 
-    def validate_document(self, name: str, content: dict[str, Any]) -> str:  # noqa: ARG002 - a Protocol's signature
-        """No error."""
+    def validate_document(self, name: str, content: Document) -> str:  # noqa: ARG002 - a Protocol's signature
+        """Returns "": the document is valid."""
         return ""
 
 
 class SimulatedProcess(IdleHost):
-    """Runs a member, and dies, pauses and starts as the faults say."""
+    """Runs a member; faults kill, pause and start it."""
 
     def __init__(self, cluster: ClusterEnvironment, name: str, clock_rate: float) -> None:
         self.cluster = cluster
         self.name = name
         self.clock_rate = clock_rate
-        self.clock_offset = cluster.rng.randrange(MAX_CLOCK_OFFSET)
+        self.clock_offset = cluster.rng.randrange(MAX_CLOCK_OFFSET_TICKS)
         self.persistent_state = PersistentState()
         self.storage_id = f"{name} 0"
-        self.generation = 0  # counts its starts and ends
+        self.generation = 0  # number of starts and kills
         self.running = False
         self.writing = False
         self.paused_until = 0
-        self.request_ends: list[int] = []  # when each request in hand ends, by true time
-        self.wanted_requests = 0  # that it would accept if it could
+        self.request_ends: list[int] = []  # ticks of simulated time, of each request in flight
+        self.wanted_requests = 0  # demand beyond the requests in flight
         self.member: Member | None = None
 
     def local_time(self) -> int:
-        """What its clock shows."""
+        """Returns the time of the process's own clock, in ticks."""
         return self.clock_offset + int(self.cluster.events.now * self.clock_rate)
 
     def start(self) -> None:
-        """Start with what is on the disk, and no requests."""
+        """Starts the process from its disk, without requests."""
         self.generation += 1
         self.running = True
         self.writing = False
@@ -95,7 +95,7 @@
         self._poll(self.generation)
 
     def kill(self) -> None:
-        """It dies; what it was about to write is lost."""
+        """Kills the process; writes in progress are lost."""
         self.cluster.check_invariants()
         self.running = False
         self.member = None
@@ -103,7 +103,7 @@
         self.generation += 1
 
     def kill_and_wipe(self) -> None:
-        """It dies and loses its disk."""
+        """Kills the process and deletes its disk."""
         self.kill()
         self.persistent_state = PersistentState()
         self.storage_id = f"{self.name} {self.generation}"
@@ -111,13 +111,13 @@
     # --- requests and quotas ---
 
     def quota(self) -> int | None:
-        """How many requests it may have in hand, as far as it knows; None without quotas."""
+        """Returns the requests that the process may have in flight; None without quotas."""
         document = self.member.effective_content(QUOTAS) if self.member else None
         quotas = (document or {}).get("shares", {}).get(QUOTA_KEY)
         return None if quotas is None else int(quotas.get(self.name, 0))
 
     def has_active_quota(self) -> bool:
-        """Whether an allocation is active here: the first one binds all from then on."""
+        """Whether an allocation of quotas is active at the process."""
         if self.member is None:
             return False
         document = self.member.documents.document(QUOTAS)
@@ -125,11 +125,11 @@
         return version is not None and QUOTA_KEY in version.text["shares"]
 
     def quota_usage(self) -> dict[str, int]:
-        """Requests in hand and wanted."""
+        """Returns the requests in flight plus the further demand."""
         return {QUOTA_KEY: len(self.request_ends) + self.wanted_requests}
 
     def quiesced_index(self, last_applied: int) -> int:
-        """The log index up to which the requests in hand keep within the quota."""
+        """Returns the log index up to which the requests in flight conform to the quota."""
         assert self.member is not None
         quota = self.quota()
         if quota is None or len(self.request_ends) <= quota:
@@ -147,13 +147,13 @@
         events = self.cluster.events
         if events.now >= self.paused_until:
             self.deliver(lambda member, now: member.tick(now))  # type: ignore[attr-defined]
-        delay = POLL_INTERVAL
+        delay = POLL_INTERVAL_TICKS
         if self.cluster.cluster_case.polls_when_due and isinstance(self.member, Voter | Follower):
-            delay = max(POLL_INTERVAL, self.member.next_deadline() - self.local_time())
+            delay = max(POLL_INTERVAL_TICKS, self.member.next_deadline() - self.local_time())
         events.schedule(delay, lambda: self._poll(generation))
 
     def deliver(self, event: Callable[[Member, int], None]) -> None:
-        """The member is told something, with the time; a paused one when it wakes."""
+        """Calls `event` with the member and its local time; after the pause of a paused process."""
         events = self.cluster.events
         generation = self.generation
         if not self.running or self.member is None:
@@ -174,14 +174,14 @@
             self.cluster.check_invariants()
 
     def _decision_state(self) -> tuple[int, int, bool]:
-        """What it acts on, until when, and whether it leads: the invariants are about these."""
+        """Returns the state that the invariants depend on: applied index, lease and leadership."""
         member = self.member
         assert member is not None
         leads = isinstance(member, Voter) and member.raft.role == Role.LEADER
         return member.last_applied, member.lease_expires_at, leads
 
     def _flush_ready(self) -> None:
-        """Write what the member wants written, and send its messages."""
+        """Starts the next write of the member and sends its messages."""
         assert isinstance(self.member, Voter | Follower)
         for receiver, message in self.member.take_immediate_messages():
             self.cluster.send_message(self, receiver, message)
@@ -199,7 +199,7 @@
 
     def _written(self, generation: int, ready: Ready) -> None:
         if generation != self.generation or not self.running:
-            return  # died before it was on the disk
+            return  # killed before the write completed
         self._persist(ready)
         self.writing = False
         if not self.cluster.sends_before_write:
