--- a/crankfold/simulation/maintenance/cases.py
+++ b/crankfold/simulation/maintenance/cases.py
@@ -1,20 +1,40 @@
-"""Cases for the simulated maintenance of a fleet, given by hand or drawn by a seed."""
+"""The cases of simulated maintenance: a cluster, its machines, their losses and the jobs."""
 
 from dataclasses import dataclass, replace
 from random import Random
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-from crankfold.simulation.consensus.cluster import ClusterCase, random_scenario
+from crankfold.simulation.consensus.cluster import ClusterCase, Document, random_scenario
 from crankfold.simulation.event_queue import TICKS_PER_SECOND
 
-DRAWN_MACHINE_COUNT = 9
-DRAWN_ZONE_COUNT = 3
-FAULTY_PART = 0.6  # of a drawn case's time; the rest is free of faults
+# Random cases.
+RANDOM_CASE_SECONDS = 40.0
+RANDOM_MACHINE_COUNT = 9
+RANDOM_ZONE_COUNT = 3
+CLUSTER_SIZES = ((3, 2), (3, 3), (5, 1))  # voters and followers
+FAULTY_SHARE = 0.6  # of the duration; no faults occur in the rest
+PUBLISH_INTERVAL_SECONDS = 3.0
+UNHEALTHY_SHARE = 0.3  # of the cases, in which one machine becomes unhealthy
 MIN_UP_TICKS = 8000  # between two losses of the same machine
+MAX_MACHINE_LOSSES = 2
+FIRST_LOSS_TICKS = 20_000
+LOSS_DURATIONS_TICKS = (10_000, 60_000)
+ZONE_LOSS_SHARE = 0.2  # of the cases, in which all machines of a zone are lost
+ZONE_LOSS_DURATION_TICKS = 50_000
+# Values of the fields of random jobs, in the form that operators publish.
+MAX_OUT_VALUES = (1, 2, 3)  # machines
+MAX_OUT_PER_ZONE_VALUES = (0, 1, 2)  # machines; 0 for no limit
+REMAINING_SHARES = (0.0, 0.5, 0.7)  # of all machines
+WORK_SECONDS = (2.0, 30.0)
+WATCH_SECONDS = 1.0
+MIN_ANSWER_VALUES = (0, 3)  # answers
+COVERED_MACHINE_COUNTS = (2, 4)
+SHARED_QUOTA_SHARE = 0.7  # of the jobs
+JOB_COUNTS = (1, 2, 2)
 
 
 class MachineLoss(NamedTuple):
-    """A machine that is down from one time to another, in ticks."""
+    """A period in which a machine is down, in ticks."""
 
     begin: int
     end: int
@@ -23,22 +43,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceCase:
-    """A cluster's case, with machines and jobs."""
+    """A case of a cluster, with machines and jobs."""
 
     cluster_case: ClusterCase
-    jobs: dict[str, dict[str, Any]]  # as operators hand them in
-    machine_count: int = 9
-    zone_count: int = 3
+    jobs: dict[str, Document]  # by name, in the form that operators publish
+    machine_count: int = RANDOM_MACHINE_COUNT
+    zone_count: int = RANDOM_ZONE_COUNT
     losses: tuple[MachineLoss, ...] = ()
-    unhealthy: frozenset[str] = frozenset()  # machines whose answers are bad from their next start on
-    work_duration: int = 6000  # ticks that the work on a machine takes
+    unhealthy: frozenset[str] = frozenset()  # machines whose answers are bad after their next start
+    work_duration: int = 6000  # ticks of the work on a machine
     request_rate: float = 0.6  # requests of a dispatcher in each round
-    faults_end_at: int = 0  # ticks; 0 if that is not known, and the end is not checked
+    faults_end_at: int = 0  # ticks; 0 if unknown, then the final state is not checked
 
 
-def draw_jobs(rng: Random) -> dict[str, dict[str, Any]]:
-    """One or two jobs, as operators would hand them in."""
-    methods: list[dict[str, Any]] = [
+def draw_jobs(rng: Random) -> dict[str, Document]:
+    """Returns one or two random jobs, in the form that operators publish."""
+    methods: list[Document] = [
         {"way": "hand"},
         {"way": "list"},
         {"way": "command", "command": ["x"]},
@@ -46,41 +66,44 @@
     ]
     return {
         name: {
-            "at-once": rng.choice((1, 2, 3)),
-            "a-zone": rng.choice((0, 1, 2)),
-            "stays": rng.choice((0.0, 0.5, 0.7)),
-            "takes": rng.choice((2.0, 30.0)),
-            "watch": 1.0,
-            "least-answers": rng.choice((0, 3)),
+            "at-once": rng.choice(MAX_OUT_VALUES),
+            "a-zone": rng.choice(MAX_OUT_PER_ZONE_VALUES),
+            "stays": rng.choice(REMAINING_SHARES),
+            "takes": rng.choice(WORK_SECONDS),
+            "watch": WATCH_SECONDS,
+            "least-answers": rng.choice(MIN_ANSWER_VALUES),
             "not-back": rng.choice(("hold", "go-on")),
-            "machines": [f"m{n}" for n in rng.sample(range(DRAWN_MACHINE_COUNT), rng.choice((2, 4)))],
-            "shares": rng.random() < 0.7,
+            "machines": [
+                f"m{n}" for n in rng.sample(range(RANDOM_MACHINE_COUNT), rng.choice(COVERED_MACHINE_COUNTS))
+            ],
+            "shares": rng.random() < SHARED_QUOTA_SHARE,
             **rng.choice(methods),
         }
-        for name in ("disks", "racks")[: rng.choice((1, 2, 2))]
+        for name in ("disks", "racks")[: rng.choice(JOB_COUNTS)]
     }
 
 
-def draw_case(seed: int, seconds: float = 40.0) -> MaintenanceCase:
-    """A case with faults of members and machines drawn by the seed; the last part is free of them.
+def draw_case(seed: int, seconds: float = RANDOM_CASE_SECONDS) -> MaintenanceCase:
+    """Returns a case with random faults of members and machines, which end at `FAULTY_SHARE` of it.
 
     Args:
-        seed: The same seed draws the same case.
-        seconds: How long it lasts.
+        seed: The same seed gives the same case.
+        seconds: Duration of the case.
     """
     rng = Random(f"yard {seed}")
-    voter_count, follower_count = rng.choice(((3, 2), (3, 3), (5, 1)))
-    faulty_seconds = seconds * FAULTY_PART
+    voter_count, follower_count = rng.choice(CLUSTER_SIZES)
+    faulty_seconds = seconds * FAULTY_SHARE
     cluster_case = replace(
         random_scenario(seed, voter_count, follower_count, seconds=faulty_seconds),
         seconds=seconds,
-        publish_every=3.0,
+        publish_every=PUBLISH_INTERVAL_SECONDS,
         publish_until=faulty_seconds,
     )
     faults_end_at = int(faulty_seconds * TICKS_PER_SECOND)
     losses = _draw_losses(rng, faults_end_at)
-    unhealthy = frozenset({f"m{rng.randrange(DRAWN_MACHINE_COUNT)}"} if rng.random() < 0.3 else ())
-    # The jobs are drawn last: a seed keeps its case as long as the order of drawing stays.
+    has_unhealthy = rng.random() < UNHEALTHY_SHARE
+    unhealthy = frozenset({f"m{rng.randrange(RANDOM_MACHINE_COUNT)}"} if has_unhealthy else ())
+    # The jobs come last: the case of a seed depends on the order of the random draws.
     return MaintenanceCase(
         cluster_case=cluster_case,
         jobs=draw_jobs(rng),
@@ -91,16 +114,16 @@
 
 
 def _draw_losses(rng: Random, faults_end_at: int) -> tuple[MachineLoss, ...]:
-    """Losses of single machines, and of a zone in some cases."""
+    """Returns losses of single machines, and in some cases of a zone."""
     losses: list[MachineLoss] = []
-    for _ in range(rng.randrange(3)):
-        begin = rng.randrange(20_000, faults_end_at)
-        end = begin + rng.choice((10_000, 60_000))
-        losses.append(MachineLoss(begin, end, f"m{rng.randrange(DRAWN_MACHINE_COUNT)}"))
-    if rng.random() < 0.2:
-        begin = rng.randrange(20_000, faults_end_at)
-        zone = range(0, DRAWN_MACHINE_COUNT, DRAWN_ZONE_COUNT)
-        losses += [MachineLoss(begin, begin + 50_000, f"m{n}") for n in zone]
+    for _ in range(rng.randrange(MAX_MACHINE_LOSSES + 1)):
+        begin = rng.randrange(FIRST_LOSS_TICKS, faults_end_at)
+        end = begin + rng.choice(LOSS_DURATIONS_TICKS)
+        losses.append(MachineLoss(begin, end, f"m{rng.randrange(RANDOM_MACHINE_COUNT)}"))
+    if rng.random() < ZONE_LOSS_SHARE:
+        begin = rng.randrange(FIRST_LOSS_TICKS, faults_end_at)
+        zone = range(0, RANDOM_MACHINE_COUNT, RANDOM_ZONE_COUNT)
+        losses += [MachineLoss(begin, begin + ZONE_LOSS_DURATION_TICKS, f"m{n}") for n in zone]
     return _without_overlaps(losses)
 
 
--- a/crankfold/simulation/maintenance/checker.py
+++ b/crankfold/simulation/maintenance/checker.py
@@ -1,7 +1,7 @@
-"""What must hold in the maintenance of a simulated fleet.
+"""Checks the invariants of maintenance in a simulated fleet.
 
-It is checked against what the machines saw and against the jobs as they were handed in, by code that uses
-nothing of the replicated state but what each transition was called.
+Compares the committed transitions with the requests at the machines and with the submitted jobs. Of the
+replicated state it reads only the transitions.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,13 +13,14 @@
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.simulation.event_queue import TICKS_PER_SECOND, EventQueue
 from crankfold.simulation.maintenance.dispatcher import MAX_LIST_LAG_TICKS, SimulatedDispatcher
-from crankfold.simulation.maintenance.machines import INSTANCE_TYPE, SimulatedMachine, WorkRun
+from crankfold.simulation.maintenance.machines import SimulatedMachine, WorkRun
 
-WARM_UP_TICKS: Final = 30_000  # after a start a machine is cold for so long
-DECISION_TICKS: Final = 2000  # beyond the lists' lag, until a loss that is told of bears on what is proposed
+WARM_UP_TICKS: Final = 30_000  # duration of a machine's slow start
+DECISION_TICKS: Final = 2000  # from the arrival of an endpoint list until a proposal takes it into account
+TICKS_PER_MILLISECOND: Final = 10
 
 _ENDS: Final = (MaintenancePhase.HEALTHY, MaintenancePhase.CANCELLED, MaintenancePhase.REPLACED)
-_REOPENS: Final = (  # requests may come there again, or the drain begins anew
+_REOPENS: Final = (  # phases in which the machine may receive requests, or is drained again
     MaintenancePhase.RETURNING,
     MaintenancePhase.CANCELLED,
     MaintenancePhase.REPLACED,
@@ -28,7 +29,7 @@
 
 
 class MaintenanceChecker:
-    """Follows the committed transitions, and reports what does not hold."""
+    """Follows the committed transitions and reports violations."""
 
     def __init__(
         self,
@@ -41,25 +42,25 @@
         """Begins with no machine out.
 
         Args:
-            events: For the time.
+            events: The simulated time.
             machines: By id.
             dispatchers: By name.
-            jobs: As they were handed in, by name.
-            report: Is told each violation.
+            jobs: The submitted jobs, by name.
+            report: Called with the description of each violation.
         """
         self._events = events
         self._machines = machines
         self._dispatchers = dispatchers
         self._jobs = jobs
         self._report = report
-        self._absent_for: dict[str, str] = {}  # by machine in maintenance, its job
-        self._drained_since: dict[str, int] = {}  # by machine: since then no request may come there
-        self.drain_numbers: dict[str, int] = {}  # by machine, under which it was called drained last
+        self._absent_for: dict[str, str] = {}  # job by machine in maintenance
+        self._drained_since: dict[str, int] = {}  # ticks by machine; from then on it receives no requests
+        self.drain_numbers: dict[str, int] = {}  # log index of the latest drained transition, by machine
         self._work_runs: dict[tuple[str, str], list[int]] = {}  # by machine and job, the drain numbers
         self._running_commands: dict[str, int] = {}  # by machine, the drain number
 
     def transition_committed(self, record: TransitionRecord) -> None:
-        """Is told of a transition as soon as anybody knows of it."""
+        """Checks a transition when the first dispatcher has applied it."""
         machine_id = record.machine_id
         if record.phase == MaintenancePhase.DRAINING:
             self._check_bounds(machine_id, record.job)
@@ -74,19 +75,19 @@
             self._absent_for.pop(machine_id, None)
 
     def request_sent(self, request: str, machine_id: str) -> None:
-        """Is told of each request that a dispatcher sends."""
+        """Checks that a machine that receives a request is not drained."""
         if machine_id in self._drained_since:
             seconds = self._drained_since[machine_id] / TICKS_PER_SECOND
             self._report(f"{request} came to {machine_id}, which is free since {seconds:.3f} s")
 
     def work_begun(self, run: WorkRun) -> list[int]:
-        """Is told of each time that work on a machine begins; gives all of that job's drain numbers there."""
+        """Records the begin of work on a machine; returns the drain numbers of this job's work on it."""
         numbers = self._work_runs.setdefault((run.machine_id, run.job), [])
         numbers.append(run.drain_number)
         return numbers
 
     def command_started(self, run: WorkRun) -> None:
-        """Is told of each command that a dispatcher starts."""
+        """Checks a command that a dispatcher starts."""
         numbers = self.work_begun(run)
         if len(numbers) > 1 and not self._jobs[run.job].command_repeatable:
             self._report(f"the command of {run.job} ran again on {run.machine_id}, under {numbers}")
@@ -97,7 +98,7 @@
         self._running_commands[run.machine_id] = run.drain_number
 
     def command_ended(self, run: WorkRun) -> None:
-        """Is told of the end of each command."""
+        """Records the end of a command."""
         if self._running_commands.get(run.machine_id) == run.drain_number:
             del self._running_commands[run.machine_id]
 
@@ -134,10 +135,12 @@
         start = machine.started_at
         discovered_start = machine.status_at(now - MAX_LIST_LAG_TICKS).started_at
         if machine.restarted() and now < start + WARM_UP_TICKS and discovered_start == start:
-            self._report(f"{machine_id} is called well {(now - start) / 10:.0f} ms after its start")
+            self._report(
+                f"{machine_id} is called well {(now - start) / TICKS_PER_MILLISECOND:.0f} ms after its start"
+            )
 
     def _out_beside(self, machine_id: str) -> set[str]:
-        """Machines that are out or lost; losses of which lists can't have told yet are excused."""
+        """Returns the other machines out of service; losses that no endpoint list has yet are excluded."""
         known_by = self._events.now - MAX_LIST_LAG_TICKS - DECISION_TICKS
         lost = {
             machine.machine_id
@@ -147,18 +150,9 @@
         return (set(self._absent_for) | lost) - {machine_id}
 
     def _check_bounds(self, machine_id: str, job: str) -> None:
-        """At the moment when one more is out."""
+        """Checks the limits of all jobs that cover a machine when it goes out."""
         out = self._out_beside(machine_id)
-        machines = [
-            Machine(
-                machine_id=machine.machine_id,
-                zone=machine.zone,
-                instance_type=INSTANCE_TYPE,
-                size=machine.size,
-                started_at=machine.started_at,
-            )
-            for machine in self._machines.values()
-        ]
+        machines = [machine.to_machine(machine.started_at) for machine in self._machines.values()]
         for name, specification in self._jobs.items():
             covered = [machine for machine in machines if specification.to_job(name).covers(machine)]
             covers_machine = any(machine.machine_id == machine_id for machine in covered)
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -1,8 +1,8 @@
-"""A simulated dispatcher with requests at machines, that takes part in their maintenance."""
+"""A simulated dispatcher with requests at machines; it takes part in their maintenance."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.voter import Voter
@@ -12,25 +12,25 @@
 from crankfold.maintenance.specification import JobSpecification, parse_jobs
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
-from crankfold.simulation.consensus.cluster import SimulatedCluster, SimulatedProcess
-from crankfold.simulation.maintenance.machines import INSTANCE_TYPE, AnswerCount, SimulatedMachine, WorkRun
+from crankfold.simulation.consensus.cluster import Document, SimulatedCluster, SimulatedProcess
+from crankfold.simulation.maintenance.machines import AnswerCount, SimulatedMachine, WorkRun
 
-MAX_LIST_LAG_TICKS = 12_000  # endpoint lists tell of losses so late at the most
+MAX_LIST_LAG_TICKS = 12_000  # from a change of a machine until it is in every endpoint list
 TICKS_PER_MILLISECOND = 10
-MAX_UNRESOLVED_REPORTED = 5  # a machine
+MAX_UNRESOLVED_REPORTED = 5  # requests of each machine
 
 
 class WaitingAttempt(NamedTuple):
-    """A request at a machine that the dispatcher waits for."""
+    """A request in flight from a dispatcher to a machine."""
 
-    ends_at: int  # ticks; the answer, or the deadline
+    ends_at: int  # ticks; time of the answer or of the deadline
     machine_id: str
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a dispatcher finds around it."""
+    """The collaborators of a dispatcher."""
 
     machines: Mapping[str, SimulatedMachine]
     make_coordinator: Callable[[str], Coordinator]
@@ -48,14 +48,14 @@
         self._surroundings = surroundings
         self._list_lag = cluster.rng.randrange(MAX_LIST_LAG_TICKS)
         self.attempts: list[WaitingAttempt] = []
-        self.unresolved_requests: dict[str, list[str]] = {}  # by machine; may go on there
-        self.answer_counts: dict[str, AnswerCount] = {}  # of machines that are back
+        self.unresolved_requests: dict[str, list[str]] = {}  # by machine, which may still execute them
+        self.answer_counts: dict[str, AnswerCount] = {}  # by returning machine
         self.coordinator = surroundings.make_coordinator(name)
         self._started_commands: set[tuple[str, int]] = set()  # by machine and drain number
         self._last_seen_state = (-1, -1)  # generation and log index
 
     def start(self) -> None:
-        """Begins anew, with nothing remembered but what is on its disk."""
+        """Starts the process from its disk, without other state."""
         self.attempts = []
         self.unresolved_requests = {}
         self.answer_counts = {}
@@ -64,35 +64,45 @@
         super().start()
 
     def maintenance_state(self) -> MaintenanceState:
-        """The replicated state, as far as it is known here."""
+        """Returns the replicated state that this member has applied."""
         assert self.member is not None
         return self.member.documents.replicated.maintenance
 
     def jobs(self) -> dict[str, JobSpecification]:
-        """The newest version of the jobs, as far as it is known here."""
+        """Returns the newest jobs that this member knows."""
         assert self.member is not None
         document = self.member.documents.document("works")
         return parse_jobs(document.versions[-1].text) if document.versions else {}
 
     def discovered_machines(self) -> list[Machine]:
-        """The machines by this dispatcher's endpoint list, which lags behind."""
+        """Returns the machines in this dispatcher's endpoint list, which lags behind."""
         at = self.cluster.events.now - self._list_lag
         statuses = [(machine, machine.status_at(at)) for machine in self._surroundings.machines.values()]
         return [
-            Machine(
-                machine_id=machine.machine_id,
-                zone=machine.zone,
-                instance_type=INSTANCE_TYPE,
-                size=machine.size,
-                started_at=status.started_at,
-                available=status.running,
-            )
+            machine.to_machine(status.started_at, available=status.running)
             for machine, status in statuses
             if status.started_at
         ]
 
+    def ready_machines(self) -> list[str]:
+        """Returns the ids of the machines that may receive requests of this dispatcher."""
+        out = self.maintenance_state().out_of_rotation()
+        return [
+            machine.machine_id
+            for machine in self.discovered_machines()
+            if machine.available and machine.machine_id not in out
+        ]
+
+    def request_ended(self, request: str, machine: SimulatedMachine, *, timed_out: bool) -> None:
+        """Records a request as unresolved after its deadline, or counts its answer."""
+        machine_id = machine.machine_id
+        if timed_out:
+            self.unresolved_requests.setdefault(machine_id, []).append(request)
+        elif machine_id in self.answer_counts:
+            self.answer_counts[machine_id].add(bad=machine.unhealthy and machine.restarted())
+
     def maintenance_report(self) -> MaintenanceReport | None:
-        """What the dispatcher tells of machines that are out; None if there is no maintenance."""
+        """Returns the dispatcher's report on machines in maintenance; None without maintenance."""
         if not self.maintenance_state().machines and not self.jobs():
             return None
         out = self.maintenance_state().out_of_rotation()
@@ -115,8 +125,12 @@
         ]
         return report
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
-        """The stored form of the transitions that it proposes, if it leads; `now` is its own clock."""
+    def propose_transitions(self, now: int) -> list[Document]:
+        """Returns the proposed transitions in their stored form; none unless this member is the leader.
+
+        Args:
+            now: Ticks of the process's own clock.
+        """
         member = self.member
         assert isinstance(member, Voter)
         if not member.is_leader() or not member.has_lease(now):
@@ -149,7 +163,7 @@
         )
 
     def follow_maintenance(self) -> None:
-        """Counts answers of machines that are back, and starts the commands that are due here."""
+        """Updates the answer counts of returning machines and starts the commands due here."""
         member = self.member
         assert member is not None
         now = self.cluster.events.now
@@ -157,6 +171,13 @@
         seen_state = self.generation, member.last_applied
         if seen_state == self._last_seen_state:
             return
+        self._update_answer_counts()
+        if not member.has_lease(self.local_time()):
+            return
+        self._last_seen_state = seen_state
+        self._start_due_commands(member.incarnation)
+
+    def _update_answer_counts(self) -> None:
         machines = self.maintenance_state().machines
         returning = {
             machine_id
@@ -167,10 +188,6 @@
             del self.answer_counts[machine_id]
         for machine_id in returning:
             self.answer_counts.setdefault(machine_id, AnswerCount())
-        if not member.has_lease(self.local_time()):
-            return
-        self._last_seen_state = seen_state
-        self._start_due_commands(member.incarnation)
 
     def _start_due_commands(self, incarnation: int) -> None:
         for machine_id, record in self.maintenance_state().machines.items():
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -1,7 +1,7 @@
-"""Maintenance of machines in simulated time: a cluster, dispatchers that send requests, and machines."""
+"""A simulated fleet in maintenance: a cluster of dispatchers that send requests, and machines."""
 
 from collections.abc import Callable
-from typing import Any, Final
+from typing import Final
 
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import MaintenanceCoordinator
@@ -11,7 +11,12 @@
 from crankfold.maintenance.specification import WorkMethod, parse_jobs
 from crankfold.maintenance.state import TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase
-from crankfold.simulation.consensus.cluster import REQUEST_DEADLINE, SimulatedCluster, SimulatedProcess
+from crankfold.simulation.consensus.cluster import (
+    REQUEST_DEADLINE,
+    Document,
+    SimulatedCluster,
+    SimulatedProcess,
+)
 from crankfold.simulation.maintenance.cases import MaintenanceCase
 from crankfold.simulation.maintenance.checker import WARM_UP_TICKS, MaintenanceChecker
 from crankfold.simulation.maintenance.dispatcher import SimulatedDispatcher, Surroundings, WaitingAttempt
@@ -24,11 +29,15 @@
 from crankfold.simulation.maintenance.work import Commands, Operators
 
 REQUEST_ROUND_TICKS: Final = 400  # between requests of a dispatcher
-LONG_REQUEST_SHARE: Final = 0.06  # of requests that may outlast their deadline
+LONG_REQUEST_SHARE: Final = 0.06  # of the requests; these may exceed their deadline
+MAX_LONG_REQUEST_TICKS: Final = 2 * REQUEST_DEADLINE
+MIN_REQUEST_TICKS: Final = 200
+MAX_REQUEST_TICKS: Final = 4000
+MACHINE_SIZES: Final = (1.0, 2.0)  # in turn
 
 
 class MaintenanceFleet(SimulatedCluster):
-    """Plays a case; `violations` has what did not hold, as for any simulated cluster."""
+    """Simulates a case and collects the violations, as any simulated cluster."""
 
     def __init__(
         self,
@@ -39,45 +48,50 @@
         make_coordinator: Callable[[str], Coordinator] = Coordinator,
         warm_up_ticks: int = WARM_UP_TICKS,
     ) -> None:
-        """Makes the fleet, with nothing running yet. Over 30 lines: one for each attribute.
+        """Makes the fleet with no process started.
 
         Args:
-            case: What is played.
-            voter: The members that vote, by another class where a fault is planted.
-            follower: The members that follow, likewise.
-            make_coordinator: Makes the coordinator of the dispatcher of this name.
-            warm_up_ticks: How long the coordinators take a machine for cold after its start.
+            case: The cluster, the machines and the jobs.
+            voter: The class of the voters; tests use subclasses with a fault.
+            follower: The class of the followers.
+            make_coordinator: Makes the coordinator of a dispatcher from its name.
+            warm_up_ticks: Duration of a machine's slow start, as the coordinators assume it.
         """
         super().__init__(case.cluster_case, voter, follower)
         self.maintenance_case = case
         self.machines = _make_machines(case)
+        self.dispatchers = self._make_dispatchers(make_coordinator, warm_up_ticks)
+        self.processes = {**self.dispatchers}
+        self.jobs = parse_jobs({"works": case.jobs})
+        self.request_count = 0
+        self.machines_left: list[int] = []  # machines not done at the end, for each job
+        self._last_checked_index = 0  # log index of the last checked transition
+        self._checker = MaintenanceChecker(
+            self.events, self.machines, self.dispatchers, self.jobs, self._report_violation
+        )
+        self._operators = Operators(self, self._checker)
+        self._commands = Commands(self, self._checker)
+
+    def _make_dispatchers(
+        self, make_coordinator: Callable[[str], Coordinator], warm_up_ticks: int
+    ) -> dict[str, SimulatedDispatcher]:
         surroundings = Surroundings(
             machines=self.machines,
             make_coordinator=make_coordinator,
             warm_up_ticks=warm_up_ticks,
             start_command=self._start_command,
         )
-        self.dispatchers = {
+        return {
             name: SimulatedDispatcher(self, name, process.clock_rate, surroundings)
             for name, process in self.processes.items()
         }
-        self.processes = {**self.dispatchers}
-        self.jobs = parse_jobs({"works": case.jobs})
-        self.request_count = 0
-        self.machines_left: list[int] = []  # by job, machines that were not done at the end
-        self._last_checked_index = 0  # up to which transitions were checked
-        self._checker = MaintenanceChecker(
-            self.events, self.machines, self.dispatchers, self.jobs, self._report_violation
-        )
-        self._operators = Operators(self, self._checker)
-        self._commands = Commands(self, self._checker)
 
     def coordinator_of(self, process: SimulatedProcess) -> MaintenanceCoordinator | None:
-        """The dispatcher of that process."""
+        """Returns the dispatcher of the process."""
         return self.dispatchers[process.name]
 
     def run(self) -> "MaintenanceFleet":
-        """Plays the case to its end."""
+        """Runs the whole case."""
         for loss in self.maintenance_case.losses:
             machine = self.machines[loss.machine_id]
             self.events.schedule(loss.begin, _set_running(self, machine, False))
@@ -86,7 +100,7 @@
         super().run()
         return self
 
-    # --- what operators and commands do ---
+    # --- operators and commands ---
 
     def accepted(self, call: str) -> bool:
         """Whether the call is known to be accepted."""
@@ -97,7 +111,7 @@
         return call in self.outcomes and (self.outcomes[call].accepted or self.outcomes[call].log_index > 0)
 
     def submit_jobs(self, dispatcher: str, call: str) -> None:
-        """Hands in the jobs of the case."""
+        """Publishes the jobs of the case."""
         data = {
             "doc": "works",
             "made_from": 0,
@@ -108,7 +122,7 @@
         }
         self._submit_publish(dispatcher, call, data)
 
-    def propose_step(self, dispatcher: str, call: str, step: dict[str, Any]) -> None:
+    def propose_step(self, dispatcher: str, call: str, step: Document) -> None:
         """Proposes a transition, in its stored form, to the cluster."""
         self.dispatchers[dispatcher].deliver(
             lambda member, now: member.propose(  # type: ignore[attr-defined]
@@ -117,7 +131,7 @@
         )
 
     def restart_machine(self, machine_id: str, then: Callable[[], None]) -> None:
-        """Does the work on a machine, during which it is down."""
+        """Stops a machine for the duration of the work, starts it, and calls `then`."""
         machine = self.machines[machine_id]
         machine.set_running(self.events.now, False)
 
@@ -144,12 +158,7 @@
                 or self.rng.random() > self.maintenance_case.request_rate
             ):
                 continue
-            out = dispatcher.maintenance_state().out_of_rotation()
-            ready = [
-                machine.machine_id
-                for machine in dispatcher.discovered_machines()
-                if machine.available and machine.machine_id not in out
-            ]
+            ready = dispatcher.ready_machines()
             if ready:
                 self._send_request(dispatcher, self.rng.choice(ready))
 
@@ -171,25 +180,20 @@
         generation = dispatcher.generation
 
         def ended() -> None:
-            if generation != dispatcher.generation:
-                return
-            if duration > REQUEST_DEADLINE:
-                dispatcher.unresolved_requests.setdefault(machine_id, []).append(request)
-            elif machine_id in dispatcher.answer_counts:
-                bad = machine.unhealthy and machine.restarted()
-                dispatcher.answer_counts[machine_id].add(bad=bad)
+            if generation == dispatcher.generation:
+                dispatcher.request_ended(request, machine, timed_out=duration > REQUEST_DEADLINE)
 
         self.events.schedule(waits, ended)
 
     def _draw_duration(self) -> int:
         if self.rng.random() < LONG_REQUEST_SHARE:
-            return self.rng.randrange(2 * REQUEST_DEADLINE)
-        return self.rng.randrange(200, 4000)
+            return self.rng.randrange(MAX_LONG_REQUEST_TICKS)
+        return self.rng.randrange(MIN_REQUEST_TICKS, MAX_REQUEST_TICKS)
 
-    # --- what must hold ---
+    # --- invariants ---
 
     def check_invariants(self) -> None:
-        """Also looks at each transition as soon as anybody knows of it."""
+        """Checks also each transition that a dispatcher has newly applied."""
         super().check_invariants()
         for dispatcher in self.dispatchers.values():
             member = dispatcher.member
@@ -235,10 +239,13 @@
 
 
 def _make_machines(case: MaintenanceCase) -> dict[str, SimulatedMachine]:
-    """Of two sizes, in all zones in turn."""
+    """Makes machines of two sizes, spread over the zones."""
     return {
         f"m{n}": SimulatedMachine(
-            f"m{n}", f"z{n % case.zone_count}", 1.0 + n % 2, unhealthy=f"m{n}" in case.unhealthy
+            machine_id=f"m{n}",
+            zone=f"z{n % case.zone_count}",
+            size=MACHINE_SIZES[n % len(MACHINE_SIZES)],
+            unhealthy=f"m{n}" in case.unhealthy,
         )
         for n in range(case.machine_count)
     }
--- a/crankfold/simulation/maintenance/machines.py
+++ b/crankfold/simulation/maintenance/machines.py
@@ -1,13 +1,15 @@
-"""Simulated machines, as they are; what endpoint lists say of them comes later."""
+"""Simulated machines with their true state; endpoint lists have it later."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-INSTANCE_TYPE = "k"  # of all of them
+from crankfold.maintenance.scheduler import Machine
+
+INSTANCE_TYPE = "k"  # of all machines
 
 
 class MachineStatus(NamedTuple):
-    """Whether a machine runs from some time on, in ticks."""
+    """The status of a machine from a time on; times are ticks."""
 
     since: int
     running: bool
@@ -15,7 +17,7 @@
 
 
 class RunningRequest(NamedTuple):
-    """A request that a machine has, in ticks."""
+    """A request that a machine executes; times are ticks."""
 
     ends_at: int
     name: str
@@ -23,11 +25,11 @@
 
 
 class WorkRun(NamedTuple):
-    """Work on a machine, under the number by which it was called drained."""
+    """Work on a drained machine."""
 
     machine_id: str
     job: str
-    drain_number: int
+    drain_number: int  # log index of the transition to drained
 
 
 @dataclass(slots=True)
@@ -38,38 +40,54 @@
     bad: int = 0
 
     def add(self, *, bad: bool) -> None:
-        """Counts one more."""
+        """Counts an answer."""
         self.total += 1
         self.bad += bad
 
 
 @dataclass(slots=True)
 class SimulatedMachine:
-    """A machine, with all that happened to it."""
+    """A machine and the history of its status."""
 
     machine_id: str
     zone: str
     size: float
-    unhealthy: bool = False  # its answers are bad from its next start on
+    unhealthy: bool = False  # its answers are bad after its next start
     started_at: int = 1  # ticks
     running: bool = True
     requests: list[RunningRequest] = field(default_factory=list)
     _history: list[MachineStatus] = field(default_factory=lambda: [MachineStatus(0, True, 1)])
 
     def set_running(self, now: int, running: bool) -> None:
-        """Stops it, or starts it anew."""
+        """Stops the machine, or starts it again."""
         if running and not self.running:
             self.started_at = now
         self.running = running
         self._history.append(MachineStatus(now, running, self.started_at))
 
     def status_at(self, at: int) -> MachineStatus:
-        """What an endpoint list of that time says; before the beginning it was never started."""
+        """Returns the status at a time in ticks; before the first start, one without a start."""
         for status in reversed(self._history):
             if status.since <= at:
                 return status
         return MachineStatus(at, False, 0)
 
     def restarted(self) -> bool:
-        """Whether this is not its first start."""
+        """Whether the machine has started more than once."""
         return self.started_at > 1
+
+    def to_machine(self, started_at: int, *, available: bool = True) -> Machine:
+        """Returns the machine in the form that the scheduler uses.
+
+        Args:
+            started_at: Its latest known start, ticks.
+            available: Whether it is known to run.
+        """
+        return Machine(
+            machine_id=self.machine_id,
+            zone=self.zone,
+            instance_type=INSTANCE_TYPE,
+            size=self.size,
+            started_at=started_at,
+            available=available,
+        )
--- a/crankfold/simulation/maintenance/work.py
+++ b/crankfold/simulation/maintenance/work.py
@@ -1,11 +1,12 @@
-"""Who does the work on simulated machines: operators, and commands that dispatchers run."""
+"""The work on simulated machines: by operators, and by commands that dispatchers run."""
 
 from collections.abc import Callable, Mapping
 from random import Random
-from typing import Any, Final, Protocol
+from typing import Final, Protocol
 
 from crankfold.maintenance.specification import WorkMethod
 from crankfold.maintenance.transitions import MaintenancePhase
+from crankfold.simulation.consensus.cluster import Document
 from crankfold.simulation.event_queue import EventQueue
 from crankfold.simulation.maintenance.checker import MaintenanceChecker
 from crankfold.simulation.maintenance.dispatcher import SimulatedDispatcher
@@ -21,7 +22,7 @@
 
 
 class MaintainedFleet(Protocol):
-    """What operators and commands need of the fleet."""
+    """The interface of the fleet for operators and commands."""
 
     events: EventQueue
     rng: Random
@@ -37,17 +38,17 @@
         """Whether the outcome of the call is known."""
 
     def submit_jobs(self, dispatcher: str, call: str) -> None:
-        """Hands in the jobs of the case."""
+        """Publishes the jobs of the case."""
 
-    def propose_step(self, dispatcher: str, call: str, step: dict[str, Any]) -> None:
+    def propose_step(self, dispatcher: str, call: str, step: Document) -> None:
         """Proposes a transition, in its stored form, to the cluster."""
 
     def restart_machine(self, machine_id: str, then: Callable[[], None]) -> None:
-        """Does the work on a machine, during which it is down."""
+        """Stops a machine for the duration of the work, starts it, and calls `then`."""
 
 
 class Operators:
-    """Hand in the jobs, and do the work that is theirs to do."""
+    """The operators, who submit the jobs and do the work of jobs without command."""
 
     def __init__(self, fleet: MaintainedFleet, checker: MaintenanceChecker) -> None:
         self._fleet = fleet
@@ -55,12 +56,12 @@
         self._begun: set[tuple[str, int]] = set()  # by machine and drain number
 
     def start(self) -> None:
-        """Schedules all that they do."""
+        """Schedules the first submission and the first round of work."""
         self._fleet.events.schedule(FIRST_SUBMIT_TICKS, self._submit_jobs)
         self._fleet.events.schedule(OPERATOR_ROUND_TICKS, self._work_on_drained)
 
     def _submit_jobs(self) -> None:
-        """Until it is accepted: the operator asks again with the same call."""
+        """Submits the jobs; repeats it with the same call until it is accepted."""
         fleet = self._fleet
         if fleet.accepted(SUBMIT_CALL):
             return
@@ -70,7 +71,7 @@
         fleet.events.schedule(SUBMIT_RETRY_TICKS, self._submit_jobs)
 
     def _work_on_drained(self) -> None:
-        """Operators look at some dispatcher for machines that are drained; others restart what is drained."""
+        """Starts the work on machines that a random dispatcher lists as drained."""
         fleet = self._fleet
         fleet.events.schedule(OPERATOR_ROUND_TICKS, self._work_on_drained)
         dispatcher = fleet.rng.choice(list(fleet.dispatchers.values()))
@@ -91,12 +92,12 @@
                 self._call(run, MaintenancePhase.IN_WORK)
 
     def work_begun(self, run: WorkRun) -> None:
-        """Does the work, once the call by which it begins is committed."""
+        """Does the work on a machine after the transition that begins it is committed."""
         self._checker.work_begun(run)
         self._fleet.restart_machine(run.machine_id, lambda: self._call(run, MaintenancePhase.WORK_DONE))
 
     def _call(self, run: WorkRun, phase: MaintenancePhase) -> None:
-        """An operator at any dispatcher, who asks until the outcome is known."""
+        """Proposes a transition at random dispatchers until its outcome is known."""
         fleet = self._fleet
         call = f"{phase} {run.machine_id} {run.drain_number}"
         if fleet.decided(call):
@@ -122,7 +123,7 @@
         self._checker = checker
 
     def start(self, dispatcher: SimulatedDispatcher, run: WorkRun) -> None:
-        """Runs one; a few of them fail, and none outlives its dispatcher."""
+        """Runs a command; a share of them fails, and each ends with its dispatcher."""
         self._checker.command_started(run)
         generation = dispatcher.generation
 
@@ -138,7 +139,7 @@
     def _report_outcome(
         self, dispatcher: SimulatedDispatcher, generation: int, run: WorkRun, phase: MaintenancePhase
     ) -> None:
-        """Until it is known to be committed, or to be void."""
+        """Proposes the outcome of a command until the proposal is decided or the dispatcher restarts."""
         call = f"{run.machine_id} {run.drain_number}"
         if generation != dispatcher.generation or self._fleet.decided(call):
             return
