--- a/crankfold/fault_injection/configuration.py
+++ b/crankfold/fault_injection/configuration.py
@@ -59,18 +59,22 @@
         "discovery": f"{HOST}:{ports['discovery']}",
         "admin_addr": f"{HOST}:{ports['admin']}",
         "seed": f"{seed:x}",
-        "peers": {
-            "name": name,
-            "voters": voters,
-            "folder": storage,
-            "record": "-",
-            "stated-time": plan.staleness_bound,
-            "when-cut-off": plan.without_lease,
-        },
+        "peers": _cluster_settings(plan, name, voters, storage),
         "settings": _initial_settings(plan),
     }
 
 
+def _cluster_settings(plan: TrialPlan, name: str, voters: dict[str, str], storage: str) -> Settings:
+    return {
+        "name": name,
+        "voters": voters,
+        "folder": storage,
+        "record": "-",
+        "stated-time": plan.staleness_bound,
+        "when-cut-off": plan.without_lease,
+    }
+
+
 def _initial_settings(plan: TrialPlan) -> Settings:
     return {
         "allowed": ALLOWED,
--- a/crankfold/fault_injection/maintenance_driver.py
+++ b/crankfold/fault_injection/maintenance_driver.py
@@ -358,5 +358,5 @@
             left = [machine for machine in job.left if machine not in waiting_machines]
             explained = job.halted or submitted.name in waiting_jobs or job.state != "go"
             if left and not explained:
-                faults[submitted.name] = f"{left} are left and nobody says why"
+                faults[submitted.name] = f"{left} are left without a stated reason"
         return faults
--- a/crankfold/fault_injection/processes.py
+++ b/crankfold/fault_injection/processes.py
@@ -58,7 +58,7 @@
         self.port = port  # for clients
         self.running: asyncio.subprocess.Process | None = None
         self.admin_options: tuple[str, ...] = ()  # of the latest replacement, also for its restarts
-        self.restart_lock = asyncio.Lock()  # held by the fault or job that restarts the process
+        self.restart_lock = asyncio.Lock()  # serializes restarts by faults and jobs
         self.record_key = name
         # By record key; a replacement writes under a key of its own, as it runs beside its predecessor.
         self.raw_records: dict[str, list[JsonObject]] = {}
--- a/crankfold/simulation/consensus/case.py
+++ b/crankfold/simulation/consensus/case.py
@@ -127,12 +127,8 @@
         allocates_quotas: See `ClusterCase`.
         publishes_limits: See `ClusterCase`.
     """
-    rng = Random(f"schedule {seed}")
     names = _process_names(voter_count, follower_count)
-    end = int((seconds - CALM_SECONDS) * TICKS_PER_SECOND)
-    faults: list[ClusterFault] = []
-    for _ in range(rng.randrange(MIN_FAULTS, MAX_FAULTS + 1)):
-        faults += _draw_faults(rng, names, voter_count, end)
+    faults = _draw_all_faults(seed, names, voter_count, seconds)
     return ClusterCase(
         voter_count=voter_count,
         follower_count=follower_count,
@@ -144,6 +140,15 @@
     )
 
 
+def _draw_all_faults(seed: int, names: Sequence[str], voter_count: int, seconds: float) -> list[ClusterFault]:
+    rng = Random(f"schedule {seed}")
+    last = int((seconds - CALM_SECONDS) * TICKS_PER_SECOND)
+    faults: list[ClusterFault] = []
+    for _ in range(rng.randrange(MIN_FAULTS, MAX_FAULTS + 1)):
+        faults += _draw_faults(rng, names, voter_count, last)
+    return faults
+
+
 def _process_names(voter_count: int, follower_count: int) -> list[str]:
     voters = [f"v{number}" for number in range(voter_count)]
     return voters + [f"f{number}" for number in range(follower_count)]
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -227,6 +227,22 @@
     violation: str
 
 
+class Successor(NamedTuple):
+    """A state one move after another, and the violation in it, or ""."""
+
+    move: Move
+    state: ModelState
+    violation: str
+
+
+def _successors(state: ModelState, node_factory: NodeFactory) -> Iterator[Successor]:
+    pickled = pickle.dumps(state)
+    for move in state.possible_moves():
+        after: ModelState = pickle.loads(pickled)
+        violation = after.apply(move, node_factory)
+        yield Successor(move, after, violation)
+
+
 def explore(
     depth: int,
     move_limits: Mapping[MoveKind, int],
@@ -246,17 +262,15 @@
     for _ in range(depth):
         next_level = []
         for state, path in level:
-            pickled = pickle.dumps(state)
-            for move in state.possible_moves():
-                after: ModelState = pickle.loads(pickled)
-                violation = after.apply(move, node_factory)
-                if violation:
-                    moves = ", ".join(str(each) for each in (*path, move))
-                    return Exploration(len(met), f"{violation}; after {moves}")
-                fingerprint = after.fingerprint()
+            for successor in _successors(state, node_factory):
+                moves = (*path, successor.move)
+                if successor.violation:
+                    names = ", ".join(str(move) for move in moves)
+                    return Exploration(len(met), f"{successor.violation}; after {names}")
+                fingerprint = successor.state.fingerprint()
                 if fingerprint not in met:
                     met.add(fingerprint)
-                    next_level.append((after, (*path, move)))
+                    next_level.append((successor.state, moves))
                 if len(met) >= max_states:
                     return Exploration(len(met), "")
         level = next_level
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -229,7 +229,7 @@
                 wait.job == name or wait.machine_id in left for wait in leader.coordinator.wait_reasons
             )
             if left and not explained and name not in state.halted_jobs:
-                self._report_violation(f"{name} has {left} left and nobody says why")
+                self._report_violation(f"{name} has {left} left without a stated reason")
 
     def _leader(self) -> SimulatedDispatcher | None:
         for dispatcher in self.dispatchers.values():
--- a/crankfold/simulation/maintenance/study.py
+++ b/crankfold/simulation/maintenance/study.py
@@ -1,14 +1,14 @@
-"""Whole fleets taken through maintenance under load: what each order of machines costs, in time and requests.
+"""Compares strategies of maintenance under load by their duration and their effect on requests.
 
-The dispatchers are real, with requests, endpoint lists and reports as in `fleet`. Who goes next is decided by
-the coordinator, or by a strategy that an operator would follow alone.
+The fleet is that of `simulation.traffic.fleet`. The next machine is selected by the coordinator, or by a
+simple strategy of an operator.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 from enum import StrEnum
 from random import Random
-from typing import Any, Final, NamedTuple
+from typing import Final, NamedTuple
 
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.fleet_view import FleetView
@@ -18,26 +18,28 @@
 from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
 from crankfold.routing.interface import EndpointState, RoutingConfig
 from crankfold.routing.router import Router
+from crankfold.simulation.consensus.cluster import Document
 from crankfold.simulation.event_queue import TICKS_PER_SECOND
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import START, ZONE_COUNT, Scenario
 
-FIRST_DECISION_TICKS: Final = TICKS_PER_SECOND  # after the day's begin
+FIRST_DECISION_TICKS: Final = TICKS_PER_SECOND  # after the start of the day
 DECISION_INTERVAL_TICKS: Final = 2_000
-CONSENSUS_DELAY_TICKS: Final = 300  # until an entry is on the disks of a majority
-WORK_DURATION_TICKS: Final = TICKS_PER_SECOND  # what the work on a machine takes
-MIN_DRAIN_TICKS: Final = 5_000  # before that nobody can know that all dispatchers have heard of it
-MAX_OUT_DIVISOR: Final = 10  # a tenth of the machines is out at once
-MAX_UTILIZATION: Final = 0.8  # of the slots: who sees true loads takes no machine out over that
-OUTCOME_WINDOW: Final = 26  # decisions over which answers and shed requests are counted
+CONSENSUS_DELAY_TICKS: Final = 300  # from a proposal until its commit
+WORK_DURATION_TICKS: Final = TICKS_PER_SECOND  # of the work on a machine
+MIN_DRAIN_TICKS: Final = 5_000  # until all dispatchers know that the machine drains
+MAX_OUT_DIVISOR: Final = 10  # at most a tenth of the machines is out at once
+MAX_UTILIZATION: Final = 0.8  # of the remaining slots, with the strategy BY_TRUE_LOAD
+MIN_REMAINING_SHARE: Final = 0.5  # of the machines, for the coordinator
+OUTCOME_WINDOW_DECISIONS: Final = 26  # over which completed and shed requests are counted
 JOB: Final = "w"
 OPERATOR: Final = "o"
 MEMBER_NAME: Final = "n0"
 
 
 class Strategy(StrEnum):
-    """Who goes next; the values stand in the tables of the study."""
+    """How the next machine is selected; the values are the names in the tables of the study."""
 
     COORDINATOR = "settled"
     BY_ID = "by id"
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StudyResult:
-    """One day."""
+    """The result of one simulated day."""
 
     strategy: Strategy
     seed: int
@@ -62,17 +64,17 @@
 
 
 class Absence(NamedTuple):
-    """Where a machine in maintenance is."""
+    """The phase of a machine in maintenance."""
 
     phase: MaintenancePhase
     since: int  # ticks
 
 
 class StudyFleet(SimulatedFleet):
-    """A fleet without maintenance; subclasses decide who goes out, and follow up."""
+    """A fleet without maintenance; subclasses select machines and move them through the phases."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
-        # Faults of the scenario are scheduled while the fleet is made, and ask who is absent.
+        # Before the base class: its constructor schedules faults, which read `absent`.
         self.absent: dict[int, Absence] = {}  # by backend
         super().__init__(scenario, config, Router)
         self.completed_at: dict[int, int] = {}  # by backend, ticks
@@ -82,7 +84,7 @@
             self.events.schedule(FIRST_DECISION_TICKS, self._decide)
 
     def change_state(self, at: int, backend: int, state: EndpointState, since: int = 0) -> None:
-        """What faults do to a machine that is out is undone by the work on it."""
+        """Schedules a change of state by a fault; it has no effect on a machine in maintenance."""
 
         def unless_out() -> None:
             if backend not in self.absent:
@@ -109,15 +111,15 @@
         self._choose()
 
     def _follow_up(self, backend: int, absence: Absence) -> None:
-        """What happens to a machine that does not drain any more."""
+        """Moves a machine that has drained to its next phase."""
 
     def _choose(self) -> None:
-        """Begins what is to be done next."""
+        """Selects the next machines and starts their drain."""
 
     def _work_done(self, backend: int) -> None:
-        """The work on a machine has ended."""
+        """Handles the end of the work on a machine."""
 
-    # --- what happens to a machine ---
+    # --- phases of a machine ---
 
     def _start_drain(self, backend: int) -> None:
         self.absent[backend] = Absence(MaintenancePhase.DRAINING, self.events.now)
@@ -139,7 +141,7 @@
 
 
 class OperatedFleet(StudyFleet):
-    """An operator decides who goes next, by a strategy that looks at no list of bounds."""
+    """A fleet whose operator selects machines by a strategy that knows no limits of jobs."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
         super().__init__(scenario, config, strategy)
@@ -176,7 +178,7 @@
         return self._remaining[: max(max_out - len(self.absent), 0)]
 
     def _next_zone(self) -> list[int]:
-        """All of a zone, when the one before is back."""
+        """Returns all machines of the next zone when the zone before is back in service."""
         if self.absent or not self._remaining:
             return []
         zone = self._remaining[0] % ZONE_COUNT
@@ -186,12 +188,12 @@
         return self.backends[backend].busy_slots + len(self.backends[backend].queue)
 
     def _least_loaded(self) -> list[int]:
-        """As many as the utilization of the others allows."""
-        everybody = range(len(self.backends))
-        available = {backend for backend in everybody if self._is_available(backend)}
-        lost = sum(backend not in available and backend not in self.absent for backend in everybody)
+        """Returns the least loaded machines, as many as the utilization of the others permits."""
+        all_backends = range(len(self.backends))
+        available = {backend for backend in all_backends if self._is_available(backend)}
+        lost = sum(backend not in available and backend not in self.absent for backend in all_backends)
         max_departures = self._max_out - len(self.absent) - lost
-        load = sum(self._load(backend) for backend in everybody)
+        load = sum(self._load(backend) for backend in all_backends)
         chosen: list[int] = []
         for backend in sorted(self._remaining, key=lambda backend: (self._load(backend), backend)):
             slots_left = self.scenario.slots_per_backend * (len(available) - len(chosen) - 1)
@@ -203,7 +205,7 @@
 
 
 class CoordinatedFleet(StudyFleet):
-    """The product's coordinator decides; what it proposes is committed a little later."""
+    """A fleet with the product's coordinator; its proposals are committed `CONSENSUS_DELAY_TICKS` later."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
         super().__init__(scenario, config, strategy)
@@ -211,14 +213,17 @@
         self._state = MaintenanceState()
         self._log_index = 1
         self._job = JobSpecification(
-            max_out=self._max_out, min_remaining_share=0.5, watch_seconds=0.0, min_answers=0
+            max_out=self._max_out,
+            min_remaining_share=MIN_REMAINING_SHARE,
+            watch_seconds=0.0,
+            min_answers=0,
         )
         self._outcome_counts: list[tuple[int, int]] = []  # completed and shed, at each decision
 
     def _choose(self) -> None:
         counts = self.invariants.answer_counts
         self._outcome_counts.append((counts[Answer.COMPLETED], counts[Answer.SHED]))
-        del self._outcome_counts[:-OUTCOME_WINDOW]
+        del self._outcome_counts[:-OUTCOME_WINDOW_DECISIONS]
         self._coordinate()
 
     def _coordinate(self) -> None:
@@ -266,12 +271,12 @@
             available=self._is_available(backend),
         )
 
-    def _committed(self, documents: Sequence[dict[str, Any]]) -> None:
-        """Machines are out or back now; then the next transitions are looked for."""
+    def _committed(self, documents: Sequence[Document]) -> None:
+        """Applies committed transitions, then proposes the next ones."""
         self._apply(documents)
         self._coordinate()
 
-    def _apply(self, documents: Sequence[dict[str, Any]]) -> None:
+    def _apply(self, documents: Sequence[Document]) -> None:
         before = {machine_id: record.phase for machine_id, record in self._state.machines.items()}
         self._log_index += 1
         self._state.apply(self._log_index, {"steps": documents}, 1)
@@ -287,7 +292,7 @@
         if phase == MaintenancePhase.DRAINING:
             self._start_drain(backend)
         elif phase == MaintenancePhase.DRAINED:
-            # The operator begins at once.
+            # The operator begins the work without delay.
             self._apply([_operator_step(machine_id, MaintenancePhase.IN_WORK)])
             self._start_work(backend)
         elif phase == MaintenancePhase.RETURNING:
@@ -302,19 +307,19 @@
     return f"{backend:04}"
 
 
-def _operator_step(machine_id: str, phase: MaintenancePhase) -> dict[str, Any]:
-    """The stored form of a transition that the operator calls for."""
+def _operator_step(machine_id: str, phase: MaintenancePhase) -> Document:
+    """Returns the stored form of a transition by the operator."""
     return {"uid": machine_id, "work": JOB, "step": phase.value, "by": OPERATOR, "life": 0, "why": ""}
 
 
 def run_study(strategy: Strategy, scenario: Scenario, config: RoutingConfig, seed: int) -> StudyResult:
-    """Takes a fleet through one day.
+    """Simulates one day of maintenance.
 
     Args:
-        strategy: Who goes next.
-        scenario: The day; its seed is replaced.
-        config: Of the routing at each dispatcher.
-        seed: The same seed plays the same day.
+        strategy: How the next machine is selected.
+        scenario: The load and the faults; `seed` replaces its seed.
+        config: The routing configuration of each dispatcher.
+        seed: The same seed gives the same day.
     """
     classes = {Strategy.COORDINATOR: CoordinatedFleet, Strategy.NO_MAINTENANCE: StudyFleet}
     fleet = classes.get(strategy, OperatedFleet)(replace(scenario, seed=seed), config, strategy)
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -274,9 +274,8 @@
         arrivals = self._recent_arrivals(now, backend, service_time)
         allowed_work = self.config.overload_factor * capacity * self.config.overload_period
         if sum(arrival.service_time for arrival in arrivals) > allowed_work:
-            self._report_violation(
-                now, Rule.WARMING_BACKENDS, f"pushed the cold runner {backend} over", record
-            )
+            text = f"pushed the cold runner {backend} over"
+            self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
         allowed_count = allowed_work / mean_service_time
         chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
         if len(arrivals) > allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
--- a/crankfold/simulator_adapter/__init__.py
+++ b/crankfold/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: codec and host loop, no decision of its own."""
+"""Runs routers behind the simulator's protocol: codec and host loop, without routing rules."""
--- a/crankfold/simulator_adapter/__main__.py
+++ b/crankfold/simulator_adapter/__main__.py
@@ -1,26 +1,30 @@
-"""Hosts instances of the decisions on standard input and output."""
+"""Hosts router instances for the simulator on standard input and output."""
 
 import struct
 import sys
 
+from crankfold.simulator_adapter.codec import LENGTH_BYTES, TIME_BYTES
 from crankfold.simulator_adapter.host import SimulatorHost
 
-LENGTH_SIZE = 4  # bytes of a frame's length, which counts itself
-MIN_FRAME_SIZE = 12  # bytes: the length and the time
+MIN_FRAME_BYTES = LENGTH_BYTES + TIME_BYTES
 
 
 def main() -> int:
-    """Answers frames until the input ends; gives the exit code, 1 for input that cannot be decoded."""
+    """Answers frames until the input ends.
+
+    Returns:
+        The exit code: 1 for input that cannot be decoded.
+    """
     host = SimulatorHost()
     source = sys.stdin.buffer
     sink = sys.stdout.buffer
     while True:
-        size = source.read(LENGTH_SIZE)
+        size = source.read(LENGTH_BYTES)
         if not size:
             return 0
         length = int.from_bytes(size, "little")
-        frame = source.read(length - LENGTH_SIZE) if length >= MIN_FRAME_SIZE else b""
-        if len(size) < LENGTH_SIZE or length < MIN_FRAME_SIZE or len(frame) < length - LENGTH_SIZE:
+        frame = source.read(length - LENGTH_BYTES) if length >= MIN_FRAME_BYTES else b""
+        if len(size) < LENGTH_BYTES or length < MIN_FRAME_BYTES or len(frame) < length - LENGTH_BYTES:
             print("simulator adapter: truncated frame on standard input", file=sys.stderr)
             return 1
         try:
--- a/crankfold/simulator_adapter/codec.py
+++ b/crankfold/simulator_adapter/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's frames: little-endian records, each with its code in front and no length.
+"""Decodes the simulator's frames: little-endian records, each a code and fields of fixed layout.
 
-Times on the wire are microseconds, those of the decisions ticks of 0.1 ms. Deadlines are rounded down;
-hints are rounded up.
+Times on the wire are microseconds, those of the router ticks of 0.1 ms. Deadlines are rounded down, work
+hints up.
 """
 
 from collections.abc import Sequence
@@ -15,8 +15,10 @@
 
 MICROSECONDS_PER_TICK: Final = 100
 MAX_FAULT_TEXT: Final = 4000  # bytes
+LENGTH_BYTES: Final = 4  # before each frame; the length includes itself
+TIME_BYTES: Final = 8  # at the start of each frame
 
-_LENGTH = Struct("<I")  # of a frame, itself included
+_LENGTH = Struct("<I")  # of a frame, including itself
 _CODE = Struct("<H")
 _INSTANCE = Struct("<H")
 _LIST_HEADER = Struct("<II")
@@ -52,7 +54,7 @@
 
 
 class EventCode(IntEnum):
-    """The codes of records that come in."""
+    """The codes of records from the simulator."""
 
     START = 1
     ENDPOINTS = 2
@@ -74,7 +76,7 @@
 
 
 class ActionCode(IntEnum):
-    """The codes of records that go out."""
+    """The codes of records to the simulator."""
 
     SEND_ATTEMPT = 1
     SHED = 2
@@ -89,7 +91,7 @@
 
 @dataclass(slots=True)
 class ListEntry:
-    """One backend of an endpoint list, with its address in place of an index."""
+    """One backend of an endpoint list, identified by its address."""
 
     address: bytes
     state: EndpointState
@@ -102,16 +104,16 @@
 
 @dataclass(slots=True)
 class EndpointsRecord:
-    """Says which endpoint list an instance now has."""
+    """Names the endpoint list that an instance receives."""
 
     list_index: int
     snapshot: bool
-    failed: bool  # there is none
+    failed: bool  # discovery failed; there is no list
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """Names an attempt by the ids on the wire."""
+    """An attempt, identified as on the wire."""
 
     request_id: int
     attempt_number: int
@@ -122,9 +124,9 @@
     """Reads the records of one frame in turn."""
 
     def __init__(self, frame: bytes) -> None:
-        self.now = int.from_bytes(frame[:8], "little") // MICROSECONDS_PER_TICK
+        self.now = int.from_bytes(frame[:TIME_BYTES], "little") // MICROSECONDS_PER_TICK
         self._frame = frame
-        self._offset = 8
+        self._offset = TIME_BYTES
 
     def at_end(self) -> bool:
         """Whether all records are read."""
@@ -153,22 +155,22 @@
         return self._frame[start : self._offset]
 
     def code(self) -> int:
-        """The code of the next record."""
+        """Reads the code of the next record."""
         code: int = _CODE.unpack_from(self._frame, self._offset)[0]
         self._offset += _CODE.size
         return code
 
     def instance(self) -> int:
-        """The index of the instance that the next records are for."""
+        """Reads the index of the instance that receives the next records."""
         return int(self.unpack(_INSTANCE)[0])
 
     def start(self) -> tuple[int, str]:
-        """The seed and the settings of an instance that starts."""
+        """Reads the seed and the settings of an instance that starts."""
         seed, size = self.unpack(_START)
         return seed, self.take(size, "settings").decode()
 
     def endpoint_list(self) -> tuple[int, list[ListEntry]]:
-        """An endpoint list, and the index by which it is named later."""
+        """Reads an endpoint list and the index by which later records name it."""
         index, count = self.unpack(_LIST_HEADER)
         packed = self.take(_LIST_ENTRY.size * count, "a list")
         return index, [
@@ -178,7 +180,7 @@
                 weight=weight,
                 zone=zone,
                 cell=cell,
-                # Rounded up: a younger backend is treated as colder.
+                # Rounded up, so that slow start does not end early.
                 started_at=-(-started_at // MICROSECONDS_PER_TICK),
                 instance_type=instance_type,
             )
@@ -188,12 +190,12 @@
         ]
 
     def endpoints(self) -> EndpointsRecord:
-        """Which endpoint list an instance now has."""
+        """Reads which endpoint list an instance receives."""
         kind, _revision, index = self.unpack(_ENDPOINTS)
         return EndpointsRecord(index, snapshot=kind != _DELTA, failed=kind == _FAILED)
 
     def request(self) -> RequestArrival:
-        """A request, still by its id on the wire; its tenant and second size are of no use here."""
+        """Reads a request with its id on the wire; its tenant and second size are not used."""
         request_id, class_index, _tenant, key, deadline, work, slots, _size, flags = self.unpack(_REQUEST)
         return RequestArrival(
             request_id,
@@ -206,17 +208,17 @@
         )
 
     def attempt_started(self) -> AttemptRecord:
-        """The first sign of an attempt."""
+        """Reads the start of an attempt."""
         request_id, address, attempt_number, _latency = self.unpack(_ATTEMPT_STARTED)
         return AttemptRecord(request_id, attempt_number, address)
 
     def attempt_note(self) -> tuple[AttemptRecord, bool]:
-        """An attempt, and whether it has started; else it gets on."""
+        """Reads an attempt, and whether it started (True) or made progress (False)."""
         request_id, attempt_number, address, kind, _share = self.unpack(_ATTEMPT_NOTE)
         return AttemptRecord(request_id, attempt_number, address), kind == _NOTE_STARTED
 
     def attempt_ended(self) -> tuple[AttemptRecord, AttemptEnd]:
-        """An attempt, and how it has ended; an unknown status may have been executed."""
+        """Reads an attempt and its end; an unknown status counts as possibly executed."""
         fields = self.unpack(_ATTEMPT_END)
         request_id, attempt_number, address, status, _latency, request_over, _detail, count = fields
         outcome = _OUTCOMES.get(status, Outcome.UNKNOWN)
@@ -224,23 +226,23 @@
         return AttemptRecord(request_id, attempt_number, address), end
 
     def timer(self) -> int:
-        """The token of a timer."""
+        """Reads the token of a timer."""
         return int(self.unpack(_TIMER)[0])
 
     def request_id(self) -> int:
-        """The id of a request."""
+        """Reads the id of a request."""
         return int(self.unpack(_REQUEST_ID)[0])
 
     def probe_ended(self) -> tuple[bytes, bool, Sequence[float]]:
-        """The address of a probed backend, whether it is well, and its load report."""
+        """Reads the address of a probed backend, whether it is healthy, and its load report."""
         address, status, _latency, count = self.unpack(_PROBE_END)
         return address, status == 0, self.report(count)
 
     def skip_peer_message(self) -> None:
-        """Passes over a message of another instance: none are sent."""
+        """Skips a message of another instance; instances send none."""
         _sender, size = self.unpack(_PEER_MESSAGE)
         self._offset += int(size)
 
     def report(self, count: int) -> Sequence[float]:
-        """A load report of `count` figures."""
+        """Reads a load report of `count` values."""
         return self.unpack(Struct(f"<{count}f")) if count else ()
--- a/crankfold/simulator_adapter/host.py
+++ b/crankfold/simulator_adapter/host.py
@@ -1,20 +1,26 @@
-"""Hosts the instances of one process: deals the records of a frame out, and collects the answers."""
+"""Hosts the router instances of one process: dispatches the records of a frame and collects the actions."""
 
 from struct import pack
 
-from crankfold.simulator_adapter.codec import ActionCode, EventCode, FrameReader, ListEntry
+from crankfold.simulator_adapter.codec import LENGTH_BYTES, ActionCode, EventCode, FrameReader, ListEntry
 from crankfold.simulator_adapter.instance import RouterInstance
 
 
 class SimulatorHost:
-    """Keeps the instances by their index, and the endpoint lists that they are told of."""
+    """Owns the instances by their index, and the endpoint lists that records name."""
 
     def __init__(self) -> None:
         self.instances: dict[int, RouterInstance] = {}
         self.endpoint_lists: dict[int, list[ListEntry]] = {}
 
     def handle_frame(self, frame: bytes) -> bytes:
-        """Gives the reply, length in front, to a frame without its length.
+        """Processes a frame.
+
+        Args:
+            frame: Without its length.
+
+        Returns:
+            The reply with its length.
 
         Raises:
             struct.error, IndexError, KeyError, ValueError: The frame cannot be decoded.
@@ -48,4 +54,4 @@
                 parts.append(pack("<HH", ActionCode.FROM_INSTANCE, index) + instance.output)
                 instance.output = bytearray()
         body = b"".join(parts)
-        return pack("<I", 4 + len(body)) + body
+        return pack("<I", LENGTH_BYTES + len(body)) + body
--- a/crankfold/simulator_adapter/instance.py
+++ b/crankfold/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One instance of the decisions: events decoded into its calls, its actions encoded, ids made indices."""
+"""One router instance: decodes events into its calls, encodes its actions and maps ids to indices."""
 
 import traceback
 from collections.abc import Callable, Mapping, Sequence
@@ -26,22 +26,33 @@
 _CANCEL_ATTEMPT = Struct("<HIB")
 _SET_TIMER = Struct("<HIQ")
 _PROBE = Struct("<H6s")
-_MAX_DELAY = 0xFFFFFFFF  # microseconds that a timer's field holds
+_MAX_DELAY = 0xFFFFFFFF  # microseconds, the largest value of a timer's field
+# Multiplicative hash: 2**64 / golden ratio as multiplier, 20 bits of the product as position.
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+_HASH_SHIFT_BITS = 20
+_HASH_POSITIONS = 0x100000
 _WATCH_ENDPOINTS = pack("<HB", ActionCode.WATCH_ENDPOINTS, 1)
 
 Call = Callable[[], None]
 
 
 def hash_position(address: bytes) -> float:
-    """A number for a backend, the same at every instance, below 1, and spread evenly over backends."""
-    return (int.from_bytes(address, "little") * 0x9E3779B97F4A7C15 >> 20 & 0xFFFFF) / 0x100000
+    """Returns the position of a backend in [0, 1): the same at each instance, uniform over backends."""
+    product = int.from_bytes(address, "little") * _HASH_MULTIPLIER
+    return ((product >> _HASH_SHIFT_BITS) % _HASH_POSITIONS) / _HASH_POSITIONS
 
 
 class RouterInstance:
     """Carries events to one `Router`, and implements its `RoutingActions`."""
 
     def __init__(self, seed: int, settings: str, endpoint_lists: Mapping[int, Sequence[ListEntry]]) -> None:
-        """Starts the decisions from the lines of the settings; lists are looked up when they are named."""
+        """Makes the router from the lines of the settings.
+
+        Args:
+            seed: Of the router's random choices.
+            settings: The lines of its configuration.
+            endpoint_lists: By index; read when a record names one.
+        """
         self.output = bytearray()
         backends: Interner[bytes] = Interner()
         requests: Interner[int] = Interner()
@@ -55,13 +66,13 @@
     # --- actions ---
 
     def send_attempt(self, request_id: int, backend: int) -> None:
-        """Encodes an attempt, without a time limit of its own."""
+        """Encodes an attempt without a timeout of its own."""
         self.output += _SEND_ATTEMPT.pack(
             ActionCode.SEND_ATTEMPT, self.request_ids[request_id], 0, self.addresses[backend]
         )
 
     def shed(self, request_id: int, retry_after: int) -> None:
-        """Encodes the answer that a retry is harmless."""
+        """Encodes the answer that a request is shed and may be retried."""
         delay = retry_after * MICROSECONDS_PER_TICK
         self.output += _SHED.pack(ActionCode.SHED, self.request_ids[request_id], delay)
 
@@ -70,13 +81,13 @@
         self.output += _FAIL_REQUEST.pack(ActionCode.FAIL_REQUEST, self.request_ids[request_id])
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Encodes the cancelling of an attempt."""
+        """Encodes the cancellation of an attempt."""
         self.output += _CANCEL_ATTEMPT.pack(
             ActionCode.CANCEL_ATTEMPT, self.request_ids[request_id], attempt_number
         )
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Encodes a timer, due within the range of its field."""
+        """Encodes a timer; a delay beyond the range of its field is reduced to the range."""
         microseconds = min(delay * MICROSECONDS_PER_TICK, _MAX_DELAY)
         self.output += _SET_TIMER.pack(ActionCode.SET_TIMER, microseconds, token)
 
@@ -85,7 +96,7 @@
         self.output += _PROBE.pack(ActionCode.PROBE, self.addresses[backend])
 
     def poll_endpoints(self) -> None:
-        """Encodes the wish for the endpoint list."""
+        """Encodes a request for the endpoint list."""
         self.output += _WATCH_ENDPOINTS
 
     def _report_fault(self, text: str) -> None:
@@ -95,7 +106,7 @@
     # --- events ---
 
     def handle_event(self, code: int, reader: FrameReader) -> None:
-        """Decodes an event whole, then tells it; only what the decisions raise is reported as their fault.
+        """Decodes an event and passes it to the router; an exception of the router is sent as a fault.
 
         Raises:
             FrameError: The code is unknown.
@@ -114,7 +125,7 @@
             self._report_fault(traceback.format_exc())
 
     def _attempt(self, record: AttemptRecord) -> tuple[int, int, int]:
-        """The index of the request, the attempt's number and the index of the backend."""
+        """Returns the request index, the attempt number and the backend index."""
         request = self.request_index(record.request_id)
         return request, record.attempt_number, self.backend_index(record.address)
 
