--- a/benchmarks/agreement_simulated.py
+++ b/benchmarks/agreement_simulated.py
@@ -20,6 +20,7 @@
     ClusterFault,
     ClusterFaultKind,
     IdleHost,
+    MessageCount,
     SimulatedCluster,
     settings_document,
 )
@@ -165,8 +166,9 @@
         }
         for kind, names in kinds.items():
             if names:
-                counts = [cluster.message_counts.get(name, [0, 0]) for name in names]
-                messages, size_sent = (sum(column) for column in zip(*counts, strict=True))
+                counts = [cluster.message_counts.get(name, MessageCount()) for name in names]
+                messages = sum(count.messages for count in counts)
+                size_sent = sum(count.bytes_sent for count in counts)
                 divisor = len(names) * TRAFFIC_SECONDS
                 rows.append(TrafficRow(size, activity, kind, messages / divisor, size_sent / divisor))
     return rows
@@ -191,8 +193,8 @@
 # --- maintenance ---
 
 
-def _messages_sent(size: int, jobs: dict[str, Any]) -> dict[str, list[int]]:
-    """By process, how many messages it sent and their bytes, with those jobs."""
+def _messages_sent(size: int, jobs: dict[str, Any]) -> dict[str, MessageCount]:
+    """Returns the messages sent by each process of a fleet with these jobs."""
     case = ClusterCase(follower_count=size - 3, seconds=40.0, publish_every=1000.0, with_load=True)
     fleet = MaintenanceFleet(MaintenanceCase(case, jobs, request_rate=0.1)).run()
     assert not fleet.violations, fleet.violations
@@ -212,10 +214,8 @@
         without = _messages_sent(size, {})
         for sender, names in (("all", list(with_job)), ("a follower", ["f0"])):
             known = [name for name in names if name in with_job]
-            messages, size_sent = (
-                sum(with_job[name][column] - without[name][column] for name in known) / MACHINES
-                for column in (0, 1)
-            )
+            messages = sum(with_job[name].messages - without[name].messages for name in known) / MACHINES
+            size_sent = sum(with_job[name].bytes_sent - without[name].bytes_sent for name in known) / MACHINES
             if sender == "all" or size > 3:
                 rows.append((size, sender, f"{messages:.1f}", f"{size_sent:.0f}"))
                 say(
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -1,5 +1,6 @@
 """A simulated cluster of members with message loss, partitions, pauses, crashes and clock drift."""
 
+from dataclasses import dataclass
 from functools import partial
 from random import Random
 from typing import Self
@@ -35,6 +36,7 @@
     "ClusterFaultKind",
     "Document",
     "IdleHost",
+    "MessageCount",
     "SimulatedCluster",
     "SimulatedProcess",
     "random_scenario",
@@ -57,6 +59,14 @@
 INCARNATION_COUNT = 1 << 40
 
 
+@dataclass(slots=True)
+class MessageCount:
+    """The messages that a process has sent, lost ones included."""
+
+    messages: int = 0
+    bytes_sent: int = 0  # with the header of each frame
+
+
 class SimulatedCluster:
     """Simulates a case and collects the violations of the invariants.
 
@@ -88,7 +98,7 @@
             for name in case.process_names()
         }
         self.invariants = ClusterInvariants(self.events, case.staleness_bound)
-        self.message_counts: dict[str, list[int]] = {}  # by sender: messages and bytes
+        self.message_counts: dict[str, MessageCount] = {}  # by sender
         self.outcomes: dict[str, ProposalResponse] = {}  # by call
         self.call_count = 0
 
@@ -193,9 +203,9 @@
 
     def send_message(self, sender: SimulatedProcess, receiver: str, message: Message) -> None:
         """Sends a message; active faults drop, delay or duplicate it."""
-        counts = self.message_counts.setdefault(sender.name, [0, 0])
-        counts[0] += 1
-        counts[1] += len(msgspec.msgpack.encode(message)) + FRAME_HEADER_BYTES
+        count = self.message_counts.setdefault(sender.name, MessageCount())
+        count.messages += 1
+        count.bytes_sent += len(msgspec.msgpack.encode(message)) + FRAME_HEADER_BYTES
         for fault in self._active_faults(ClusterFaultKind.LOSS):
             if fault.affects(sender.name, receiver) and self.rng.random() < fault.magnitude:
                 return
