--- a/crankfold/simulation/consensus/invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -14,10 +14,9 @@
 from crankfold.consensus.voter import Voter
 from crankfold.simulation.consensus.process import SimulatedProcess
 from crankfold.simulation.event_queue import EventQueue
-from crankfold.time_units import TICKS_PER_SECOND
+from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 MAX_VIOLATIONS = 20  # recorded; further ones are dropped
-TICKS_PER_MS = 10
 
 
 class LeaseView(NamedTuple):
@@ -121,7 +120,9 @@
             duration = min(view.until, self.events.now) - self.first_applied_at[missed]
             self.longest_contradiction = max(self.longest_contradiction, duration)
             if duration > self.staleness_bound:
-                self.report(f"{name} acts on {view.applied} {duration / TICKS_PER_MS:.0f} ms after {missed}")
+                self.report(
+                    f"{name} acts on {view.applied} {duration / TICKS_PER_MILLISECOND:.0f} ms after {missed}"
+                )
 
     def _check_leadership(self, name: str, member: Member) -> None:
         """Each term has at most one leader."""
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -14,9 +14,9 @@
 from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
 from crankfold.simulation.consensus.cluster import Document, SimulatedCluster, SimulatedProcess
 from crankfold.simulation.maintenance.machines import AnswerCount, SimulatedMachine, WorkRun
+from crankfold.time_units import TICKS_PER_MILLISECOND
 
 MAX_LIST_LAG_TICKS = 12_000  # from a change of a machine until it is in every endpoint list
-TICKS_PER_MILLISECOND = 10
 MAX_UNRESOLVED_REPORTED = 5  # requests of each machine
 
 
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -22,11 +22,11 @@
     RequestClass,
     RoutingConfig,
 )
+from crankfold.time_units import TICKS_PER_MILLISECOND
 
 MAX_HISTORY_EVENTS = 12  # per request, for the report of a violation
 PROPAGATION_LIMIT_TICKS = 60_000  # from a change in discovery until every dispatcher must know it
 DISCONNECT_GRACE_TICKS = 1_000  # in which an attempt may still start after its client disconnected
-TICKS_PER_MS = 10
 # The number of arrivals in a period varies by chance; this much above the mean is no violation.
 ALLOWED_STANDARD_DEVIATIONS = 2
 ALLOWED_EXTRA_REQUESTS = 2
@@ -74,7 +74,7 @@
 
     def add_event(self, now: int, event: str) -> None:
         """Adds an event to the history that the report of a violation shows."""
-        self.history.append(f"{now / TICKS_PER_MS:.1f} {event}")
+        self.history.append(f"{now / TICKS_PER_MILLISECOND:.1f} {event}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
     def _report_violation(self, now: int, rule: Rule, text: str, record: RequestRecord) -> None:
         self.violations.append(
-            f"rule {rule} at {now / TICKS_PER_MS:.1f} ms: unit {record.request_id} of dispatcher "
+            f"rule {rule} at {now / TICKS_PER_MILLISECOND:.1f} ms: unit {record.request_id} of dispatcher "
             f"{record.dispatcher} {text}; before: {'; '.join(record.history)}"
         )
 
@@ -167,7 +167,7 @@
     def _check_unanswered(self, now: int, record: RequestRecord, backend: int) -> None:
         if record.disconnected_at:
             if now > record.disconnected_at + DISCONNECT_GRACE_TICKS:
-                gone_since = f"{record.disconnected_at / TICKS_PER_MS:.1f}"
+                gone_since = f"{record.disconnected_at / TICKS_PER_MILLISECOND:.1f}"
                 text = f"was sent to runner {backend} for a client gone since {gone_since}"
                 self._report_violation(now, Rule.ANSWERS, text, record)
         elif record.answer is not None:
@@ -177,7 +177,7 @@
     def _check_not_excluded(self, now: int, record: RequestRecord, backend: int) -> None:
         since = self.excluded_since.get((record.dispatcher, backend))
         if since is not None and now > since + self.drain_grace:
-            text = f"was sent to runner {backend}, known to end since {since / TICKS_PER_MS:.1f}"
+            text = f"was sent to runner {backend}, known to end since {since / TICKS_PER_MILLISECOND:.1f}"
             self._report_violation(now, Rule.LEAVING_BACKENDS, text, record)
 
     def _check_repetition(self, now: int, record: RequestRecord, backend: int) -> None:
@@ -274,9 +274,8 @@
         arrivals = self._recent_arrivals(now, backend, service_time)
         allowed_work = self.config.overload_factor * capacity * self.config.overload_period
         if sum(arrival.service_time for arrival in arrivals) > allowed_work:
-            self._report_violation(
-                now, Rule.WARMING_BACKENDS, f"pushed the cold runner {backend} over", record
-            )
+            text = f"pushed the cold runner {backend} over"
+            self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
         allowed_count = allowed_work / mean_service_time
         chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
         if len(arrivals) > allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
