--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -1,48 +1,60 @@
-"""Averages that follow the traffic; nothing is decided here.
+"""Averages that follow the traffic: running times, waits, arrivals, and medians over the backends.
 
-Times and work are ticks of 0.1 ms: a request's work is its running time on a slot of a usual backend.
+Times and work are ticks. The work of a request is its running time on a slot of a backend of usual speed.
 """
 
 from collections.abc import Sequence
 
-from crankfold.routing.backend_table import Backend
+from crankfold.routing.backend_table import Backend, Backends
 from crankfold.routing.records import Attempt, PendingRequest
+from crankfold.routing.smoothing import decaying_sum, exponential_average
 from crankfold.time_units import TICKS_PER_SECOND
 
-FADE = 0.975  # kept of what was offered and earned in each fade interval: some ten seconds are remembered
-FADE_INTERVAL = TICKS_PER_SECOND // 4  # ticks
-_MAX_FADE_TIME = 10 * TICKS_PER_SECOND  # ticks: after a longer pause no more is forgotten
-_RUN_TIME_FADE = 0.85  # kept of the sums of running times with each run
+ARRIVAL_DECAY = 0.975  # kept of arrivals and values in each decay interval
+DECAY_INTERVAL_TICKS = TICKS_PER_SECOND // 4
+MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # counted at most, so that a pause does not empty the sums
+RUN_TIME_DECAY = 0.85  # kept of a backend's sums of running times with each run
+MEAN_RUN_WEIGHT = 0.1  # of the latest run in the mean running time
+RUN_PER_WORK_WEIGHT = 0.1  # of the latest run in the running time for each hinted work
+CLASS_RUN_WEIGHT = 0.05  # of the latest run in the typical running time of its class
+MEAN_WAIT_WEIGHT = 0.1  # of the latest start in the mean wait
+INITIAL_REQUESTS = 5  # for each class, that the work of short and of all requests starts from
+MIN_MEDIAN_SLOWNESS = 0.01  # as a request may start and end in one tick, and the median is divided by
 
 
 class TrafficAverages:
-    """Running times, waits and arrivals at this instance, and middle figures of its backends."""
+    """Running times, waits and arrivals at this instance, and medians over its backends."""
 
     def __init__(self, typical_runs: Sequence[float], short_share: float) -> None:
-        """Starts from the typical running times of the request classes and a share of short requests."""
-        self.arrivals = 0.0  # requests, fading
-        self.observed_time = 0.0  # ticks in which they came, fading
+        """Starts from assumed traffic.
+
+        Args:
+            typical_runs: Typical running times of the request classes, ticks.
+            short_share: Share of the work that is short requests'.
+        """
+        self.arrivals = 0.0  # requests, decaying
+        self.observed_time = 0.0  # ticks in which they came, decaying
         # Of all requests, as work hinted or typical for the class:
         self.total_work = sum(typical_runs)
         self.request_count = len(typical_runs)
-        self.slot_work = 5 * self.total_work  # work times slots; starts as if of five requests a class
-        self.short_slot_work = 5 * short_share * self.total_work  # that of requests shorter than the mean
+        self.slot_work = INITIAL_REQUESTS * self.total_work  # work times slots
+        self.short_slot_work = INITIAL_REQUESTS * short_share * self.total_work  # of requests under the mean
         self.multi_slot_seen = False
-        # Of attempts, fading:
+        # Of attempts:
         self.mean_wait = 0.0
         self.mean_run = 1.0 * TICKS_PER_SECOND
         self.run_per_work = 0.0  # run time for each hinted work on a slot of weight 1; 0 while not known
-        # Of the backends with a fresh report, taken anew at each refresh:
+        # Of the backends with a fresh report, as of the last refresh:
         self.mean_reported_queue = 0.0
         self.slots_per_weight = 1.0
         self.median_slowness = 1.0  # run time over hinted work
 
     def is_short(self, work: float) -> bool:
-        """Whether this is less work than the mean request brings."""
+        """Whether `work` is less than that of the mean request."""
         return work * self.request_count < self.total_work
 
     def record_request(self, work: float, slots: float) -> None:
-        """Counts a request that came in."""
+        """Counts a request that came in, with its work in ticks and its slots."""
         self.multi_slot_seen = self.multi_slot_seen or slots > 1.0
         if self.is_short(work):
             self.short_slot_work += work * slots
@@ -50,38 +62,67 @@
         self.total_work += work
         self.request_count += 1
 
+    def record_wait(self, wait: int) -> None:
+        """Counts the wait of an attempt for its start, in ticks."""
+        self.mean_wait = exponential_average(self.mean_wait, wait, MEAN_WAIT_WEIGHT)
+
     def record_run(self, now: int, request: PendingRequest, attempt: Attempt) -> None:
-        """Counts the running time of an attempt that is completed now and was known to have started."""
-        backend = attempt.backend
+        """Counts the running time of an attempt.
+
+        Args:
+            now: Ticks, when it was completed.
+            request: The request of the attempt.
+            attempt: An attempt whose start is known.
+        """
         run = now - attempt.started_at
-        if request.work and backend.capacity and backend.warm_from <= now:
-            pace = run / request.work * backend.weight / backend.capacity
-            self.run_per_work += 0.1 * (pace - self.run_per_work) if self.run_per_work else pace
-        if request.work:  # without a hint a long request looks like a slow backend
-            backend.run_time_sum = _RUN_TIME_FADE * backend.run_time_sum + run
-            backend.hinted_work_sum = _RUN_TIME_FADE * backend.hinted_work_sum + request.work
-        request.request_class.typical_run += 0.05 * (run - request.request_class.typical_run)
-        self.mean_run += 0.1 * (run - self.mean_run)
-
-    def fade(self, passed: int) -> float:
-        """Fades what came in over `passed` ticks, and gives the factor for other sums that fade alike."""
-        counted = min(passed, _MAX_FADE_TIME)
-        factor: float = FADE ** (counted / FADE_INTERVAL)
-        self.arrivals = factor * self.arrivals
-        self.observed_time = factor * self.observed_time + counted
-        return factor
-
-    def refresh(self, now: int, fresh: Sequence[Backend], members: Sequence[Backend]) -> None:
-        """Takes the middle figures of the backends anew.
+        if request.work:  # without a hint, a long request could not be told from a slow backend
+            self._record_hinted_run(now, request.work, run, attempt.backend)
+        known = request.request_class
+        known.typical_run = exponential_average(known.typical_run, run, CLASS_RUN_WEIGHT)
+        self.mean_run = exponential_average(self.mean_run, run, MEAN_RUN_WEIGHT)
+
+    def _record_hinted_run(self, now: int, work: int, run: int, backend: Backend) -> None:
+        if backend.capacity and backend.warm_from <= now:
+            pace = run / work * backend.weight / backend.capacity
+            known = self.run_per_work
+            self.run_per_work = exponential_average(known, pace, RUN_PER_WORK_WEIGHT) if known else pace
+        backend.run_time_sum = decaying_sum(backend.run_time_sum, run, RUN_TIME_DECAY)
+        backend.hinted_work_sum = decaying_sum(backend.hinted_work_sum, work, RUN_TIME_DECAY)
+
+    def decay_arrivals(self, passed: int) -> float:
+        """Lets the arrivals of earlier count less.
+
+        Args:
+            passed: Ticks since the last call.
+
+        Returns:
+            The part of them that still counts, for other sums that decay alike.
+        """
+        counted = min(passed, MAX_DECAY_TICKS)
+        decay: float = ARRIVAL_DECAY ** (counted / DECAY_INTERVAL_TICKS)
+        self.arrivals = decay * self.arrivals
+        self.observed_time = decaying_sum(self.observed_time, counted, decay)
+        return decay
+
+    def refresh(self, now: int, with_fresh_report: Backends, members: Backends) -> None:
+        """Computes the mean queue and the medians over the backends anew.
 
         Args:
-            now: The present time, ticks.
-            fresh: Backends with a young report.
-            members: Backends in use.
+            now: Ticks.
+            with_fresh_report: Backends whose last report is recent.
+            members: Backends of the subset.
         """
-        self.mean_reported_queue = sum(b.reported_queue for b in fresh) / len(fresh) if fresh else 0.0
-        slots = sorted(b.capacity / b.weight for b in fresh if b.warm_from <= now)
-        self.slots_per_weight = slots[len(slots) // 2] if slots else 1.0
-        slowness = sorted(b.run_time_sum / b.hinted_work_sum for b in members if b.hinted_work_sum > 0)
-        # A request may start and end in one instant: a median of 0 would fail the next refresh.
-        self.median_slowness = max(slowness[len(slowness) // 2], 0.01) if slowness else 1.0
+        queues = [b.reported_queue for b in with_fresh_report]
+        self.mean_reported_queue = sum(queues) / len(queues) if queues else 0.0
+        self.slots_per_weight = _upper_median(
+            [b.capacity / b.weight for b in with_fresh_report if b.warm_from <= now], default=1.0
+        )
+        slowness = _upper_median(
+            [b.run_time_sum / b.hinted_work_sum for b in members if b.hinted_work_sum > 0], default=1.0
+        )
+        self.median_slowness = max(slowness, MIN_MEDIAN_SLOWNESS)
+
+
+def _upper_median(values: list[float], *, default: float) -> float:
+    """Returns the median, of an even number of values the upper one; `default` for none."""
+    return sorted(values)[len(values) // 2] if values else default
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -24,6 +24,7 @@
 from crankfold.routing.outlier_ejection import OutlierEjection
 from crankfold.routing.records import AttemptScope, PendingRequest
 from crankfold.routing.slow_start import SlowStart
+from crankfold.routing.state import RoutingState
 from crankfold.routing.subsetting import Subset
 
 SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that has room
@@ -87,11 +88,17 @@
     """Applies the steps that this module's docstring lists."""
 
     def __init__(
-        self, subset: Subset, reports: LoadReports, ejection: OutlierEjection, affinity: KeyAffinity
+        self,
+        state: RoutingState,
+        slow_start: SlowStart,
+        subset: Subset,
+        reports: LoadReports,
+        ejection: OutlierEjection,
+        affinity: KeyAffinity,
     ) -> None:
-        self._state = subset.state
+        self._state = state
+        self._slow_start = slow_start
         self._subset = subset
-        self._slow_start: SlowStart = subset.slow_start
         self._reports = reports
         self._ejection = ejection
         self._affinity = affinity
--- a/crankfold/routing/concurrency_limit.py
+++ b/crankfold/routing/concurrency_limit.py
@@ -1,64 +1,92 @@
-"""Concurrency limit: how many attempts of this instance may be in flight at once."""
+"""Concurrency limit: how many attempts of this instance may be in flight at once.
+
+The limit is adaptive, by the gradient of response times: it shrinks by the ratio of the running time alone to
+the running time with the wait for a start, and grows by its square root.
+"""
 
 from math import inf, sqrt
 
 from crankfold.routing.state import RoutingState
 
-SAMPLES_PER_ADJUSTMENT = 10  # starts that are waited for before the limit moves
-MIN_LIMIT = 4.0  # attempts; the fair part of the fleet may be more
-WAIT_TOLERANCE = 1.05  # a response time longer by this factor than the run moves nothing yet
-MAX_DECREASE = 0.5  # factor that one adjustment applies at most
-SPARSE_HEADROOM = 1.5  # on the fair part where that is a few slots, which chance fills now and then
+SAMPLES_PER_ADJUSTMENT = 10  # starts of attempts between two adjustments
+MIN_LIMIT_ATTEMPTS = 4.0
+WAIT_TOLERANCE_RATIO = 1.05  # of response time to running time, up to which the limit does not shrink
+NEGLIGIBLE_WAIT_TICKS = 1.0  # beside the mean run; keeps the ratio defined for runs of no time
+MAX_DECREASE_RATIO = 0.5  # least ratio that one adjustment applies
+GROWTH_ROOTS = 0.5  # square roots of the limit by which an adjustment lets it grow
+MIN_USE_SHARE = 0.5  # of the limit that must be in flight for it to grow
+SPARSE_HEADROOM_RATIO = 1.5  # on a fair share of a few slots, which random arrivals often exceed
 
 
 class ConcurrencyLimit:
-    """Follows the shortest response time (the run) over the present one (wait and run)."""
+    """Counts the attempts in flight and adapts their limit."""
 
     def __init__(self, state: RoutingState) -> None:
-        self.state = state
+        self._state = state
         self.in_flight = 0  # attempts, without those in slow start
-        self.limit = inf
-        self.adjusted_at = 0
-        self.samples = 0
-        self.fleet_capacity = 1.0  # to which the limit was last scaled, weights
+        self.limit = inf  # attempts; not limited until attempts have waited for their start
+        self.adjusted_at = 0  # ticks
+        self._samples = 0
+        self._fleet_capacity = 1.0  # weights that the limit was last scaled to
 
     def reached(self) -> bool:
-        """Whether no further attempt may go out, but to a backend in slow start."""
+        """Whether no further attempt may be sent, except to a backend in slow start."""
         return self.in_flight >= self.limit
 
     def sample_wait(self, now: int, sent_at: int, wait: int) -> None:
-        """Counts an attempt that started `wait` ticks after it was sent."""
-        if sent_at < self.adjusted_at or self.state.weights_follow_load:
-            return  # sent under an older limit: counting it again would shrink the limit once for each
-        averages = self.state.averages
-        averages.mean_wait += 0.1 * (wait - averages.mean_wait)
-        self.samples += 1
-        if self.samples >= SAMPLES_PER_ADJUSTMENT:
-            run = averages.mean_run
-            ratio = WAIT_TOLERANCE * run / (run + averages.mean_wait + 1.0)
-            self.adjust(now, min(1.0, ratio), MIN_LIMIT)
+        """Counts the wait of an attempt for its start, and adjusts the limit after enough of them.
+
+        Args:
+            now: Ticks, when the attempt started.
+            sent_at: Ticks, when it was sent. An attempt sent before the last adjustment does not count, or
+                one wait would shrink the limit twice.
+            wait: Ticks from sending to start.
+        """
+        if sent_at < self.adjusted_at or self._state.weights_follow_load:
+            return
+        averages = self._state.averages
+        averages.record_wait(wait)
+        self._samples += 1
+        if self._samples >= SAMPLES_PER_ADJUSTMENT:
+            response_time = averages.mean_run + averages.mean_wait + NEGLIGIBLE_WAIT_TICKS
+            ratio = WAIT_TOLERANCE_RATIO * averages.mean_run / response_time
+            self.adjust(now, min(1.0, ratio), MIN_LIMIT_ATTEMPTS)
 
     def adjust(self, now: int, ratio: float, least: float) -> None:
-        """Moves the limit by `ratio`, 1 where nothing waits, and some growth; to `least` at least."""
+        """Multiplies the limit by a ratio and lets it grow.
+
+        Args:
+            now: Ticks.
+            ratio: 1 where no attempt waits, less the longer they wait.
+            least: Attempts that the limit allows in any case.
+        """
         if self.limit == inf:
             if ratio == 1.0:
-                return  # nothing waits yet: a limit from the few first requests would hold the next ones back
+                return  # the few attempts in flight at the start are no measure for a limit
             self.limit = 1.0 * self.in_flight
-        if ratio < 1.0 or self.in_flight * 2 >= self.limit:
-            changed = self.limit * max(ratio, MAX_DECREASE) + 0.5 * sqrt(self.limit)
-            self.limit = max(changed, self._fair_part(now, least))
+        if ratio < 1.0 or self.in_flight >= MIN_USE_SHARE * self.limit:
+            changed = self.limit * max(ratio, MAX_DECREASE_RATIO) + GROWTH_ROOTS * sqrt(self.limit)
+            self.limit = max(changed, self._fair_share(now, least))
         self.adjusted_at = now
-        self.samples = 0
+        self._samples = 0
 
-    def _fair_part(self, now: int, least: float) -> float:
-        # Never under the fair part of the fleet, or a wait at the start holds all back for long.
-        warm = [backend.capacity for backend in self.state.table.ready if backend.warm_from <= now]
+    def _fair_share(self, now: int, least: float) -> float:
+        """This instance's share of the warm backends' slots, at least `least`: a lower bound of the limit.
+
+        Backends of unknown capacity count as the mean of the others.
+        """
+        warm = [backend.capacity for backend in self._state.table.ready if backend.warm_from <= now]
         known = [slots for slots in warm if slots]
-        headroom = SPARSE_HEADROOM if self.state.sparse and not self.state.weights_follow_load else 1.0
-        fair = sum(known) / max(len(known), 1) * len(warm) * (headroom / self.state.instance_count)
+        needs_headroom = self._state.sparse and not self._state.weights_follow_load
+        headroom = SPARSE_HEADROOM_RATIO if needs_headroom else 1.0
+        fair = sum(known) / max(len(known), 1) * len(warm) * (headroom / self._state.instance_count)
         return max(fair, least)
 
     def scale(self, fleet_capacity: float) -> None:
-        """Scales with the fleet: one cut to a third takes a third, at once."""
-        self.limit *= fleet_capacity / self.fleet_capacity or 1.0
-        self.fleet_capacity = fleet_capacity or self.fleet_capacity
+        """Scales the limit at once with the capacity of the fleet.
+
+        Args:
+            fleet_capacity: Sum of the weights of the ready backends, each by its share when warming up.
+        """
+        self.limit *= fleet_capacity / self._fleet_capacity or 1.0
+        self._fleet_capacity = fleet_capacity or self._fleet_capacity
--- a/crankfold/routing/discovery_polling.py
+++ b/crankfold/routing/discovery_polling.py
@@ -1,51 +1,52 @@
-"""When to ask for the endpoint list, where it has to be asked for.
+"""Discovery polling: when the endpoint list is polled, where the discovery service does not push it.
 
-Nothing is decided here about a request or a backend. Times are ticks of 0.1 ms.
+Many instances start, or lose the discovery service, at the same time. Random first polls and a jittered
+exponential backoff keep their polls together within what the service serves.
 """
 
 from crankfold.routing.interface import POLL_TIMER
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-MAX_FIRST_PAUSE = 2 * TICKS_PER_SECOND  # ticks before a list is asked for again the first time
+MAX_FIRST_PAUSE_TICKS = 2 * TICKS_PER_SECOND  # before the first repeat of a failed poll
+FIRST_PAUSE_DIVISOR = 8  # of the time in which a poll is answered: the first pause
+MAX_PAUSE_RATIO = 2  # of the longest pause to the time in which a poll is answered
+TIME_LIMIT_DIVISOR = 2  # of a time within which an answer or change is due: the longest pause or spread
+JITTER_DIVISOR = 4  # of the pause: its part that is not random
 POLLS_PER_SECOND = 10  # that a discovery service serves, of all instances together
 MAX_DOUBLINGS = 4  # of the pause
 
 
 class DiscoveryPolling:
-    """Spreads the polls of many instances that start, or lose the list, together."""
+    """Schedules the polls of this instance."""
 
     def __init__(self, state: RoutingState) -> None:
-        self.state = state
-        self.failures = 0  # since the last list
-        config = state.config
-        within = config.poll_within
-        # The service serves few calls a second: all together at most ten, at first and at each repeat.
-        self.min_pause = max(min(within // 8, MAX_FIRST_PAUSE), 1)
-        self.max_pause = min(2 * max(within, self.min_pause), config.change_notice_within // 2)
-        at_most = min(within // 2, config.change_notice_within // 2)
-        self.spread = min(state.instance_count * TICKS_PER_SECOND // POLLS_PER_SECOND, at_most)
+        self._state = state
+        self._failures = 0  # since the last list
+        answer_time = state.config.poll_within
+        max_pause = state.config.change_notice_within // TIME_LIMIT_DIVISOR
+        self._min_pause = max(min(answer_time // FIRST_PAUSE_DIVISOR, MAX_FIRST_PAUSE_TICKS), 1)
+        self._max_pause = min(MAX_PAUSE_RATIO * max(answer_time, self._min_pause), max_pause)
+        time_for_all = state.instance_count * TICKS_PER_SECOND // POLLS_PER_SECOND
+        self._spread = min(time_for_all, answer_time // TIME_LIMIT_DIVISOR, max_pause)
 
     def start(self) -> None:
-        """Asks for the first list where it has to be asked for."""
-        if not self.state.config.discovery_by_poll:
+        """Polls the first list, where lists are polled: at once, or spread over time for many instances."""
+        if not self._state.config.discovery_by_poll:
             return
-        if self.spread < TICKS_PER_SECOND:
-            self.state.actions.poll_endpoints()
-        else:  # forty that start together would all be turned away
-            self.state.actions.set_timer(self.state.random.below(self.spread), POLL_TIMER)
+        if self._spread < TICKS_PER_SECOND:
+            self._state.actions.poll_endpoints()
+        else:
+            self._state.actions.set_timer(self._state.random.below(self._spread), POLL_TIMER)
 
     def succeeded(self) -> None:
-        """A list has come."""
-        self.failures = 0
+        """Ends the backoff, as a list has come."""
+        self._failures = 0
 
     def failed(self) -> None:
-        """Asks again after a jittered pause, longer each time.
-
-        All lose the list at once and would ask again at once, and a service whose queue outlasts its callers'
-        patience works for nobody until enough stay away.
-        """
-        doubled = max(self.min_pause, self.spread) << min(self.failures, MAX_DOUBLINGS)
-        pause = min(doubled, self.max_pause)
-        self.state.actions.set_timer(pause // 4 + self.state.random.below(pause), POLL_TIMER)
-        self.failures += 1
+        """Schedules the next poll after a jittered pause, which doubles with each failure."""
+        doubled = max(self._min_pause, self._spread) << min(self._failures, MAX_DOUBLINGS)
+        pause = min(doubled, self._max_pause)
+        jitter = self._state.random.below(pause)
+        self._state.actions.set_timer(pause // JITTER_DIVISOR + jitter, POLL_TIMER)
+        self._failures += 1
--- a/crankfold/routing/membership.py
+++ b/crankfold/routing/membership.py
@@ -8,43 +8,56 @@
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-WAIT_SHARE = 0.4  # of the latency objective that a wait may take before the limit falls
-MIN_LIMIT = 1.0  # attempts, where the limit follows the listed weights
-ADJUST_INTERVAL = TICKS_PER_SECOND // 2  # ticks between two adjustments of the limit by listed weights
+WAIT_SHARE = 0.4  # of the latency objective that requests may wait before the limit shrinks
+MIN_LIMIT_ATTEMPTS = 1.0  # where the limit follows the listed weights
+ADJUST_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # between two adjustments of the limit by listed weights
 
 
 class Membership:
     """Applies endpoint lists to the table of backends."""
 
     def __init__(self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit) -> None:
-        self.state = state
-        self.slow_start = slow_start
-        self.limit = limit
+        self._state = state
+        self._slow_start = slow_start
+        self._limit = limit
 
     def update(self, now: int, endpoints: Sequence[Endpoint], *, snapshot: bool) -> None:
-        """Takes the endpoints over; those that a snapshot does not name are removed."""
-        table = self.state.table
+        """Applies a list of endpoints.
+
+        Args:
+            now: Ticks.
+            endpoints: All endpoints, or those that have changed.
+            snapshot: Whether the list is complete; backends that it does not name are removed.
+        """
+        table = self._state.table
         table.update(now, endpoints, snapshot=snapshot)
-        if self.state.weights_follow_load:
-            self._separate_load(now)
-        self.slow_start.all_warm_from = max((b.warm_from for b in table.ready), default=0)
+        if self._state.weights_follow_load:
+            self._separate_load_from_size(now)
+        self._slow_start.all_warm_from = max((b.warm_from for b in table.ready), default=0)
 
-    def _separate_load(self, now: int) -> None:
-        """Takes weights that follow the load apart: size, and requests held.
+    def _separate_load_from_size(self, now: int) -> None:
+        """Reads size and load of each backend from weights that follow the load, and adjusts the limit.
 
-        All see these alike and late and, free to choose, would lean one way: they are a report only where
-        keys bind. A wait that latency objectives allow stands, or busy instances shed in a calm.
+        All instances see these weights late and alike, and would all choose the same backends by them. They
+        count as a load report only where keys restrict the choice.
         """
-        held = 0.0
-        size = 0.0
-        for backend in self.state.table.ready:
-            self.state.table.separate_load(backend)
-            if self.state.keys_seen and backend.capacity:
+        for backend in self._state.table.ready:
+            self._state.table.separate_load(backend)
+            if self._state.keys_seen and backend.capacity:
                 backend.blend_queue(now, backend.utilization * backend.capacity, 1.0)
                 backend.reported_at = now
+        if now - self._limit.adjusted_at >= ADJUST_INTERVAL_TICKS:
+            self._adjust_limit(now)
+
+    def _adjust_limit(self, now: int) -> None:
+        """Shrinks the limit where the warm backends hold more work than latency objectives allow."""
+        load = 0.0
+        size = 0.0
+        for backend in self._state.table.ready:
             if backend.warm_from <= now:
-                held += backend.weight * backend.utilization
+                load += backend.weight * backend.utilization
                 size += backend.weight
-        if size and now - self.limit.adjusted_at >= ADJUST_INTERVAL:
-            allowed = 1.0 + WAIT_SHARE * self.state.mean_objective / self.state.averages.mean_run
-            self.limit.adjust(now, min(allowed * size / (held or 1.0), 1.0), MIN_LIMIT)
+        if not size:
+            return
+        allowed = 1.0 + WAIT_SHARE * self._state.mean_objective / self._state.averages.mean_run
+        self._limit.adjust(now, min(allowed * size / (load or 1.0), 1.0), MIN_LIMIT_ATTEMPTS)
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -3,6 +3,7 @@
 from crankfold.routing.backend_table import Backend, Backends
 from crankfold.routing.interface import Outcome
 from crankfold.routing.records import Attempt, PendingRequest
+from crankfold.routing.smoothing import exponential_average
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
@@ -61,7 +62,7 @@
             backend.overloaded_until = now + UNREACHABLE_REST_TICKS
         if outcome in FAILURES:
             # A backend that fails fast has a short queue, and without ejection would attract more attempts.
-            backend.error_rate += ERROR_WEIGHT * (1.0 - backend.error_rate)
+            backend.error_rate = exponential_average(backend.error_rate, 1.0, ERROR_WEIGHT)
             at_once = outcome == Outcome.UNREACHABLE or backend.ejection_time
             if at_once or backend.error_rate > MAX_ERROR_RATE:
                 self.eject(now, backend)
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -53,7 +53,9 @@
         self.retries = RetryPolicy(state)
         self.hedging = HedgingPolicy(state, self.hangs)
         self.affinity = KeyAffinity(state)
-        candidates = Candidates(self.subset, self.reports, self.ejection, self.affinity)
+        candidates = Candidates(
+            state, self.slow_start, self.subset, self.reports, self.ejection, self.affinity
+        )
         sender = AttemptSender(state, self.slow_start, self.limit, self.hedging)
         self.selection = Selection(state, self.slow_start, self.retries, candidates, sender)
         self.admission = Admission(
@@ -182,7 +184,7 @@
     def _refresh(self, now: int) -> None:
         """Now and then, off the path of single requests: the figures that age by themselves."""
         state = self.state
-        factor = state.averages.fade(now - self.refreshed_at if self.refreshed_at >= 0 else 0)
+        factor = state.averages.decay_arrivals(now - self.refreshed_at if self.refreshed_at >= 0 else 0)
         self.refreshed_at = now
         self.subset.refresh(now)
         served = []
