--- a/tests/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -166,7 +166,7 @@
         )
 
     def test_check_prints_what_follows_from_a_configuration(self) -> None:
-        example = Path(__file__).parents[1] / "examples" / "config.json"
+        example = Path(__file__).parents[2] / "examples" / "config.json"
         shown = CliRunner().invoke(main, ["check", "--config", str(example)])
         self.assertEqual(shown.exit_code, 0)
         for line in shown.output.splitlines():
--- /dev/null
+++ b/tests/config/test_schema.py
@@ -0,0 +1,64 @@
+"""What a configuration file must look like."""
+
+import copy
+from typing import Any
+
+from crankfold.config import schema
+from tests.scene import Kept
+
+FILE: dict[str, Any] = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "1f",
+    "limits": {"sockets": 256},
+    "known": None,
+    "settings": {
+        "allowed": {"most-dispatches": 3, "cancel": True},
+        "tick": 2000,
+        "specifics": {"tells-start": True},
+        "service-grades": [
+            {"name": "a", "effect": "safe", "cut-off": 3e6, "expected-time": 1000},
+            {"name": "b", "effect": "keyed", "group": "zone", "cut-off": 3_000_000, "expected-time": 0},
+        ],
+    },
+}
+
+
+class Forms(Kept):
+    def tried(self, what: str, *path: Any, value: Any = None, lacks: bool = False) -> None:
+        given = copy.deepcopy(FILE)
+        at: Any = given
+        for step in path[:-1]:
+            at = at[step]
+        if lacks:
+            del at[path[-1]]
+        elif path:
+            at[path[-1]] = value
+        try:
+            schema.validate(given, FILE)
+        except schema.SchemaError as wrong:
+            self.say(f"{what}: {wrong}")
+        else:
+            self.say(f"{what}: taken")
+
+    def test_what_a_file_must_look_like(self) -> None:
+        grades = ("settings", "service-grades")
+        self.tried("the same")
+        for name in ("listen", "discovery", "settings", "limits", "seed", "known"):
+            self.tried(f"no {name}", name, lacks=True)
+        for name in ("service-grades", "allowed", "tick", "specifics"):
+            self.tried(f"no {name}", "settings", name, lacks=True)
+        self.tried("no key deep inside", "settings", "specifics", "tells-start", lacks=True)
+        self.tried("no cut-off", *grades, 1, "cut-off", lacks=True)
+        self.tried("no group, which not all have", *grades, 1, "group", lacks=True)
+        for value in (0, -1, "soon", None, True, "5"):
+            self.tried(f"cut-off {value!r}", *grades, 0, "cut-off", value=value)
+        for most in (0, -3, 2.5, "many", None):
+            self.tried(f"dispatches {most!r}", "settings", "allowed", "most-dispatches", value=most)
+        self.tried("no grade at all", *grades, value=[])
+        self.tried("one grade fewer", *grades, value=FILE["settings"]["service-grades"][:1])
+        self.tried("a name twice", *grades, 1, "name", value="a")
+        self.tried("an effect unknown", *grades, 0, "effect", value="harmless")
+        self.tried("settings a list", "settings", value=[])
+        self.tried("a grade no object", *grades, 0, value="a")
+        self.close("renewal-forms")
--- /dev/null
+++ b/tests/consensus/test_stored_documents.py
@@ -0,0 +1,258 @@
+"""Documents and their history, written by 82f8a95 (tests/data), are read and written as they were."""
+
+import msgspec
+
+from crankfold.consensus.messages import LogEntry
+from crankfold.consensus.versioned_documents import (
+    Document,
+    DocumentVersion,
+    ProposalOutcome,
+    ReplicatedState,
+    VersionedDocuments,
+)
+from crankfold.maintenance.specification import JobSpecification, WorkMethod, parse_jobs
+from crankfold.maintenance.state import MachineInMaintenance, MaintenanceState, TransitionRecord
+from crankfold.maintenance.transitions import MaintenancePhase, Placement
+from tests.data.write_fixtures import DATA
+from tests.scene import Kept as Traces
+from tests.stored_forms import (
+    HISTORY,
+    PLACE,
+    WORKS,
+    WORKS_1,
+    WORKS_2,
+)
+
+OF_DOCUMENTS = DATA / "documents"
+
+
+def version(number: int, index: int, call: str, text: object) -> DocumentVersion:
+    assert isinstance(text, dict)
+    return DocumentVersion(
+        number=number,
+        made_from=number - 1,
+        author="operator",
+        reason=f"why {call}",
+        at=1_700_000_000_000,
+        text=text,
+        index=index,
+    )
+
+
+def step(index: int, uid: str, what: str, work: str) -> TransitionRecord:
+    return TransitionRecord(
+        index=index,
+        machine_id=uid,
+        job=work,
+        phase=MaintenancePhase(what),
+        by="n0",
+        reason=f"{what} {uid}",
+        at_ms=1_700_000_100_000,
+    )
+
+
+KNOWN = ReplicatedState(
+    documents={
+        "settings": Document(
+            active_number=1,
+            versions=[
+                version(1, 3, "begin", HISTORY[2].data["text"]),
+                version(2, 5, "c1", HISTORY[4].data["text"]),
+            ],
+        ),
+        "limits": Document(
+            active_number=1,
+            versions=[version(1, 8, "c3", {"limits": {"all": 9, "grade:g": 4, "tenant:t": 0}})],
+        ),
+        "deal": Document(
+            active_number=1,
+            versions=[
+                version(1, 10, "c4", {"shares": {"all": {"n0": 5, "n1": 4}, "grade:g": {"n0": 4, "n1": 0}}})
+            ],
+        ),
+        "runners-out": Document(
+            active_number=1,
+            versions=[
+                version(1, 12, "c5", {"runners": {"r9": "smells"}}),
+                version(2, 14, "c6", {"runners": {"r8": "noise"}}),
+            ],
+        ),
+        "runners-never": Document(
+            active_number=1, versions=[version(1, 15, "c7", {"runners": {"r7": "stolen"}})]
+        ),
+        "works": Document(
+            active_number=2, versions=[version(1, 17, "c8", WORKS_1), version(2, 19, "c9", WORKS_2)]
+        ),
+    },
+    outcomes={
+        "begin": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=3),
+        "c1": ProposalOutcome(accepted=True, reason="", version_number=2, log_index=5),
+        "c2": ProposalOutcome(
+            accepted=False, reason="made from version 1, but 2 is there by now", version_number=2, log_index=6
+        ),
+        "c3": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=8),
+        "c4": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=10),
+        "c5": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=12),
+        "c6": ProposalOutcome(accepted=True, reason="", version_number=2, log_index=14),
+        "c7": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=15),
+        "c8": ProposalOutcome(accepted=True, reason="", version_number=1, log_index=17),
+        "c9": ProposalOutcome(accepted=True, reason="", version_number=2, log_index=19),
+        "s1": ProposalOutcome(
+            accepted=False, reason="r3: decided before its last step", version_number=0, log_index=34
+        ),
+        "s2": ProposalOutcome(accepted=True, reason="", version_number=0, log_index=35),
+    },
+    voter_folder_ids={"n0": "f0", "n1": "f1"},
+    maintenance=MaintenanceState(
+        machines={
+            "r1": MachineInMaintenance(
+                job="bios",
+                phase=MaintenancePhase.DRAINED,
+                out_index=21,
+                last_index=25,
+                drain_number=25,
+                executor="n0",
+                executor_incarnation=2**45,
+                worked=False,
+                earlier_jobs=["disks"],
+                started_at=77,
+                placement=Placement(*PLACE),
+                unhealthy=False,
+                reason="free r1",
+            ),
+            "r3": MachineInMaintenance(
+                job="disks",
+                phase=MaintenancePhase.RETURNING,
+                out_index=31,
+                last_index=35,
+                drain_number=30,
+                executor="",
+                executor_incarnation=0,
+                worked=False,
+                earlier_jobs=[],
+                started_at=79,
+                placement=Placement(*PLACE),
+                unhealthy=True,
+                reason="back r3",
+            ),
+        },
+        completed={"disks": {"r2": MaintenancePhase.HEALTHY}},
+        unhealthy_streaks={"disks": 1},
+        halted_jobs={"disks": "halt disks"},
+        begun_jobs=["disks"],
+        change_count=7,
+        latest_wall_ms=1_700_000_100_000,
+        transitions=[
+            step(21, "r1", "out", "disks"),
+            step(22, "r1", "free", "disks"),
+            step(23, "r1", "work", "disks"),
+            step(24, "r1", "ended", "disks"),
+            step(25, "r1", "free", "bios"),
+            step(26, "r2", "out", "disks"),
+            step(27, "r2", "back", "disks"),
+            step(28, "r2", "well", "disks"),
+            step(29, "r3", "out", "disks"),
+            step(30, "r3", "free", "disks"),
+            step(31, "r3", "unwell", "disks"),
+            step(33, "disks", "halt", "disks"),
+            step(35, "r3", "back", "disks"),
+        ],
+    ),
+)
+
+
+class KeptDocuments(Traces):
+    def setUp(self) -> None:
+        super().setUp()
+        self.state = (OF_DOCUMENTS / "state.msgpack").read_bytes()
+
+    def test_a_state_is_read_and_kept_as_it_was(self) -> None:
+        docs = VersionedDocuments(self.state)
+        self.assertEqual(docs.replicated, KNOWN)
+        self.assertEqual(docs.encode(), self.state)
+
+    def test_what_is_acted_on(self) -> None:
+        docs = VersionedDocuments(self.state)
+        self.assertEqual(
+            docs.version_numbers(),
+            {
+                "settings": (1, 2),
+                "limits": (1, 1),
+                "deal": (1, 1),
+                "runners-out": (1, 2),
+                "runners-never": (1, 1),
+                "works": (2, 2),
+            },
+        )
+        self.assertEqual(
+            docs.effective_content("settings"),
+            {
+                "service-grades": [
+                    {
+                        "name": "g",
+                        "effect": "keyed",
+                        "cut-off": 4_000_000,
+                        "expected-time": 500_000,
+                        "group": "zone",
+                        "repeat-window": 1_000_000,
+                        "revenue": 1.5,
+                    }
+                ],
+                "allowed": {"most-dispatches": 3, "second-copies": True, "cancel": False},
+            },
+        )
+        self.assertEqual(docs.effective_content("runners-out"), {"runners": {"r9": "smells", "r8": "noise"}})
+        self.assertEqual(docs.effective_content("works"), WORKS_2)
+        self.assertEqual(
+            [(name, one.number) for name, one in docs.pending_versions()],
+            [("settings", 2), ("runners-out", 2)],
+        )
+        self.assertEqual(docs.max_request_duration(), 50_000)
+
+    def test_the_history_makes_the_same_state(self) -> None:
+        data = (OF_DOCUMENTS / "history.msgpack").read_bytes()
+        history = msgspec.msgpack.decode(data, type=list[LogEntry])
+        self.assertEqual(history, HISTORY)
+        self.assertEqual(msgspec.msgpack.encode(history), data)
+        docs = VersionedDocuments()
+        changed = [docs.apply(index, entry) for index, entry in enumerate(history, 1)]
+        self.assertEqual(docs.encode(), self.state)
+        self.assertEqual(
+            changed,
+            [
+                "",
+                "",
+                "settings",
+                "settings",
+                "settings",
+                "",
+                "",
+                "limits",
+                "limits",
+                "deal",
+                "deal",
+                "runners-out",
+                "runners-out",
+                "runners-out",
+                "runners-never",
+                "runners-never",
+                "works",
+                "works",
+                "works",
+                "works",
+                *["machines"] * 15,
+            ],
+        )
+
+    def test_works(self) -> None:
+        data = (OF_DOCUMENTS / "works.json").read_bytes()
+        works = parse_jobs(msgspec.json.decode(data))
+        self.assertEqual(works, WORKS)
+        self.assertEqual(msgspec.json.encode({"works": works}), data)
+        self.assertEqual(
+            parse_jobs(WORKS_2),
+            {
+                "disks": JobSpecification(reason="new disks", zones=["north"], max_out=4),
+                "bios": JobSpecification(machines=["r1"], method=WorkMethod.ENDPOINT_LIST, work_seconds=60.0),
+            },
+        )
--- a/tests/test_trial.py
+++ b/tests/fault_injection/test_trials.py
@@ -33,7 +33,7 @@
 )
 from tests.scene import Kept
 
-TRIALS = Path(__file__).parents[1] / "trials"
+TRIALS = Path(__file__).parents[2] / "trials"
 
 
 class Played(unittest.IsolatedAsyncioTestCase):
--- /dev/null
+++ b/tests/network/test_handover_channel.py
@@ -0,0 +1,67 @@
+"""The handover channel on its socket in a folder: what killed or foreign processes left behind."""
+
+import asyncio
+import contextlib
+import logging
+import os
+import tempfile
+from pathlib import Path
+from unittest.mock import Mock, patch
+
+from crankfold.network.handover_channel import HandoverChannel
+from crankfold.protocol.handover_messages import (
+    Hello,
+    ManualDrainRecord,
+    ManualDrainState,
+)
+from tests.loopback import Loopback
+
+HELLO = Hello(1, ("127.0.0.1", 18080), "n0")
+
+
+class Passages(Loopback):
+    async def test_what_a_killed_or_foreign_process_left_behind(self) -> None:
+        folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
+        folder /= "deep" * 40  # too long for the path of a socket
+        folder.mkdir()
+        said: list[str] = []
+        logged = patch.object(
+            logging.getLogger("crankfold.network.handover_channel"),
+            "handle",
+            lambda record: said.append(record.category),
+        )
+        self.enterContext(logged)
+        passage = HandoverChannel(str(folder), "p", Mock())
+        self.assertIsNone(await passage.connect(HELLO))
+        self.assertEqual(said, [])  # the usual start
+        (folder / "p").write_text("no socket")
+        (folder / "p.bans").write_text('{"bans": {"a"')
+        self.assertIsNone(await passage.connect(HELLO))
+        self.assertEqual((passage.load_record(), said), (None, ["predecessor", "records"]))
+        record = ManualDrainRecord("n0", ManualDrainState({"a": 5}, {"b": (6, 7)}))
+        passage.save_record(record)
+        self.assertEqual(passage.load_record(), record)
+        await passage.open()
+        left = sorted(path.name for path in folder.iterdir())
+        self.assertEqual(left, ["p", "p.bans"])  # nothing half written
+        passage.server.close()  # type: ignore[union-attr]  # killed: the name stays
+        self.assertIsNone(await HandoverChannel(str(folder), "p", Mock()).connect(HELLO))
+
+        async def foreign(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            writer.write(b"220 mail\n")
+            with contextlib.suppress(ConnectionError):
+                await reader.read()
+            writer.close()
+
+        os.unlink(folder / "p")
+        with passage._short_path("p") as path:
+            server = await asyncio.start_unix_server(foreign, path)
+        self.addCleanup(server.close)
+        self.assertIsNone(await passage.connect(HELLO))
+        await passage.open()  # takes the name all the same
+        newer = HandoverChannel(str(folder), "p", Mock())
+        await newer.open()
+        passage.close()
+        self.assertTrue((folder / "p").exists())  # no longer its own
+        newer.close()
+        self.assertFalse((folder / "p").exists())
--- /dev/null
+++ b/tests/network/test_listener_races.py
@@ -0,0 +1,60 @@
+"""Races between what a client sends and the close of its connection, on real sockets."""
+
+import asyncio
+import contextlib
+from unittest.mock import Mock
+
+from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
+from crankfold.network.listener import Listener
+from crankfold.network.metrics import Metrics
+from tests.loopback import UNIT, Loopback
+from tests.scene import read_request
+
+
+class ListenerCrossings(Loopback):
+    async def begin(self) -> None:
+        self.handler = Mock(is_serving=lambda: True, knows_request_class=lambda _name: True)
+        self.metrics = Metrics()
+        self.listener = Listener(self.handler, self.metrics, (), 100)
+        self.listener.open("127.0.0.1", 0)
+        self.addAsyncCleanup(self.listener.close)
+
+    async def test_a_client_that_floods_or_sends_a_large_request_and_disconnects_is_noticed(self) -> None:
+        await self.begin()
+        large = UNIT.replace(b"Length: 2", b"Length: 60000") + b"x" * 59_998
+        for number, behind in enumerate((b"", b"y" * 400_000), 1):
+            _reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
+            writer.write(large + behind)
+            await self.until(lambda n=number: self.handler.submit.call_count == n)  # type: ignore[misc]
+            with contextlib.suppress(ConnectionError):
+                await writer.drain()
+            writer.close()
+            async with asyncio.timeout(2):
+                await self.until(lambda n=number: self.handler.client_disconnected.call_count == n)  # type: ignore[misc]
+
+    async def test_a_client_that_floods_behind_a_request_has_its_response_whole(self) -> None:
+        await self.begin()
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
+        writer.write(UNIT)
+        await self.until(lambda: self.handler.submit.called)
+        client = self.handler.submit.call_args[0][0]
+        writer.write(b"y" * 9 * MAX_UNREAD_BYTES)
+        await self.until(lambda: client.protocol.discarding_input)
+        client.respond(200, [], b"done")
+        self.assertEqual((await read_request(reader))[1], b"done")
+        writer.close()
+
+    async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(self) -> None:
+        await self.begin()
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
+        writer.write(UNIT)
+        await self.until(lambda: self.handler.submit.called)
+        client = self.handler.submit.call_args[0][0]
+        client.respond(200, [], b"done")
+        await asyncio.sleep(0.01)
+        writer.write(UNIT.replace(b"u1", b"u2"))  # with the system by now, read by nobody
+        client.close()
+        self.assertEqual((await read_request(reader))[1], b"done")  # no reset overtakes it
+        self.assertEqual(await reader.read(), b"")
+        self.assertEqual(self.handler.submit.call_count, 1)
+        writer.close()
--- /dev/null
+++ b/tests/routing/test_request_class_records.py
@@ -0,0 +1,28 @@
+"""What is known of a request class over changes of the configuration."""
+
+from dataclasses import replace
+
+from crankfold.routing.interface import Idempotency
+from crankfold.service.requests.classes import RequestClassTable
+from tests.scene import GRADE, ORDERS, Scene
+
+
+class RequestClassCrossings(Scene):
+    def test_what_was_learnt_of_a_request_class_is_not_kept_for_another_with_equal_settings(self) -> None:
+        self.open()
+        book = RequestClassTable(["a"], [GRADE])
+        self.told.state.classes[0].typical_run = 77.0
+        book.update(["a"], [GRADE])
+        self.told.config_changed(self.now, replace(ORDERS, request_classes=book.classes), book.reassigned)
+        self.assertEqual(
+            ([known.typical_run for known in self.told.state.classes], book.reassigned), ([77.0], frozenset())
+        )
+        book.update(["b"], [GRADE])
+        self.told.config_changed(self.now, replace(ORDERS, request_classes=book.classes), book.reassigned)
+        self.assertEqual(
+            ([known.typical_run for known in self.told.state.classes], book.reassigned),
+            ([GRADE.deadline / 10], frozenset({0})),
+        )
+        self.assertEqual(
+            [known.settings.idempotency for known in self.told.state.classes], [Idempotency.IDEMPOTENT]
+        )
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -1,6 +1,6 @@
 """Plain values of all that is stored or told between processes, for the files under tests/data.
 
-`tests/data/write_fixtures.py` wrote those files from these values; `tests/test_stored_forms.py` reads them.
+`tests/data/write_fixtures.py` wrote those files from these values; the tests of stored forms read them.
 """
 
 from typing import Any
