--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -1,6 +1,6 @@
-"""What this instance knows of each backend: one typed record each, in the order of their indices.
+"""The table of backends: a record for each backend that was ever listed, by its index.
 
-Times are ticks of 0.1 ms; a slot is room for one request of the usual size.
+Times and durations are ticks. A slot is the capacity for one request of the usual size.
 """
 
 from collections import deque
@@ -8,10 +8,11 @@
 from typing import NamedTuple
 
 from crankfold.routing.interface import Endpoint, EndpointState
+from crankfold.routing.smoothing import exponential_average
 from crankfold.time_units import TICKS_PER_SECOND
 
-REPORT_DELAY = 4 * TICKS_PER_SECOND // 10  # ticks between the taking of a load report and its arrival
-NEVER = -(1 << 62)  # before every time that is told
+REPORT_DELAY_TICKS = 4 * TICKS_PER_SECOND // 10  # between the creation of a load report and its arrival
+NEVER = -(1 << 62)  # ticks, before every event
 
 
 class SlotChange(NamedTuple):
@@ -22,7 +23,7 @@
 
 
 class Backend:
-    """One backend, as the list, the load reports and the own attempts show it."""
+    """One backend, by the endpoint list, its load reports and this instance's own attempts."""
 
     __slots__ = (
         "announced_weight",
@@ -58,7 +59,7 @@
     )
 
     def __init__(self, index: int, now: int) -> None:
-        """Makes the record of a backend that is first heard of at `now` ticks."""
+        """Creates the record of a backend that is first listed at `now` ticks."""
         # Over 30 lines as there is one for each field; a dataclass would cost each start a millisecond.
         self.index = index
         self.state = EndpointState.REMOVED
@@ -66,32 +67,32 @@
         self.cell = 0
         self.instance_type = 0
         self.hash_position = 0.0  # below 1, the same at every instance
-        self.started_at = 0  # by the list; 0 for long ago
+        self.started_at = 0  # by the list; 0 if unknown and long ago
         self.warm_from = 0  # end of its warm-up
         self.announced_weight = 0.0
-        self.weight = 0.0  # size: the listed weight, without the load where weights follow the load
-        self.utilization = 0.0  # requests for each core that a weight which follows the load shows
+        self.weight = 0.0  # size: the listed weight, without the load where listed weights follow the load
+        self.utilization = 0.0  # requests for each core, from a listed weight that follows the load
         self.capacity = 0.0  # slots; 0 while not known
 
-        self.reported_queue = 0.0  # slots of work of others, by the reports
-        self.own_slots = 0.0  # slots of work of this instance in flight there
-        self.load = 0.0  # both together: what the score weighs
+        self.reported_queue = 0.0  # slots of work of other instances, by the reports
+        self.own_slots = 0.0  # slots of work of this instance, in flight
+        self.load = 0.0  # sum of the two
         self.report: Sequence[float] = ()
         self.reported_at = NEVER
-        self.last_seen_at = now  # last sign of life
+        self.last_seen_at = now  # last response or notification
         self.probe_in_flight = False
         self.recent_changes: deque[SlotChange] = deque()
 
-        self.run_time_sum = 0.0  # ticks, fading
-        self.hinted_work_sum = 0.0  # ticks, fading: what those runs were announced to take
-        self.score_factor = 0.0  # one over the weight, less what a slowed or warming backend lacks
-        self.error_rate = 0.0  # share of attempts, fading
+        self.run_time_sum = 0.0  # of hinted requests, decaying
+        self.hinted_work_sum = 0.0  # of the same requests, decaying
+        self.score_factor = 0.0  # one over the weight, larger for a slow or warming backend
+        self.error_rate = 0.0  # moving average, from 0 to 1
         self.ejection_time = 0  # length of the present ejection; 0 for a trusted backend
         self.ejected_until = 0
-        self.overloaded_until = 0  # rests after it refused work or could not be reached
-        self.unstarted = 0  # own attempts whose start is not notified yet
+        self.overloaded_until = 0  # end of its rest after it refused work or was unreachable
+        self.unstarted = 0  # own attempts whose start is not notified
         self.own_share = 0.0  # of the slow-start budget that all instances share
-        self.slow_start_next = 0  # when the budget allows the next request; 0 while not drawn
+        self.slow_start_next = 0  # when the budget allows the next request; 0 before its random start
 
     def add_slots(self, now: int, slots: float) -> None:
         """Counts slots taken (positive) or freed (negative) by this instance's own attempts."""
@@ -100,22 +101,24 @@
         self._forget_changes(now)
         self.recent_changes.append(SlotChange(now, slots))
 
-    def blend_queue(self, now: int, seen: float, share: float) -> None:
-        """Moves the estimate of others' work by `share` of the way to what a report shows.
+    def blend_queue(self, now: int, reported: float, weight: float) -> None:
+        """Updates the estimate of other instances' work by a report.
+
+        Own work is subtracted as of the creation of the report, REPORT_DELAY_TICKS ago.
 
         Args:
-            now: The present time, ticks.
-            seen: Slots of work that the report shows, own work included.
-            share: From 0 (no move) to 1 (the report alone counts).
+            now: Ticks.
+            reported: Slots of work in the report, own work included.
+            weight: Of the report in the estimate, from 0 (no effect) to 1 (the report alone counts).
         """
-        # What was sent or came back too lately for this report to count is still own work since the report.
         self._forget_changes(now)
         own_then = self.own_slots - sum(change.slots for change in self.recent_changes)
-        self.reported_queue += share * (max(seen - own_then, 0.0) - self.reported_queue)
+        others = max(reported - own_then, 0.0)
+        self.reported_queue = exponential_average(self.reported_queue, others, weight)
         self.load = self.reported_queue + self.own_slots
 
     def _forget_changes(self, now: int) -> None:
-        oldest = now - REPORT_DELAY
+        oldest = now - REPORT_DELAY_TICKS
         changes = self.recent_changes
         while changes and changes[0].at < oldest:
             changes.popleft()
@@ -128,15 +131,15 @@
     """All backends that were ever listed, by index, and those that are ready."""
 
     def __init__(self, warm_up_time: int) -> None:
-        """Starts without backends; each is taken to warm up for `warm_up_time` ticks after its start."""
+        """Starts without backends; each is in slow start for `warm_up_time` ticks after its start."""
         self.backends: Backends = []
         self.ready: Backends = []
         self._warm_up_time = warm_up_time
         self._largest_weight: dict[int, float] = {}  # of those listed, by instance type
-        self._capacity: dict[int, float] = {}  # slots by instance type, as reports and starts show
+        self._capacity: dict[int, float] = {}  # slots by instance type, from reports and starts
 
     def update(self, now: int, endpoints: Sequence[Endpoint], *, snapshot: bool) -> None:
-        """Takes a list over; ready backends that a snapshot does not name are removed."""
+        """Applies a list at `now` ticks; ready backends that a snapshot does not name are removed."""
         if snapshot:
             for backend in self.ready:
                 backend.state = EndpointState.REMOVED
@@ -148,7 +151,7 @@
 
     def _apply(self, backend: Backend, endpoint: Endpoint) -> None:
         if endpoint.started_at > backend.started_at:
-            # A restarted process holds nothing of what its old self reported or was ejected for.
+            # Load, errors and ejection of the earlier process do not apply to the restarted one.
             backend.reported_queue = 0.0
             backend.error_rate = 0.0
             backend.load = backend.own_slots
@@ -169,17 +172,17 @@
             self._largest_weight[endpoint.instance_type] = max(largest, endpoint.weight)
 
     def separate_load(self, backend: Backend) -> None:
-        """Takes a listed weight that follows the load apart.
+        """Derives size and utilization from a listed weight that follows the load.
 
-        The size is the largest weight that was listed for the instance type, and what the listed weight lacks
-        of it shows how many requests each core holds.
+        The size is the largest weight that was listed for the instance type. The listed weight is the size
+        over one more than the requests for each core.
         """
         backend.weight = self._largest_weight.get(backend.instance_type, 1.0)
         announced = backend.announced_weight if backend.announced_weight > 0 else backend.weight
         backend.utilization = backend.weight / announced - 1.0
 
     def learn_capacity(self, backend: Backend, seen: float) -> None:
-        """Raises the capacity to `seen` slots on each ready backend of the type, though never idle there."""
+        """Raises the capacity of each ready backend of the same instance type to `seen` slots."""
         if seen <= backend.capacity:
             return
         self._capacity[backend.instance_type] = seen
--- a/crankfold/routing/interface.py
+++ b/crankfold/routing/interface.py
@@ -1,7 +1,7 @@
-"""The types between the decisions and whatever carries them: no decision, no wire.
+"""The interface of the routing: the types of its configuration, of its events and of its actions.
 
-Times are whole ticks of 0.1 ms on a clock that never goes back; work is a running time in ticks on a slot
-of a usual backend. Backends, requests and request classes are dense indices, given out where names come in.
+Times and durations are whole ticks of a monotonic clock. Work is a running time in ticks on a slot of a usual
+backend. Backends, requests and request classes are dense indices; the codecs map names to them.
 """
 
 from collections.abc import Collection, Sequence
@@ -51,30 +51,30 @@
     CANCELLED = 6
     NOT_SENT = 7
     UNKNOWN = 8
-    STALE_CONNECTION = 9  # an idle connection was closed: may have executed, says nothing of the backend
+    STALE_CONNECTION = 9  # a reused connection was closed: may have executed, no failure of the backend
 
 
-# After these a backend has certainly not executed the request.
+# Outcomes that prove that the backend has not executed the request.
 NEVER_EXECUTED: Final = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What the settings promise to, and ask of, requests of one class."""
+    """The settings of one class of requests."""
 
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: int  # ticks for which the scope remembers an idempotency key
-    latency_objective: int  # ticks: the part of the objective that does not grow with the work
-    objective_per_work: float  # the part that does, as a multiple of the work
-    deadline: int  # ticks that a client usually waits
+    latency_objective: int  # ticks: the part of the objective that is independent of the work
+    objective_per_work: float  # the other part, as a multiple of the work
+    deadline: int  # ticks from the arrival, unless the request has its own
     priority_weight: float
-    late_value: float  # share of the priority weight that a late answer still earns
+    late_value: float  # share of the priority weight that a late response earns
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfig:
-    """What the decisions are configured by."""
+    """The configuration of the routing."""
 
     request_classes: Sequence[RequestClass]
     instance_count: int  # processes that route to the same backends
@@ -86,41 +86,41 @@
     probing_allowed: bool
     hedging_allowed: bool
     max_attempts: int
-    max_retry_after: int  # ticks; 0 where clients hear of none
+    max_retry_after: int  # ticks; 0 for no Retry-After
     reports_in_responses: bool
     reports_by_probe: bool
     report_fields: Sequence[str]
-    start_notifications: bool  # backends say when they begin with a request
-    progress_interval: int  # ticks between two signs of progress; 0 where there are none
-    discovery_by_poll: bool  # the endpoint list has to be asked for
+    start_notifications: bool  # backends notify the start of a request
+    progress_interval: int  # ticks between two notifications of progress; 0 for none
+    discovery_by_poll: bool  # the endpoint list is polled, not watched
     poll_within: int  # ticks within which a poll is answered
-    initial_capacity: float  # share of its capacity that a backend has when it has just started
+    initial_capacity: float  # share of its capacity that a backend has at its start
     warm_up_time: int  # ticks
     overload_factor: float  # times its capacity that a warming backend may be sent
     overload_period: int  # ticks over which that is counted
     weights_follow_load: bool = False  # a weight is the size over one more than the requests for each core
-    key_affinity: bool = True  # backends keep the data of a request's key for the next one with it
-    change_notice_within: int = 1 << 62  # ticks after which an endpoint's change counts as known
-    instance_index: int = -1  # of this instance among all, from 0; -1 where not told
+    key_affinity: bool = True  # backends cache the data of a request's key
+    change_notice_within: int = 1 << 62  # ticks after which a change of an endpoint must be known
+    instance_index: int = -1  # of this instance among all, from 0; -1 if not configured
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A backend as the endpoint list has it."""
+    """An entry of the endpoint list."""
 
     backend: int
     state: EndpointState
     weight: float
     zone: int
     cell: int
-    started_at: int  # ticks; 0 for long ago
-    instance_type: int = 0  # backends of a type are alike in their slots
-    hash_position: float = 1.0  # drawn from its id, below 1, the same at every instance
+    started_at: int  # ticks; 0 if unknown and long ago
+    instance_type: int = 0  # backends of a type have equal slots
+    hash_position: float = 1.0  # hash of its id, from 0 to 1, the same at every instance
 
 
 # The records of events are plain classes: a dataclass costs a start about a millisecond each.
 class RequestArrival:
-    """A request as it comes in."""
+    """A request that has come in."""
 
     __slots__ = ("class_index", "deadline", "is_retry", "key", "request_id", "slots", "work")
 
@@ -137,83 +137,83 @@
     ) -> None:
         self.request_id = request_id
         self.class_index = class_index
-        self.deadline = deadline  # ticks: when the client waits no longer
+        self.deadline = deadline  # ticks
         self.work = work  # ticks, as hinted; 0 without a hint
         self.slots = slots
-        self.key = key  # of the data that it works on; 0 for none
-        self.is_retry = is_retry  # the client marks it as one
+        self.key = key  # affinity key; 0 for none
+        self.is_retry = is_retry  # marked so by the client
 
 
 class AttemptEnd:
-    """How an attempt has ended, and what came with it."""
+    """The outcome of an attempt, and its load report."""
 
     __slots__ = ("outcome", "report", "request_over")
 
     def __init__(self, outcome: Outcome, request_over: bool, report: Sequence[float] = ()) -> None:
         self.outcome = outcome
-        self.request_over = request_over  # the request has its answer, or none is owed any more
-        self.report = report  # a load report, in the order of the configured fields
+        self.request_over = request_over  # the request needs no final answer from the router
+        self.report = report  # load report in the order of the configured fields; empty for none
 
 
 class RoutingActions(Protocol):
-    """What the decisions have done."""
+    """The actions that the router calls."""
 
     def send_attempt(self, request_id: int, backend: int) -> None:
         """Sends a request to a backend."""
 
     def shed(self, request_id: int, retry_after: int) -> None:
-        """Answers that a retry is harmless, after `retry_after` ticks; 0 for no such advice."""
+        """Answers that a retry is harmless, after `retry_after` ticks; 0 for no Retry-After."""
 
     def fail_request(self, request_id: int) -> None:
         """Answers that the request has failed and may have been executed."""
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Tells the backend of an attempt in flight that nobody waits for it."""
+        """Cancels an attempt in flight at its backend."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Has `timer_fired` called with the token after `delay` ticks; timers are not cancelled."""
+        """Schedules `timer_fired` with the token after `delay` ticks; a timer is never cancelled."""
 
     def probe(self, backend: int) -> None:
-        """Asks a backend for a sign of life and a load report."""
+        """Sends a health check to a backend; the response may have a load report."""
 
     def poll_endpoints(self) -> None:
-        """Asks the discovery service for the endpoint list."""
+        """Polls the endpoint list from the discovery service."""
 
 
 class RoutingEvents(Protocol):
-    """What the decisions are told. Every call comes with the present time, in ticks."""
+    """The events that are reported to the router, each with the present time `now` in ticks."""
 
     def endpoints_changed(self, now: int, endpoints: Sequence[Endpoint], snapshot: bool) -> None:
-        """The endpoint list: all there are for a snapshot, else those that have changed."""
+        """The endpoint list has come: all endpoints if it is a snapshot, else those that have changed."""
 
     def discovery_failed(self, now: int) -> None:
-        """The endpoint list that was asked for did not come."""
+        """A poll of the endpoint list has failed."""
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:
         """A request has come in."""
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """A backend has begun with an attempt."""
+        """A backend has started an attempt."""
 
     def attempt_progressed(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """A backend gets on with an attempt."""
+        """A backend makes progress with an attempt."""
 
     def attempt_ended(
         self, now: int, request_id: int, attempt_number: int, backend: int, end: AttemptEnd
     ) -> None:
-        """An attempt is over."""
+        """An attempt has ended."""
 
     def probe_ended(self, now: int, backend: int, healthy: bool, report: Sequence[float]) -> None:
-        """A probe was answered, with a load report if there is one, or has failed."""
+        """A health check was answered, with or without a load report, or has failed."""
 
     def client_disconnected(self, now: int, request_id: int) -> None:
-        """Nobody waits for the answer any more."""
+        """The client of a request has disconnected and gets no answer."""
 
     def request_aborted(self, now: int, request_id: int) -> None:
-        """An answer is owed at once, as the process ends."""
+        """A request must be answered at once, as the process ends."""
 
     def config_changed(self, now: int, config: RoutingConfig, new_rows: Collection[int] = ()) -> None:
-        """Other request classes and bounds; the classes at `new_rows` are other ones than before."""
+        """The configuration has changed; the classes at `new_rows` replace unrelated ones."""
 
     def timer_fired(self, now: int, token: int) -> None:
-        """A timer that was asked for has run out."""
+        """A timer has run out."""
--- a/crankfold/routing/records.py
+++ b/crankfold/routing/records.py
@@ -1,31 +1,52 @@
 """The records of requests in hand, of their attempts and of the request classes.
 
-Times and work are ticks of 0.1 ms.
+Times, durations and work are ticks.
 """
 
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.interface import RequestClass
 
+DEADLINE_RUNS = 10  # typical running times that a deadline is assumed to cover, before any was seen
+MIN_TYPICAL_RUN_TICKS = 1.0
+UNKNOWN = -1  # tick of an event that is not known
+
 
 class ClassRecord:
-    """A request class: its settings in force and what is known of its requests."""
+    """A request class: its settings in force, and figures of its requests.
+
+    Attributes:
+        settings: In force.
+        offered_value: Of the requests that came in, decaying.
+        earned_value: Of those completed in time, decaying.
+        typical_run: Moving average of the running time.
+    """
 
     __slots__ = ("earned_value", "offered_value", "settings", "typical_run")
 
     def __init__(self, settings: RequestClass) -> None:
         self.settings = settings
-        self.offered_value = 0.0  # of requests that came in, fading
-        self.earned_value = 0.0  # of those completed in time, fading
-        self.typical_run = 0.0  # running time, followed as responses come
+        self.offered_value = 0.0
+        self.earned_value = 0.0
+        self.typical_run = 0.0
         self.forget_run()
 
     def forget_run(self) -> None:
-        """Starts the typical running time anew: a client is taken to wait for some ten times of it."""
-        self.typical_run = max(self.settings.deadline / 10, 1.0)
+        """Resets the typical running time to an assumption from the deadline."""
+        self.typical_run = max(self.settings.deadline / DEADLINE_RUNS, MIN_TYPICAL_RUN_TICKS)
 
 
 class Attempt:
-    """One sending of a request to a backend."""
+    """One sending of a request to a backend.
+
+    Attributes:
+        backend: Where it was sent.
+        sent_at: When it was sent.
+        last_seen_at: When the backend last notified its start or progress.
+        started_at: When it started, UNKNOWN before.
+        slow_start: Charged to the slow-start budget, and not to the concurrency limit.
+        in_flight: Whether its end is still expected.
+        may_have_executed: Whether the backend may have executed the request.
+    """
 
     __slots__ = (
         "backend",
@@ -41,14 +62,28 @@
         self.backend = backend
         self.sent_at = now
         self.last_seen_at = now
-        self.started_at = -1  # -1 until it is known to have started
-        self.slow_start = slow_start  # paced by the slow-start budget and outside the concurrency limit
+        self.started_at = UNKNOWN
+        self.slow_start = slow_start
         self.in_flight = True
         self.may_have_executed = True
 
 
 class PendingRequest:
-    """A request that is owed an answer, or that still has attempts in flight."""
+    """A request without a final answer, or with attempts in flight.
+
+    Attributes:
+        request_id: Index of the request.
+        request_class: Its class.
+        deadline: When its final answer is due, less the margin for late timers.
+        objective_at: When its latency objective ends: a later response is late.
+        work: As hinted; 0 without a hint.
+        slots: That it occupies at a backend.
+        max_attempts: By the settings at its arrival.
+        key: Of the data that it works on; 0 for none.
+        attempts: In the order of their numbers.
+        answered: Whether it has its final answer, or needs none.
+        hedge_delay: Until an attempt is looked at.
+    """
 
     __slots__ = (
         "answered",
@@ -78,19 +113,19 @@
     ) -> None:
         self.request_id = request_id
         self.request_class = request_class
-        self.deadline = deadline  # when the answer has to be under way
-        self.objective_at = objective_at  # from then on an answer is late
-        self.work = work  # as hinted; 0 without a hint
+        self.deadline = deadline
+        self.objective_at = objective_at
+        self.work = work
         self.slots = slots
         self.max_attempts = max_attempts
-        self.key = key  # of the data that a backend keeps for the next request with it; 0 for none
+        self.key = key
         self.attempts: list[Attempt] = []
         self.answered = False
-        self.hedge_delay = 0  # until a silent attempt is looked at
+        self.hedge_delay = 0
 
     @property
     def expected_work(self) -> float:
-        """Ticks of work: as hinted, else the typical running time of the class."""
+        """The work as hinted, else the typical running time of the class."""
         return self.work or self.request_class.typical_run
 
     @property
@@ -99,17 +134,20 @@
         return True in [attempt.in_flight for attempt in self.attempts]  # faster than any() for so few
 
     def value(self, *, by_work: bool) -> float:
-        """What completing it adds to the service: by work done or by request, as the settings say."""
+        """The value of completing the request: its priority weight, times its work where that counts."""
         weight = self.request_class.settings.priority_weight
         return weight * (self.slots * self.expected_work if by_work else 1.0)
 
 
+ANY = -1  # zone or cell
+
+
 class AttemptScope:
-    """Where a further attempt may go: within a zone or a cell, -1 for any."""
+    """The backends to which a further attempt may go: those of a zone, of a cell, or all (ANY)."""
 
     __slots__ = ("cell", "zone")
 
-    def __init__(self, zone: int = -1, cell: int = -1) -> None:
+    def __init__(self, zone: int = ANY, cell: int = ANY) -> None:
         self.zone = zone
         self.cell = cell
 
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -1,8 +1,8 @@
-"""The decisions as a whole: which backend gets a request, when, and how often.
+"""The router: passes each event to the rules that decide, and refreshes their averages.
 
-Make a `Router` from a `RoutingConfig`, a seed and the `RoutingActions`, and tell it what happens by the
-calls of `RoutingEvents`; it answers by calling the actions. It reads no clock and no socket: the same events
-bring the same actions. Times are ticks of 0.1 ms.
+A `Router` is made from a `RoutingConfig`, a seed and the `RoutingActions`. Its owner reports events by the
+methods of `RoutingEvents`, and the router calls the actions. It reads no clock and no socket: the same events
+give the same actions. Times are ticks. docs/decisions.md lists the rules.
 """
 
 from collections.abc import Collection, Sequence
@@ -35,9 +35,11 @@
 from crankfold.routing.state import RoutingState
 from crankfold.routing.subsetting import MIN_SHORT_SHARE, Subset
 
+NEVER_REFRESHED = -1  # ticks
+
 
 class Router:
-    """Passes each event to the parts of the decisions that it concerns; implements `RoutingEvents`."""
+    """Implements `RoutingEvents` by the rules of the other modules."""
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions) -> None:
         state = RoutingState(config, seed, actions, MIN_SHORT_SHARE)
@@ -61,21 +63,21 @@
         self.admission = Admission(
             state, self.slow_start, self.limit, self.retries, self.hedging, self.hangs, self.selection
         )
-        self.refreshed_at = -1  # -1 for never
+        self.refreshed_at = NEVER_REFRESHED
         self.clock_margin = state.clock_margin  # ticks by which timers may be late, both ways
         self.weights_follow_load = state.weights_follow_load
         self.polling.start()
 
     def config_changed(self, now: int, config: RoutingConfig, new_rows: Collection[int] = ()) -> None:
-        """Takes other request classes and bounds; the classes at `new_rows` are other ones than before.
+        """Applies a changed configuration; the classes at `new_rows` replace unrelated ones.
 
-        Requests in hand keep theirs, and what is known of the backends stays.
+        Requests in hand keep their class and bounds, and the records of backends stay.
         """
         self.state.set_config(config, new_rows)
         self.admission.drain_queue(now)
 
     def endpoints_changed(self, now: int, endpoints: Sequence[Endpoint], snapshot: bool) -> None:
-        """Takes a list of endpoints: all there are, or those that have changed."""
+        """Applies a list of endpoints: all of them if it is a snapshot, else those that have changed."""
         self.polling.succeeded()
         self.membership.update(now, endpoints, snapshot=snapshot)
         self.affinity.endpoints_changed()
@@ -84,7 +86,7 @@
         self.admission.drain_queue(now)
 
     def discovery_failed(self, now: int) -> None:  # noqa: ARG002 - every event has the time
-        """The endpoints that were asked for did not come."""
+        """Schedules the next poll after a failed one."""
         self.polling.failed()
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:
@@ -94,17 +96,17 @@
         self.admission.admit(now, arrival)
 
     def client_disconnected(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
-        """Nobody waits for the answer any more."""
+        """Closes a request whose client has disconnected, without an answer."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
             self.admission.completion.close(request)
 
     def request_aborted(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
-        """The process ends. What never went out is shed, so that the client knows a retry is harmless."""
+        """Answers a request at once, as the process ends: shed if a retry is harmless, else failed."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
             self.admission.completion.answer(request)
 
     def timer_fired(self, now: int, token: int) -> None:
-        """A timer that was asked for has run out."""
+        """Polls the endpoint list, drains the queue or reviews a request, by the timer's token."""
         if token == POLL_TIMER:
             self.state.actions.poll_endpoints()
         elif token == REFRESH_TIMER:
@@ -114,7 +116,7 @@
             self.admission.review(now, request)
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """A backend says that it has begun with an attempt."""
+        """Records that a backend has started an attempt, and cancels the others that have not started."""
         record = self.state.table.backends[backend]
         record.last_seen_at = now
         request = self.state.requests.get(request_id)
@@ -132,7 +134,7 @@
             self.state.cancel_attempts(request, unstarted_only=True)
 
     def attempt_progressed(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """A backend says that an attempt gets on."""
+        """Records that an attempt makes progress."""
         self.state.table.backends[backend].last_seen_at = now
         if request := self.state.requests.get(request_id):
             request.attempts[attempt_number].last_seen_at = now
@@ -140,7 +142,7 @@
     def attempt_ended(
         self, now: int, request_id: int, attempt_number: int, backend: int, end: AttemptEnd
     ) -> None:
-        """Takes the outcome of an attempt, and its report; the request may be tried again."""
+        """Records the outcome of an attempt and its load report; the request may be retried."""
         record = self.state.table.backends[backend]
         request = self.state.requests.get(request_id)
         if request and request.attempts[attempt_number].in_flight:
@@ -161,7 +163,7 @@
         self.admission.drain_queue(now)
 
     def probe_ended(self, now: int, backend: int, healthy: bool, report: Sequence[float]) -> None:
-        """A probe has been answered, with a report if there was one, or has failed."""
+        """Records the result of a health check, with a load report if the backend sent one."""
         record = self.state.table.backends[backend]
         record.probe_in_flight = False
         if healthy:
@@ -175,16 +177,18 @@
         return self.state.table.backends[backend].weight
 
     def refresh_if_due(self, now: int) -> None:
-        """Refreshes when there is something to decide, not by the clock: an idle instance costs nothing."""
+        """Refreshes averages, subset and scores once in a refresh interval, at an event: never while idle."""
         if now - self.refreshed_at >= REFRESH_INTERVAL_TICKS:
             self._refresh(now)
             if self.reports.probing:
                 self.reports.probe(now, self.subset.members, REFRESH_INTERVAL_TICKS)
 
     def _refresh(self, now: int) -> None:
-        """Now and then, off the path of single requests: the figures that age by themselves."""
+        """Updates the figures that depend on time, which is too slow for each request."""
         state = self.state
-        factor = state.averages.decay_arrivals(now - self.refreshed_at if self.refreshed_at >= 0 else 0)
+        factor = state.averages.decay_arrivals(
+            now - self.refreshed_at if self.refreshed_at != NEVER_REFRESHED else 0
+        )
         self.refreshed_at = now
         self.subset.refresh(now)
         served = []
--- a/crankfold/routing/state.py
+++ b/crankfold/routing/state.py
@@ -1,4 +1,4 @@
-"""What all parts of the decisions share: settings in force, the records and the random numbers."""
+"""The state that the rules of the routing share: settings in force, records and random numbers."""
 
 from collections.abc import Collection, Sequence
 
@@ -14,42 +14,54 @@
 from crankfold.routing.random_generator import RandomGenerator
 from crankfold.routing.records import Attempt, ClassRecord, PendingRequest
 
+MARGIN_RESOLUTIONS = 2  # timer resolutions: an event may be late by one, and a decision by another
+
 
 class RoutingState:
-    """Settings and records, each part of which one module of the decisions changes."""
+    """Settings and records.
+
+    Attributes:
+        config: In force.
+        requests: Requests in hand, by index.
+        classes: Records of the request classes, by row.
+        worst_class: Row of the class that earns the smallest share of its offered value.
+        mean_objective: Mean latency objective of the classes, ticks.
+        clock_margin: Ticks by which timers may be late, before and after an event.
+        keys_seen: Whether a request had an affinity key.
+        sparse: Whether the subset is a small part of the fleet, so that little is known of other instances.
+    """
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions, short_share: float) -> None:
-        """Reads the settings; `short_share` is the share of short requests that is assumed at first."""
-        self.config = config  # in force
+        """Starts without requests; `short_share` is the assumed share of short requests in the work."""
+        self.config = config
         self.actions = actions
         self.random = RandomGenerator(seed)
         self.table = BackendTable(config.warm_up_time)
         self.requests: dict[int, PendingRequest] = {}
         self.classes: list[ClassRecord] = []
-        self.worst_class = 0  # index of the class that earns the smallest share of its value
-        self.mean_objective = 0.0  # latency objective, ticks
+        self.worst_class = 0
+        self.mean_objective = 0.0
         self.set_classes(config.request_classes)
         self.averages = TrafficAverages([known.typical_run for known in self.classes], short_share)
-        # What no later settings change:
+        # Fixed at the start; a reload does not change these:
         self.zone = config.zone
-        self.clock_margin = 2 * config.timer_resolution  # ticks
+        self.clock_margin = MARGIN_RESOLUTIONS * config.timer_resolution
         self.instance_count = config.instance_count
         given = config.instance_index
         self.instance_index = given if given >= 0 else self.random.below(config.instance_count)
         self.start_notifications = config.start_notifications
         self.weights_follow_load = config.weights_follow_load
         self.key_affinity = config.key_affinity
-        # What traffic and list show:
         self.keys_seen = False
-        self.sparse = False  # the subset is a small part of the fleet: little is seen of what others send
+        self.sparse = False
 
     def set_config(self, config: RoutingConfig, new_rows: Collection[int]) -> None:
-        """Puts other classes and bounds in force; the classes at `new_rows` are other ones than before."""
+        """Applies a changed configuration; the classes at `new_rows` replace unrelated ones."""
         self.config = config
         self.set_classes(config.request_classes, new_rows)
 
     def set_classes(self, classes: Sequence[RequestClass], new_rows: Collection[int] = ()) -> None:
-        """Takes the settings of the classes; what is known of a class stays if it is the same as before."""
+        """Applies the settings of the classes; figures of a class stay only if its settings are unchanged."""
         self.worst_class = 0
         self.mean_objective = sum(given.latency_objective for given in classes) / max(len(classes), 1)
         for row, settings in enumerate(classes):
@@ -65,20 +77,25 @@
                 known.forget_run()
 
     def set_request_timer(self, now: int, request: PendingRequest, at: int) -> None:
-        """Asks for a timer of this request at `at`, or at its deadline where that is sooner."""
+        """Sets the timer of the request to `at`, or to its deadline if that is sooner; all in ticks."""
         self.actions.set_timer(
             max(min(at, request.deadline) - now, 0), FIRST_REQUEST_TIMER + request.request_id
         )
 
     def record_completion(self, now: int, request: PendingRequest, attempt: Attempt) -> None:
-        """Counts what an attempt that is completed now has earned, and its running time."""
+        """Counts the value and the running time of an attempt that is completed at `now` ticks."""
         if now <= request.objective_at and not request.answered:
             request.request_class.earned_value += request.value(by_work=self.config.priority_by_work)
         if attempt.started_at >= 0:
             self.averages.record_run(now, request, attempt)
 
     def add_request(self, arrival: RequestArrival, first_try_at: int) -> PendingRequest:
-        """Makes the record of a request, whose objective counts from `first_try_at`, and counts its work."""
+        """Creates the record of a request and counts its work and value.
+
+        Args:
+            arrival: The request.
+            first_try_at: Ticks, from which its latency objective counts.
+        """
         request_class = self.classes[arrival.class_index]
         settings = request_class.settings
         work = arrival.work or request_class.typical_run
@@ -100,7 +117,7 @@
         return request
 
     def cancel_attempts(self, request: PendingRequest, *, unstarted_only: bool = False) -> None:
-        """Cancels what the request has in flight, where the settings allow it."""
+        """Cancels the attempts of the request that are in flight, if the settings permit it."""
         if self.config.cancellation_allowed:
             for number, attempt in enumerate(request.attempts):
                 if attempt.in_flight and (attempt.started_at < 0 or not unstarted_only):
--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -18,7 +18,7 @@
 from crankfold.service.backends.starts import BackendStarts
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-CONTROL_EXCHANGE_TIMEOUT = 10_000  # ticks; for health checks and cancellations
+CONTROL_EXCHANGE_TIMEOUT = TICKS_PER_SECOND  # ticks; for health checks and cancellations
 HASH_RANGE = 1 << 32  # number of values of a CRC-32
 
 
