--- a/crankfold/routing/final_answer.py
+++ b/crankfold/routing/final_answer.py
@@ -1,6 +1,6 @@
 """The final answer of a request that ends without a response of a backend: shed or failed."""
 
-from enum import Enum
+from enum import Enum, auto
 
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass
 
@@ -8,8 +8,8 @@
 class FinalAnswer(Enum):
     """What a client is told of a request without a result."""
 
-    SHED = "shed"  # a retry is harmless
-    FAILED = "failed"  # the request may have been executed, and a retry may execute it again
+    SHED = auto()  # a retry is harmless
+    FAILED = auto()  # the request may have been executed, and a retry may execute it again
 
 
 def final_answer(settings: RequestClass, *, may_have_executed: bool) -> FinalAnswer:
--- a/tests/routing/test_rules_subsetting.py
+++ b/tests/routing/test_rules_subsetting.py
@@ -120,6 +120,23 @@
         self.assertGreaterEqual(backends, 10 * 5 / 6)
         self.assertLessEqual(backends, 10 * 5 / 3)
 
+    def serve_paced(self, count: int, interval_ms: float) -> set[int]:
+        """Serves so many long requests at an interval; the backends that they went to."""
+        backends = set()
+        for _ in range(count):
+            self.elapse(interval_ms)
+            backends |= self.serve(1, LONG)
+        return backends
+
+    def test_a_subset_is_kept_while_its_traffic_changes_by_a_few_tenths(self) -> None:
+        for index in range(5):
+            self.open_instance(index)
+            self.serve(1, LONG, slots=2.0)
+            self.serve_paced(400, 50)  # 20 requests a second of half a second keep ten backends busy
+            before = self.serve_paced(200, 50)
+            self.serve_paced(400, 50 * 4 / 3)  # three quarters of that traffic
+            self.assertEqual(self.serve_paced(200, 50 * 4 / 3), before, f"instance {index}")
+
 
 class WarmUpRules(SubsetScene):
     def test_after_the_warm_up_the_subset_has_its_usual_size_again(self) -> None:
