--- a/crankfold/protocol/handover_messages.py
+++ b/crankfold/protocol/handover_messages.py
@@ -12,6 +12,7 @@
 
 from crankfold.errors import CrankfoldError
 
+START_TIMES = 2  # of an assumed start: when its drain began, and the start itself
 FORMAT_VERSION = 1  # of Hello and Welcome; processes of different versions do not hand over
 MAX_LINE_SIZE = 4 * 1024 * 1024  # bytes
 DYNAMIC_WEIGHTS = "moving"  # weights in endpoint lists follow load
@@ -316,7 +317,9 @@
         assumed_starts={
             backend_id: (times[0], times[1])
             for backend_id, times in (assumed.items() if isinstance(assumed, dict) else ())
-            if isinstance(times, list) and len(times) == 2 and all(type(time) is int for time in times)
+            if isinstance(times, list)
+            and len(times) == START_TIMES
+            and all(type(time) is int for time in times)
         },
     )
 
