--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from crankfold.cli.main import main
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 VERSIONS = [
     {"number": n, "made_from": n - 1, "author": "o", "reason": f"why {n}", "text": {"a": n}} for n in (1, 2)
@@ -39,7 +39,7 @@
 }
 
 
-class CommandsTest(Kept):
+class CommandsTest(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.answers: dict[str, tuple[int, Any]] = {}
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -1,12 +1,12 @@
 """The `peers` part of the configuration: what is wrong is told with its field."""
 
 from crankfold.cluster.config import ClusterConfigError, read_cluster_config
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 VOTERS = ("n0", "n1", "n2")
 
 
-class ClusterConfigTest(Kept):
+class ClusterConfigTest(TraceTestCase):
     def test_an_error_names_its_field(self) -> None:
         voters = {name: "127.0.0.1:1" for name in VOTERS}
         for given in (
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -7,14 +7,14 @@
 from crankfold.cluster.raft_storage import RaftStorage
 from crankfold.consensus.messages import LogEntry, Snapshot
 from tests.data.write_fixtures import DATA
-from tests.scene import Kept as Traces
+from tests.scene import TraceTestCase
 from tests.stored_forms import (
     COMPACTED,
     GROWN,
 )
 
 
-class VotersFolders(Traces):
+class VotersFolders(TraceTestCase):
     def opened(self, name: str) -> tuple[RaftStorage, Path]:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
         shutil.copytree(DATA / "voters" / name, folder)
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from crankfold.config import schema
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 FILE: dict[str, Any] = {
     "listen": "127.0.0.1:1",
@@ -24,7 +24,7 @@
 }
 
 
-class Forms(Kept):
+class Forms(TraceTestCase):
     def tried(self, what: str, *path: Any, value: Any = None, lacks: bool = False) -> None:
         given = copy.deepcopy(FILE)
         at: Any = given
--- a/tests/consensus/test_cluster_safety.py
+++ b/tests/consensus/test_cluster_safety.py
@@ -15,7 +15,7 @@
     random_scenario,
 )
 from tests.consensus.planted_faults import CASES, planted_clusters
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 # By planted fault, a seed of its case at which it shows.
 CAUGHT_AT = {
@@ -33,7 +33,7 @@
 VOTERS = ("v0", "v1", "v2")
 
 
-class RandomSchedulesTest(Kept):
+class RandomSchedulesTest(TraceTestCase):
     def test_schedules_of_fixed_seeds_violate_no_invariant(self) -> None:
         longest = allocations = 0
         for seed in range(60):
@@ -64,7 +64,7 @@
         self.assertEqual(first.message_counts, second.message_counts)
 
 
-class HardFaultsTest(Kept):
+class HardFaultsTest(TraceTestCase):
     def play(self, *faults: ClusterFault, **case: Any) -> SimulatedCluster:
         self.case = ClusterCase(
             **{
--- a/tests/consensus/test_conservative_merge.py
+++ b/tests/consensus/test_conservative_merge.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from crankfold.consensus.conservative_merge import QUOTAS, SETTINGS, conservative_merge
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class ConservativeMergeTest(Kept):
+class ConservativeMergeTest(TraceTestCase):
     def test_the_merge_permits_only_what_both_versions_permit(self) -> None:
         def show(doc: str, old: dict[str, Any], new: dict[str, Any]) -> None:
             self.say(f"{doc}: {msgspec.json.encode(conservative_merge(doc, old, new)).decode()}")
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -17,7 +17,7 @@
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
 class PickyHost(IdleHost):
@@ -30,7 +30,7 @@
         return self.error
 
 
-class SingleMemberTest(Kept):
+class SingleMemberTest(TraceTestCase):
     """Members without a cluster, told the time by hand."""
 
     def setUp(self) -> None:
--- a/tests/consensus/test_message_forms.py
+++ b/tests/consensus/test_message_forms.py
@@ -4,7 +4,7 @@
 
 from crankfold.cluster.framing import FrameDecoder, encode_frame
 from tests.data.write_fixtures import DATA
-from tests.scene import Kept as Traces
+from tests.scene import TraceTestCase
 from tests.stored_forms import (
     MESSAGES,
 )
@@ -31,7 +31,7 @@
 }
 
 
-class BetweenPeers(Traces):
+class BetweenPeers(TraceTestCase):
     def test_each_message_is_read_and_framed_as_it_was(self) -> None:
         files = {path.stem: path.read_bytes() for path in (DATA / "messages").iterdir()}
         self.assertEqual(files.keys(), MESSAGES.keys())
--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -14,7 +14,7 @@
 from crankfold.maintenance.state import MachineInMaintenance, MaintenanceState, TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase, Placement
 from tests.data.write_fixtures import DATA
-from tests.scene import Kept as Traces
+from tests.scene import TraceTestCase
 from tests.stored_forms import (
     HISTORY,
     PLACE,
@@ -161,7 +161,7 @@
 )
 
 
-class KeptDocuments(Traces):
+class KeptDocuments(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.state = (OF_DOCUMENTS / "state.msgpack").read_bytes()
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -4,10 +4,10 @@
 from crankfold.consensus.messages import LogEntry
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.simulation.consensus.cluster import settings_document
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class VersionedDocumentsTest(Kept):
+class VersionedDocumentsTest(TraceTestCase):
     def drained_backends(self, documents: VersionedDocuments) -> list[str]:
         content = documents.effective_content("runners-out") or {}
         return sorted(content["runners"])
--- a/tests/fault_injection/test_trials.py
+++ b/tests/fault_injection/test_trials.py
@@ -31,7 +31,7 @@
     TrialRecord,
     parse_record,
 )
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 TRIALS = Path(__file__).parents[2] / "trials"
 
@@ -280,7 +280,7 @@
 ]
 
 
-class Checked(Kept):
+class Checked(TraceTestCase):
     def test_a_story_without_fault_holds_and_each_planted_one_is_told_by_its_promise(self) -> None:
         for promise in PROMISES:
             verdict = TrialChecker(trial_record()).judge(promise)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 
 from crankfold.network.signals import OPERATOR_SIGNALS
 from crankfold.service.application import Application
-from tests.scene import Kept, read_request
+from tests.scene import TraceTestCase, read_request
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 UNIT = (
@@ -37,7 +37,7 @@
         writer.write(OK)
 
 
-class Loopback(Kept, unittest.IsolatedAsyncioTestCase):
+class Loopback(TraceTestCase, unittest.IsolatedAsyncioTestCase):
     """Listening stand-ins, calls of operators, and waiting for a condition."""
 
     async def stand_in(self, handler: Handler) -> int:
--- a/tests/maintenance/test_coordinator.py
+++ b/tests/maintenance/test_coordinator.py
@@ -10,10 +10,10 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import coordinator_document
 from tests.maintenance.machines import MACHINES
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class CoordinatorDecisions(Kept):
+class CoordinatorDecisions(TraceTestCase):
     """A coordinator at the leader, told what is known by hand."""
 
     def look(self, view: FleetView, coordinator: Coordinator) -> None:
--- a/tests/maintenance/test_forecast.py
+++ b/tests/maintenance/test_forecast.py
@@ -3,10 +3,10 @@
 from crankfold.maintenance.forecast import ForecastInputs, forecast_job
 from crankfold.maintenance.specification import JobSpecification
 from tests.maintenance.machines import MACHINES
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class ForecastTest(Kept):
+class ForecastTest(TraceTestCase):
     def test_turns_are_forecast_with_times_and_reasons(self) -> None:
         jobs = {
             "disks": JobSpecification(
--- a/tests/maintenance/test_scheduler.py
+++ b/tests/maintenance/test_scheduler.py
@@ -11,10 +11,10 @@
     schedule,
 )
 from tests.maintenance.machines import MACHINES
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class SchedulerTest(Kept):
+class SchedulerTest(TraceTestCase):
     def show(
         self,
         jobs: list[MaintenanceJob],
--- a/tests/maintenance/test_specification.py
+++ b/tests/maintenance/test_specification.py
@@ -2,10 +2,10 @@
 
 from crankfold.maintenance.specification import validation_error
 from tests.maintenance.machines import MACHINES
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class SpecificationTest(Kept):
+class SpecificationTest(TraceTestCase):
     def test_jobs_that_can_not_be_carried_out_are_refused_with_path_found_and_allowed(self) -> None:
         fine: dict[str, object] = {"way": "hand", "stays": 0.5}
         for jobs in (
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -5,10 +5,10 @@
 from msgspec import to_builtins
 
 from crankfold.maintenance.state import MaintenanceState
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class TransitionsTest(Kept):
+class TransitionsTest(TraceTestCase):
     """The state, given log entries by hand."""
 
     def setUp(self) -> None:
--- a/tests/protocol/test_backend_connection.py
+++ b/tests/protocol/test_backend_connection.py
@@ -6,10 +6,10 @@
     attempt_headers,
     classify_response,
 )
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class BackendConnectionTest(Kept):
+class BackendConnectionTest(TraceTestCase):
     def test_responses_of_a_backend(self) -> None:
         headers = attempt_headers([(b"host", b"b"), (b"x-request-id", b"u1")], 4807)
         for answer in (
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -7,7 +7,7 @@
 from crankfold.protocol.client_connection import ClientChannel, ClientConnection
 from crankfold.protocol.client_request import ClientRequest
 from crankfold.routing.interface import Outcome
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 HEAD = b"POST /api?k=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: u1\r\nX-Priority-Class: g\r\nX-Timeout: 0.48\r\n"
 UNIT = (
@@ -16,7 +16,7 @@
 )
 
 
-class ClientConnectionTest(Kept):
+class ClientConnectionTest(TraceTestCase):
     """Is the handler of its connections, and writes down what reaches it."""
 
     @property
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -7,10 +7,10 @@
     decode_endpoints,
 )
 from crankfold.routing.interface import Endpoint
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class DiscoveryConnectionTest(Kept):
+class DiscoveryConnectionTest(TraceTestCase):
     def make_endpoint(self, entry: DiscoveryEntry) -> Endpoint:
         self.say(
             f"  {entry.backend_id} {entry.host} {entry.port} {entry.zone} {entry.instance_type} {entry.cell} "
--- a/tests/routing/rule_scene.py
+++ b/tests/routing/rule_scene.py
@@ -3,12 +3,12 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import Endpoint, EndpointState, Outcome, RequestClass
-from tests.scene import GRADE, MS, Scene
+from tests.scene import MS, REQUEST_CLASS, RouterTestCase
 
 
 def request_class(**settings: object) -> RequestClass:
     """The usual class, idempotent, with other settings."""
-    return replace(GRADE, **settings)  # type: ignore[arg-type]
+    return replace(REQUEST_CLASS, **settings)  # type: ignore[arg-type]
 
 
 def ready(backend: int, *, zone: int = 0, cell: int = 0, weight: float = 1.0, type_: int = 0) -> Endpoint:
@@ -16,7 +16,7 @@
     return Endpoint(backend, EndpointState.READY, weight, zone, cell, 0, type_)
 
 
-class RuleScene(Scene):
+class RuleScene(RouterTestCase):
     """Keeps what the router did: attempts sent, requests shed and requests failed."""
 
     def open_with(self, *endpoints: Endpoint, free: float = 4.0, **config: object) -> None:
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,10 +1,10 @@
 """The queue, the concurrency limit, and requests that come too late."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
-from tests.scene import MS, Scene
+from tests.scene import MS, RouterTestCase
 
 
-class Pacing(Scene):
+class Pacing(RouterTestCase):
     def test_held_units_go_richest_then_newest_and_are_shed_when_late(self) -> None:
         self.open(runners=1)
         self.told.limit.limit = 1.0
--- a/tests/routing/test_config_changes.py
+++ b/tests/routing/test_config_changes.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import DeduplicationScope, Idempotency, Outcome
-from tests.scene import GRADE, MS, ORDERS, Scene
+from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
 
 
-class Renewed(Scene):
+class Renewed(RouterTestCase):
     def fails(self, unit: int) -> None:
         """Where it was sent first."""
         sent_to = next(line for line in self.lines if f"unit {unit} -> runner" in line)
@@ -14,21 +14,23 @@
 
     def test_units_in_hand_keep_their_orders(self) -> None:
         self.open(runners=4, effect=Idempotency.IDEMPOTENT)
-        old = replace(GRADE)
+        old = replace(REQUEST_CLASS)
         new = replace(old, idempotency=Idempotency.NON_IDEMPOTENT)
         self.take(0)
         self.say("the grade becomes once-only, in a row of its own")
-        self.told.config_changed(self.now, replace(ORDERS, request_classes=[old, new]))
+        self.told.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
         self.take(1, grade=1)
         self.fails(0)
         self.fails(1)
         self.say("one dispatch is allowed from here on, also for what was taken before")
         self.take(2)
-        self.told.config_changed(self.now, replace(ORDERS, request_classes=[old, new], max_attempts=1))
+        self.told.config_changed(
+            self.now, replace(ROUTING_CONFIG, request_classes=[old, new], max_attempts=1)
+        )
         self.fails(2)
         self.say("three are allowed again, but not for what was taken meanwhile")
         self.take(3)
-        self.told.config_changed(self.now, replace(ORDERS, request_classes=[old, new]))
+        self.told.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
         self.fails(3)
         self.close("renewal-units")
 
@@ -39,7 +41,11 @@
         self.told.config_changed(
             self.now,
             replace(
-                ORDERS, request_classes=[GRADE, replace(GRADE, deduplication_scope=DeduplicationScope.ZONE)]
+                ROUTING_CONFIG,
+                request_classes=[
+                    REQUEST_CLASS,
+                    replace(REQUEST_CLASS, deduplication_scope=DeduplicationScope.ZONE),
+                ],
             ),
         )
         self.assertEqual(
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -4,10 +4,10 @@
 from crankfold.network.discovery_watcher import CONNECT_TIMEOUT
 from crankfold.routing.interface import POLL_TIMER
 from crankfold.time_units import TICKS_PER_SECOND
-from tests.scene import Scene
+from tests.scene import RouterTestCase
 
 
-class DiscoveryCrossings(Scene):
+class DiscoveryCrossings(RouterTestCase):
     def test_where_endpoints_are_polled_no_pause_is_longer_than_a_change_may_take(self) -> None:
         self.open(
             runners=0,
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -6,7 +6,7 @@
 
 from crankfold.routing.interface import AttemptEnd, Endpoint, EndpointState, Outcome, RequestArrival
 from crankfold.routing.router import Router
-from tests.scene import GRADE, MS, ORDERS, Kept, Scene
+from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase, TraceTestCase
 
 DISPATCHERS = 40
 WARM = 60
@@ -20,7 +20,7 @@
         self.wakes: list[tuple[int, int]] = []
         self.went: list[tuple[int, int, int]] = []  # when, unit, runner
         self.now, self.asked = 100_000, list[int]()
-        self.told = Router(replace(ORDERS, **orders), seed, self)  # type: ignore[arg-type]
+        self.told = Router(replace(ROUTING_CONFIG, **orders), seed, self)  # type: ignore[arg-type]
 
     def send_attempt(self, unit: int, runner: int) -> None:
         self.went.append((self.now, unit, runner))
@@ -45,14 +45,14 @@
         self.now = now
 
 
-class Grown(Kept):
+class Grown(TraceTestCase):
     def open(self, cold: int = 0, **orders: object) -> None:
         self.posts = [
             Post(
                 seed * 7919,
                 instance_count=DISPATCHERS,
                 zone=seed % 3,
-                request_classes=[GRADE],
+                request_classes=[REQUEST_CLASS],
                 instance_index=seed - 1,
                 **orders,
             )
@@ -148,7 +148,7 @@
         self.close("grown-list")
 
 
-class ColdFirst(Scene):
+class ColdFirst(RouterTestCase):
     def open_with_cold(self) -> None:
         self.open(runners=0, free=0, overload_factor=4.0)
         self.list(
@@ -205,7 +205,7 @@
         self.close("grown-fair")
 
 
-class Few(Scene):
+class Few(RouterTestCase):
     def test_three_dispatchers_use_the_whole_fleet(self) -> None:
         """With five of ten runners each, three for short units, a quiet day lost a quarter of its worth."""
         self.open(runners=10, instance_count=3)
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,10 +1,10 @@
 """Backends that fail, hang, slow down or refuse; hedges; lists that do not come."""
 
 from crankfold.routing.interface import Outcome
-from tests.scene import MS, Scene
+from tests.scene import MS, RouterTestCase
 
 
-class Health(Scene):
+class Health(RouterTestCase):
     def test_at_a_unit_a_second_no_news_is_not_silence(self) -> None:
         self.open(runners=30, instance_count=60)
         self.take(0)
--- a/tests/routing/test_request_class_records.py
+++ b/tests/routing/test_request_class_records.py
@@ -4,24 +4,28 @@
 
 from crankfold.routing.interface import Idempotency
 from crankfold.service.requests.classes import RequestClassTable
-from tests.scene import GRADE, ORDERS, Scene
+from tests.scene import REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
 
 
-class RequestClassCrossings(Scene):
+class RequestClassCrossings(RouterTestCase):
     def test_what_was_learnt_of_a_request_class_is_not_kept_for_another_with_equal_settings(self) -> None:
         self.open()
-        book = RequestClassTable(["a"], [GRADE])
+        book = RequestClassTable(["a"], [REQUEST_CLASS])
         self.told.state.classes[0].typical_run = 77.0
-        book.update(["a"], [GRADE])
-        self.told.config_changed(self.now, replace(ORDERS, request_classes=book.classes), book.reassigned)
+        book.update(["a"], [REQUEST_CLASS])
+        self.told.config_changed(
+            self.now, replace(ROUTING_CONFIG, request_classes=book.classes), book.reassigned
+        )
         self.assertEqual(
             ([known.typical_run for known in self.told.state.classes], book.reassigned), ([77.0], frozenset())
         )
-        book.update(["b"], [GRADE])
-        self.told.config_changed(self.now, replace(ORDERS, request_classes=book.classes), book.reassigned)
+        book.update(["b"], [REQUEST_CLASS])
+        self.told.config_changed(
+            self.now, replace(ROUTING_CONFIG, request_classes=book.classes), book.reassigned
+        )
         self.assertEqual(
             ([known.typical_run for known in self.told.state.classes], book.reassigned),
-            ([GRADE.deadline / 10], frozenset({0})),
+            ([REQUEST_CLASS.deadline / 10], frozenset({0})),
         )
         self.assertEqual(
             [known.settings.idempotency for known in self.told.state.classes], [Idempotency.IDEMPOTENT]
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,10 +1,10 @@
 """What is safe to send again, and where; each by a trace that changes when its guard is taken out."""
 
 from crankfold.routing.interface import DeduplicationScope, Endpoint, EndpointState, Idempotency, Outcome
-from tests.scene import MS, Scene
+from tests.scene import MS, RouterTestCase
 
 
-class Rules(Scene):
+class Rules(RouterTestCase):
     def test_every_unit_is_answered_by_its_cutoff(self) -> None:
         self.open(effect=Idempotency.NON_IDEMPOTENT)
         self.take(0)
--- a/tests/routing/test_rules_retries.py
+++ b/tests/routing/test_rules_retries.py
@@ -4,7 +4,7 @@
 
 from crankfold.routing.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
 from tests.routing.rule_scene import RuleScene, ready
-from tests.scene import ORDERS
+from tests.scene import ROUTING_CONFIG
 
 
 class DeduplicationScopeRules(RuleScene):
@@ -73,7 +73,7 @@
         """Attempts of a request that always fails, if the settings change after the first is sent."""
         self.open_with(*[ready(backend) for backend in range(9)], max_attempts=before)
         self.send(0)
-        self.told.config_changed(self.now, replace(ORDERS, max_attempts=after))
+        self.told.config_changed(self.now, replace(ROUTING_CONFIG, max_attempts=after))
         while 0 not in self.shed_requests:
             self.finish(0, Outcome.ERROR, last=False)
         return len(self.sent)
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -2,10 +2,10 @@
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.routing.router import Router
-from tests.scene import MS, ORDERS, Scene
+from tests.scene import MS, ROUTING_CONFIG, RouterTestCase
 
 
-class Choice(Scene):
+class Choice(RouterTestCase):
     def test_least_load_for_its_weight(self) -> None:
         self.open(runners=0, free=0)
         self.list(
@@ -97,7 +97,7 @@
                 self.take(n)
             seen.append(self.lines)
         self.assertEqual(seen[0], seen[1])
-        drawn = {Router(ORDERS, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
+        drawn = {Router(ROUTING_CONFIG, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
         self.assertEqual(len(drawn), 2)
 
     def test_a_trace_of_others_work_is_not_held_against_room(self) -> None:
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import Endpoint, EndpointState
-from tests.scene import GRADE, MS, Scene
+from tests.scene import MS, REQUEST_CLASS, RouterTestCase
 
 
-class Moved(Scene):
+class Moved(RouterTestCase):
     def listed(self, *weights: float) -> None:
         self.list(
             [
@@ -91,7 +91,7 @@
             free=0,
             weights_follow_load=True,
             start_notifications=False,
-            request_classes=[replace(GRADE, latency_objective=2000 * MS)],
+            request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * MS)],
         )
         self.listed(4.0, 4.0)
         for n in range(3):
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -22,11 +22,11 @@
 from crankfold.routing.router import Router
 
 MS = 10
-GRADE = words.RequestClass(
+REQUEST_CLASS = words.RequestClass(
     Idempotency.IDEMPOTENT, DeduplicationScope.GLOBAL, 0, 300 * MS, 2.0, 5000 * MS, 1.0, 0.0
 )
-ORDERS = words.RoutingConfig(
-    request_classes=[GRADE],
+ROUTING_CONFIG = words.RoutingConfig(
+    request_classes=[REQUEST_CLASS],
     instance_count=2,
     zone=0,
     timer_resolution=2 * MS,
@@ -59,7 +59,7 @@
     return head, await reader.readexactly(int(length[1]) if length else 0)
 
 
-class Kept(unittest.TestCase):
+class TraceTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.lines: list[str] = []
 
@@ -75,7 +75,7 @@
         self.assertFalse(diff, "\n" + "\n".join(diff))
 
 
-class Scene(Kept):
+class RouterTestCase(TraceTestCase):
     """Stands round the decisions, as their port and as whoever tells them what happens."""
 
     def open(
@@ -93,9 +93,9 @@
         self.now = 100_000
         self.wakes: list[tuple[int, int]] = []
         grade = replace(
-            GRADE, idempotency=effect, deduplication_scope=group, deduplication_window=window * MS
+            REQUEST_CLASS, idempotency=effect, deduplication_scope=group, deduplication_window=window * MS
         )
-        self.told = Router(replace(ORDERS, **{"request_classes": [grade], **orders}), seed, self)  # type: ignore[arg-type]
+        self.told = Router(replace(ROUTING_CONFIG, **{"request_classes": [grade], **orders}), seed, self)  # type: ignore[arg-type]
         if runners:
             self.list([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(runners)])
         if free:
--- a/tests/service/backends/test_manual_drains.py
+++ b/tests/service/backends/test_manual_drains.py
@@ -2,10 +2,10 @@
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.service.backends.manual_drains import ManualDrains
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class ManualDrainsTest(Kept):
+class ManualDrainsTest(TraceTestCase):
     def test_drains_lie_over_what_is_listed(self) -> None:
         drains = ManualDrains()
 
--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -19,10 +19,10 @@
     encode_message,
 )
 from crankfold.service.handover.state_machine import HandoverStateMachine
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class Family(Kept):
+class Family(TraceTestCase):
     """Several successions in one trace, joined by the lines they say."""
 
     def setUp(self) -> None:
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -6,7 +6,7 @@
 from crankfold.protocol.handover_messages import STATIC_WEIGHTS, ProcessState, Welcome, decode_message
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.service.handover import transferred_state
-from tests.scene import MS, Kept, Scene
+from tests.scene import MS, RouterTestCase, TraceTestCase
 
 FIELDS = ["queue", "x0"]
 
@@ -27,7 +27,7 @@
     return message.state
 
 
-class Carried(Kept):
+class Carried(TraceTestCase):
     def test_only_what_means_the_same(self) -> None:
         self.lines = []
         for name, told, live in (
@@ -64,7 +64,7 @@
         self.close("carry-settings")
 
 
-class FirstSeconds(Scene):
+class FirstSeconds(RouterTestCase):
     def test_after_the_switch_with_units_in_hand_and_cold_runners(self) -> None:
         self.open(
             runners=0,
--- a/tests/service/maintenance/test_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -9,10 +9,10 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.network.metrics import Metrics
 from crankfold.service.maintenance.agent import MaintenanceAgent
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class IsolatedDispatcherTest(Kept, unittest.IsolatedAsyncioTestCase):
+class IsolatedDispatcherTest(TraceTestCase, unittest.IsolatedAsyncioTestCase):
     """A machine brought back by hand at a dispatcher that the others can't be reached from."""
 
     async def test_here_is_for_who_is_cut_off_and_ends_when_the_fleet_is_heard(self) -> None:
--- a/tests/service/requests/test_classes.py
+++ b/tests/service/requests/test_classes.py
@@ -5,10 +5,10 @@
 
 from crankfold.routing.interface import Idempotency
 from crankfold.service.requests.classes import RequestClassTable
-from tests.scene import GRADE, Kept
+from tests.scene import REQUEST_CLASS, TraceTestCase
 
 
-class RequestClassTableTest(Kept):
+class RequestClassTableTest(TraceTestCase):
     def test_a_name_points_to_its_newest_row(self) -> None:
         def update(description: str, **classes: Any) -> None:
             changed = table.update(classes, list(classes.values()))
@@ -17,8 +17,8 @@
                 f"{table.index_by_name}, open {table.open_counts}"
             )
 
-        safe, keyed = GRADE, replace(GRADE, idempotency=Idempotency.IDEMPOTENT_WITH_KEY)
-        unsafe = replace(GRADE, idempotency=Idempotency.NON_IDEMPOTENT)
+        safe, keyed = REQUEST_CLASS, replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENT_WITH_KEY)
+        unsafe = replace(REQUEST_CLASS, idempotency=Idempotency.NON_IDEMPOTENT)
         table = RequestClassTable(["a", "b"], [safe, keyed])
         table.request_opened(0)
         table.request_opened(1)
--- a/tests/service/test_lifecycle.py
+++ b/tests/service/test_lifecycle.py
@@ -1,10 +1,10 @@
 """The lifecycle of a process: in service, draining, out of service, ending."""
 
 from crankfold.service.lifecycle import Lifecycle
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class Decided(Kept):
+class Decided(TraceTestCase):
     def test_duty_from_start_to_end(self) -> None:
         duty = Lifecycle()
 
--- a/tests/service/test_socket_budget.py
+++ b/tests/service/test_socket_budget.py
@@ -6,10 +6,10 @@
 from crankfold.network.admin_server import MAX_CALLERS
 from crankfold.service.config_file import SocketLimits, divide_socket_limit
 from crankfold.service.socket_budget import SocketBudget
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 
-class TwoProcesses(Kept):
+class TwoProcesses(TraceTestCase):
     """What the one that goes leaves to the one that comes."""
 
     def test_descriptors_of_both_stay_under_the_limit(self) -> None:
--- a/tests/simulation/maintenance/test_fleet.py
+++ b/tests/simulation/maintenance/test_fleet.py
@@ -6,7 +6,7 @@
 from crankfold.simulation.maintenance.cases import MaintenanceCase, draw_case
 from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 from tests.planted_maintenance import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 CAUGHT_AT = {
     "free told before the last has answered": 0,
@@ -17,7 +17,7 @@
 }
 
 
-class MaintenanceFleetTest(Kept):
+class MaintenanceFleetTest(TraceTestCase):
     def test_schedules_of_fixed_seeds_keep_every_promise(self) -> None:
         done = 0
         for seed in (*range(12), 648):  # there the checks of a publish were lost, and not asked for again
--- a/tests/simulation/traffic/test_comparison.py
+++ b/tests/simulation/traffic/test_comparison.py
@@ -13,7 +13,7 @@
 from crankfold.simulation.traffic import comparison
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.scenario import Scenario
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 SMALL = Scenario(dispatcher_count=4, backend_count=8, arrival_rate=40.0, seconds=3)
 ONE_DAY = """
@@ -26,7 +26,7 @@
 """
 
 
-class Studies(Kept):
+class Studies(TraceTestCase):
     def test_all_policies_keep_the_rules_whatever_the_grade(self) -> None:
         for effect in Idempotency:
             grade = replace(
--- a/tests/simulation/traffic/test_experiment.py
+++ b/tests/simulation/traffic/test_experiment.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from crankfold.cli.main import main
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 PLAN = """
 name = "small"
@@ -30,7 +30,7 @@
 """
 
 
-class Experiments(Kept):
+class Experiments(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
--- a/tests/simulation/traffic/test_faults.py
+++ b/tests/simulation/traffic/test_faults.py
@@ -8,14 +8,14 @@
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import Scenario
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 DAY = Scenario(
     dispatcher_count=6, backend_count=9, arrival_rate=12.0, mean_service_time=3_500, seconds=8, seed=3
 )
 
 
-class Faults(Kept):
+class Faults(TraceTestCase):
     def play(self, *faults: Fault, **day: object) -> tuple[SimulatedFleet, float]:
         world = SimulatedFleet(
             replace(DAY, faults=faults, **day),  # type: ignore[arg-type]
--- a/tests/simulation/traffic/test_fleet.py
+++ b/tests/simulation/traffic/test_fleet.py
@@ -15,7 +15,7 @@
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import PolicyFactory, Scenario
-from tests.scene import GRADE, MS, ORDERS, Kept
+from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, TraceTestCase
 
 
 class Anyone(Router):
@@ -80,9 +80,9 @@
             self.state.actions.send_attempt(label - 1_000, 0)
 
 
-class Emulated(Kept):
+class Emulated(TraceTestCase):
     def world(self, make: PolicyFactory, scenario: Scenario, **grade: object) -> SimulatedFleet:
-        orders: RoutingConfig = replace(ORDERS, request_classes=[replace(GRADE, **grade)])  # type: ignore[arg-type]
+        orders: RoutingConfig = replace(ROUTING_CONFIG, request_classes=[replace(REQUEST_CLASS, **grade)])  # type: ignore[arg-type]
         return SimulatedFleet(scenario, orders, make)
 
     def test_one_seed_one_history(self) -> None:
@@ -158,7 +158,9 @@
         world.run()
         self.say(f"ForNobody: {self.first(world)}")
         # Each of the thirty sends little; all together they send more calls than are allowed, of little work.
-        orders = replace(ORDERS, request_classes=[GRADE], overload_factor=3.0, overload_period=10_000)
+        orders = replace(
+            ROUTING_CONFIG, request_classes=[REQUEST_CLASS], overload_factor=3.0, overload_period=10_000
+        )
         world = SimulatedFleet(
             Scenario(dispatcher_count=30, backend_count=2, seconds=2, arrival_rate=2.0), orders, ToOne
         )
