--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -80,16 +80,16 @@
 
     def _make_first_member(self) -> ClusterMember:
         if self.config.is_successor:
-            return self._make_stand_in()
+            return self._make_interim_follower()
         if not self.config.is_voter:
             return self._make_member(self.config.name, None)
         try:
             return self._make_member(self.config.name, open_storage(self.config))
         except StorageUnavailableError as error:
             logger.error("%s; starts as a follower until the folder works", error)
-            return self._make_stand_in()
+            return self._make_interim_follower()
 
-    def _make_stand_in(self) -> ClusterMember:
+    def _make_interim_follower(self) -> ClusterMember:
         """A follower under a name of its own, until the voter can be opened."""
         return self._make_member(f"{self.config.name}+{secrets.token_hex(SUCCESSOR_SUFFIX_BYTES)}", None)
 
@@ -116,32 +116,32 @@
 
     async def _take_over(self) -> None:
         """Switches to the voter once its folder and address are available and it may act."""
-        successor = await self._open_voter()
+        voter = await self._open_voter()
         # No event marks that a lease has expired, so it is polled.
-        while successor and not self._may_act_by(successor):
+        while voter and not self._is_ready(voter):
             await asyncio.sleep(TAKEOVER_RETRY_SECONDS)
-            if successor.disabled_reason:
-                await successor.close()
-                successor = await self._open_voter()
-        if successor is None:
+            if voter.disabled_reason:
+                await voter.close()
+                voter = await self._open_voter()
+        if voter is None:
             return
         follower = self.member
-        self.member = successor
+        self.member = voter
         self._dispatcher.documents_changed(set(DOCUMENTS))
         await follower.close()
         logger.info("%s is a voter again", self.config.name)
 
     async def _replace_failed_voter(self, failed: ClusterMember) -> None:
         """Switches to a follower, and back to the voter once the folder works."""
-        self.member = self._make_stand_in()
+        self.member = self._make_interim_follower()
         await failed.close()
         await self.member.open()
         self._dispatcher.documents_changed(set(DOCUMENTS))
         await self._take_over()
 
-    def _may_act_by(self, successor: ClusterMember) -> bool:
-        applied_as_much = successor.consensus.last_applied >= self.consensus.last_applied
-        return successor.has_lease() and applied_as_much
+    def _is_ready(self, voter: ClusterMember) -> bool:
+        applied_as_much = voter.consensus.last_applied >= self.consensus.last_applied
+        return voter.has_lease() and applied_as_much
 
     async def _open_voter(self) -> ClusterMember | None:
         """Opens the voter once folder and address are available; None if the folder is unusable."""
--- a/crankfold/cluster/raft_storage.py
+++ b/crankfold/cluster/raft_storage.py
@@ -1,7 +1,7 @@
 """Stable storage of one voter: term, vote, log entries and the snapshot, in a folder of its own.
 
 Each append is written and synced as one frame before any message that depends on it is sent. On opening,
-a torn last frame is truncated; damage before it is refused.
+a torn last frame is truncated; damage followed by more data is refused.
 
 A storage error is final for an open storage: after a failed fsync the kernel may have dropped the unwritten
 pages and marked them clean, so a second fsync could succeed without the data. Opening the folder again, in
--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -45,7 +45,8 @@
     close of the whole connection (RFC 9112 section 9.6).
 
     The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`). There,
-    `NEVER_EXECUTED` has the two results with a "no" and OVERLOADED, which is that response of 503 or 504.
+    `NEVER_EXECUTED` has the two results with a "no" and OVERLOADED: that response of 503 or 504, or the
+    callback state `returned`.
     """
 
     ANSWERED = "answered"
--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -14,8 +14,8 @@
 from crankfold.time_units import TICKS_PER_SECOND
 
 REFRESH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_UNSENT_REQUESTS = 3  # queued requests without a backend, after which the rest of the queue waits on
-IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; a new request has less left from impatient clients
+MAX_UNSENT_REQUESTS = 3  # queued requests without a backend in one drain; one more ends it
+IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; less time left: a client with a short deadline
 MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
 LATEST_START_WORK_SHARE = 0.5  # of the expected work that must be left to the objective at the start
 
--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -19,7 +19,7 @@
 CLASS_RUN_WEIGHT = 0.05  # of the latest run in the typical running time of its class
 MEAN_WAIT_WEIGHT = 0.1  # of the latest start in the mean wait
 INITIAL_REQUESTS = 5  # for each class, that the work of short and of all requests starts from
-MIN_MEDIAN_SLOWNESS = 0.01  # as a request may start and end in one tick, and the median is divided by
+MIN_MEDIAN_SLOWNESS = 0.01  # a divisor, and a request may start and end in one tick
 
 
 class TrafficAverages:
@@ -90,7 +90,7 @@
         backend.hinted_work_sum = decaying_sum(backend.hinted_work_sum, work, RUN_TIME_DECAY)
 
     def decay_arrivals(self, passed: int) -> float:
-        """Lets the arrivals of earlier count less.
+        """Decays earlier arrivals.
 
         Args:
             passed: Ticks since the last call.
--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -67,7 +67,7 @@
         self.cell = 0
         self.instance_type = 0
         self.hash_position = 0.0  # below 1, the same at every instance
-        self.started_at = 0  # by the list; 0 if unknown and long ago
+        self.started_at = 0  # by the list; 0 if unknown, which counts as long ago
         self.warm_from = 0  # end of its warm-up
         self.announced_weight = 0.0
         self.weight = 0.0  # size: the listed weight, without the load where listed weights follow the load
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -4,18 +4,20 @@
 
 | step | keeps | where that leaves none |
 | --- | --- | --- |
-| `initial_pool` | the subset, or the scope that an earlier attempt binds the request to | - |
-| `not_overloaded` | backends that have not lately refused work | no candidate |
+| `initial_pool` | all ready backends for a key, else the subset | - |
+| (attempt scope) | in place of it the zone or cell that earlier attempts bind the request to | no candidate |
+| `not_overloaded` | backends that have not lately refused work or been unreachable | no candidate |
 | `within_slow_start_budget` | warm backends, and warming ones with budget saved up | no candidate |
 | `OutlierEjection.trusted` | backends that are not ejected | see there |
 | `not_overutilized` | backends whose listed load is low, where lists show it | does without the step |
 | `not_attempted` | backends that no earlier attempt went to | all again, unless an attempt is in flight |
-| (all ready backends) | where a subset leaves none, the fleet, by the steps above | no candidate |
+| (all ready backends) | where a subset leaves none, the fleet by the steps above | no candidate |
 | `finishing_in_time` | warm backends, and warming ones fast enough | does without the step |
 | `with_capacity` | backends with free slots | `with_bounded_wait`, but not for a hedge |
-| `warming_first` | warming backends, for hinted work | does without the step |
+| `warming_in_time` | at the concurrency limit: warming backends alone, if fast enough | no candidate |
+| `warming_first` | warming backends, for hinted work if running times are known | does without it |
 | `same_zone` | backends of the own zone | does without the step |
-| `KeyAffinity.preferred` | for a key, the backends that keep its data | the result of `same_zone` |
+| `KeyAffinity.preferred` | for a key, of all zones, the backends that keep its data | the result of `same_zone` |
 """
 
 from crankfold.routing.affinity import KeyAffinity
@@ -28,7 +30,7 @@
 from crankfold.routing.subsetting import Subset
 
 SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that has room
-MAX_LOAD_RATIO = 1.3  # load over slots; a request behind more than this is late and is queued here instead
+MAX_LOAD_RATIO = 1.3  # load over slots; behind more a request would be late, so it stays in the queue here
 MAX_UTILIZATION = 2.0  # requests for each core by the list from which a backend is left out
 
 
--- a/crankfold/routing/concurrency_limit.py
+++ b/crankfold/routing/concurrency_limit.py
@@ -1,7 +1,7 @@
 """Concurrency limit: how many attempts of this instance may be in flight at once.
 
-The limit is adaptive, by the gradient of response times: it shrinks by the ratio of the running time alone to
-the running time with the wait for a start, and grows by its square root.
+The limit is adaptive, by the gradient of response times: it shrinks by the ratio running time / (running time
++ wait for a start), and grows by half of its square root.
 """
 
 from math import inf, sqrt
@@ -12,8 +12,8 @@
 MIN_LIMIT_ATTEMPTS = 4.0
 WAIT_TOLERANCE_RATIO = 1.05  # of response time to running time, up to which the limit does not shrink
 NEGLIGIBLE_WAIT_TICKS = 1.0  # beside the mean run; keeps the ratio defined for runs of no time
-MAX_DECREASE_RATIO = 0.5  # least ratio that one adjustment applies
-GROWTH_ROOTS = 0.5  # square roots of the limit by which an adjustment lets it grow
+MIN_ADJUSTMENT_RATIO = 0.5  # lowest ratio that one adjustment applies
+GROWTH_ROOTS = 0.5  # growth by one adjustment, as a multiple of the limit's square root
 MIN_USE_SHARE = 0.5  # of the limit that must be in flight for it to grow
 SPARSE_HEADROOM_RATIO = 1.5  # on a fair share of a few slots, which random arrivals often exceed
 
@@ -65,7 +65,7 @@
                 return  # the few attempts in flight at the start are no measure for a limit
             self.limit = 1.0 * self.in_flight
         if ratio < 1.0 or self.in_flight >= MIN_USE_SHARE * self.limit:
-            changed = self.limit * max(ratio, MAX_DECREASE_RATIO) + GROWTH_ROOTS * sqrt(self.limit)
+            changed = self.limit * max(ratio, MIN_ADJUSTMENT_RATIO) + GROWTH_ROOTS * sqrt(self.limit)
             self.limit = max(changed, self._fair_share(now, least))
         self.adjusted_at = now
         self._samples = 0
--- a/crankfold/routing/discovery_polling.py
+++ b/crankfold/routing/discovery_polling.py
@@ -11,7 +11,9 @@
 MAX_FIRST_PAUSE_TICKS = 2 * TICKS_PER_SECOND  # before the first repeat of a failed poll
 FIRST_PAUSE_DIVISOR = 8  # of the time in which a poll is answered: the first pause
 MAX_PAUSE_RATIO = 2  # of the longest pause to the time in which a poll is answered
-TIME_LIMIT_DIVISOR = 2  # of a time within which an answer or change is due: the longest pause or spread
+# The longest pause is this part of the time in which a change must be known, and the longest spread of first
+# polls this part of the time in which a poll is answered.
+TIME_LIMIT_DIVISOR = 2
 JITTER_DIVISOR = 4  # of the pause: its part that is not random
 POLLS_PER_SECOND = 10  # that a discovery service serves, of all instances together
 MAX_DOUBLINGS = 4  # of the pause
--- a/crankfold/routing/hedging.py
+++ b/crankfold/routing/hedging.py
@@ -11,10 +11,10 @@
 MAX_FIRST_HEDGE_DELAY_TICKS = TICKS_PER_SECOND // 2
 FIRST_DELAY_DIVISOR = 2  # of the latency objective: the delay before the first look at an attempt
 DELAY_GROWTH_FACTOR = 2  # from one look at a request to the next
-DELAY_WAIT_RATIO = 4  # least delay, in mean waits for a start
+DELAY_WAIT_RATIO = 4  # lowest delay, as a multiple of the mean wait for a start
 SPARE_TIME_DIVISOR = 3  # of the time to spare: the delay where this instance sees little of the fleet
 LATEST_START_WORK_SHARE = 0.5  # of the expected work that a hedge in time must have left
-MAX_IN_FLIGHT = 1  # attempts of a request beside which a hedge may be sent
+MAX_IN_FLIGHT = 1  # attempts of a request with which a hedge may still be sent
 
 
 class HedgingPolicy:
--- a/crankfold/routing/interface.py
+++ b/crankfold/routing/interface.py
@@ -113,7 +113,7 @@
     weight: float
     zone: int
     cell: int
-    started_at: int  # ticks; 0 if unknown and long ago
+    started_at: int  # ticks; 0 if unknown, which counts as long ago
     instance_type: int = 0  # backends of a type have equal slots
     hash_position: float = 1.0  # hash of its id, from 0 to 1, the same at every instance
 
--- a/crankfold/routing/request_queue.py
+++ b/crankfold/routing/request_queue.py
@@ -39,8 +39,8 @@
     def _priority(self, request: PendingRequest, offered: float) -> tuple[float, int]:
         """What a response adds to the service's value, for the slots and work it takes; then the newest.
 
-        The service's value is the share that was earned of all value offered, and by `worst_class_weight` the
-        same share of the worst-served class alone.
+        The service's value is the earned share of the value offered by all classes, blended by
+        `worst_class_weight` with that share of the worst-served class.
 
         Args:
             request: A queued request.
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -64,7 +64,7 @@
             state, self.slow_start, self.limit, self.retries, self.hedging, self.hangs, self.selection
         )
         self.refreshed_at = NEVER_REFRESHED
-        self.clock_margin = state.clock_margin  # ticks by which timers may be late, both ways
+        self.clock_margin = state.clock_margin  # ticks by which an event or the decision on it may be late
         self.weights_follow_load = state.weights_follow_load
         self.polling.start()
 
@@ -116,7 +116,7 @@
             self.admission.review(now, request)
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """Records that a backend has started an attempt, and cancels the others that have not started."""
+        """Records that a backend has started an attempt, and cancels the unstarted others if permitted."""
         record = self.state.table.backends[backend]
         record.last_seen_at = now
         request = self.state.requests.get(request_id)
--- a/crankfold/routing/scoring.py
+++ b/crankfold/routing/scoring.py
@@ -5,7 +5,9 @@
     (reported queue + own slots in flight + slots of the request) / weight
 
 `Backend.load` is the reported queue and the own slots together. `Backend.score_factor` is one over the
-weight, larger for a backend that is slow or warming up.
+weight, larger for a backend that is slow or warming up. Two kinds of requests are scored otherwise: in a
+subset of a large fleet only the queue beyond the backend's slots counts, and with a key the fetch of its data
+counts too.
 """
 
 from crankfold.routing.backend_table import Backend, Backends
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -4,8 +4,8 @@
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
-BUDGET_SHARE = 0.5  # of what the settings allow all instances together; part of the rest lapses unused
-MIN_PACE_RATIO = 1.0  # work sent over capacity, which a warming backend can take in any case
+BUDGET_SHARE = 0.5  # of what the settings allow all instances together; the rest is a reserve
+MIN_PACE_RATIO = 1.0  # lowest ratio of work sent to present capacity
 
 
 class SlowStart:
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -25,7 +25,7 @@
 MIN_KEPT_SIZE_NUMERATOR = 3
 MAX_KEPT_SIZE_NUMERATOR = 6
 GOLDEN_RATIO_32 = 0x9E3779B1  # 2^32 over the golden ratio: multiples of it are spread evenly
-MIDDLE = 0.5  # of an instance's place
+MIDDLE = 0.5  # offset to the middle of an instance's place
 
 
 class Subset:
@@ -121,7 +121,7 @@
         self.members = short + long
 
     def _draw_evenly(self, now: int, ring: Backends, size: int) -> Backends:
-        """Draws a backend for each stretch of so much listed weight along the ring.
+        """Draws one backend for each `step` of listed weight along the ring, and sets budget shares.
 
         All subsets together then hold each backend as often as its weight says. The length of a stretch
         counts warm backends alone, so warming ones are drawn in addition.
--- a/crankfold/service/handover/state_machine.py
+++ b/crankfold/service/handover/state_machine.py
@@ -163,7 +163,7 @@
                 self.actions.resume_accepting()  # no other process serves
 
     def start_shutdown(self) -> None:
-        """Prevents that this process serves again after its successor is lost."""
+        """Prevents this process from serving again after its successor is lost."""
         self.shutting_down = True
 
     # --- messages ---
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -32,7 +32,8 @@
 }
 
 
-# Ticks that may pass between the check of the deduplication window and the write, where the process stalls.
+# Ticks that may pass between the check of the deduplication window and the write, if the process stalls. The
+# router checks with a smaller margin, as it does not write (`RoutingState.clock_margin`).
 STALL_ALLOWANCE_TICKS = 1500
 
 
