--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -17,7 +17,7 @@
 | `warming_in_time` | at the concurrency limit: warming backends alone, if fast enough | no candidate |
 | `warming_first` | warming backends, for hinted work if running times are known | does without it |
 | `same_zone` | backends of the own zone | does without the step |
-| `KeyAffinity.preferred` | for a key, of all zones, the backends that keep its data | the result of `same_zone` |
+| `KeyAffinity.preferred` | for a key, in all zones, the backends with its data | the result of `same_zone` |
 """
 
 from crankfold.routing.affinity import KeyAffinity
