--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -4,7 +4,7 @@
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
 from crankfold.routing.hedging import HedgingPolicy
 from crankfold.routing.interface import REFRESH_TIMER, RequestArrival, RequestClass
-from crankfold.routing.outlier_ejection import HangDetection
+from crankfold.routing.outlier_ejection import StallDetection
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.request_queue import RequestQueue
 from crankfold.routing.retries import RetryPolicy
@@ -69,7 +69,7 @@
         limit: ConcurrencyLimit,
         retries: RetryPolicy,
         hedging: HedgingPolicy,
-        hangs: HangDetection,
+        stalls: StallDetection,
         selection: Selection,
     ) -> None:
         self._state = state
@@ -77,7 +77,7 @@
         self._limit = limit
         self._retries = retries
         self._hedging = hedging
-        self._hangs = hangs
+        self._stalls = stalls
         self._selection = selection
         self.queue = RequestQueue(state)
         self.completion = Completion(state, self.queue)
@@ -134,7 +134,7 @@
         elif queued:
             self._state.set_request_timer(now, request, latest_useful_start(request))
         else:
-            self._hangs.eject_unresponsive_backends(now, request)
+            self._stalls.eject_unresponsive_backends(now, request)
             self._hedge_if_due(now, request)
 
     def _hedge_if_due(self, now: int, request: PendingRequest) -> None:
@@ -150,7 +150,7 @@
         self._state.set_request_timer(now, request, latest_useful_start(request))
 
     def drain_queue_on_timer(self, now: int) -> None:
-        """Drains the queue, and sets the timer again if it held any request.
+        """Drains the queue, and sets the timer again unless it was empty.
 
         Args:
             now: Ticks.
--- a/crankfold/routing/attempt_sender.py
+++ b/crankfold/routing/attempt_sender.py
@@ -7,7 +7,7 @@
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
 
-UNHINTED_WORK_FACTOR = 2  # on the typical running time, as work without a hint may be far more
+UNHINTED_WORK_FACTOR = 2  # on the typical running time, which unhinted work may exceed
 
 
 def charged_work(request: PendingRequest) -> float:
--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -10,10 +10,10 @@
 from crankfold.routing.smoothing import decaying_sum, exponential_average
 from crankfold.time_units import TICKS_PER_SECOND
 
-ARRIVAL_DECAY = 0.975  # kept of arrivals and values in each decay interval
+ARRIVAL_DECAY = 0.975  # factor on arrivals and values for each decay interval
 DECAY_INTERVAL_TICKS = TICKS_PER_SECOND // 4
 MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # counted at most, so that a pause does not empty the sums
-RUN_TIME_DECAY = 0.85  # kept of a backend's sums of running times with each run
+RUN_TIME_DECAY = 0.85  # factor on a backend's sums of running times for each run
 MEAN_RUN_WEIGHT = 0.1  # of the latest run in the mean running time
 RUN_PER_WORK_WEIGHT = 0.1  # of the latest run in the running time for each hinted work
 CLASS_RUN_WEIGHT = 0.05  # of the latest run in the typical running time of its class
@@ -33,7 +33,7 @@
             short_share: Share of the work that is short requests'.
         """
         self.arrivals = 0.0  # requests, decaying
-        self.observed_time = 0.0  # ticks in which they came, decaying
+        self.observed_time = 0.0  # ticks in which they arrived, decaying
         # Of all requests, as work hinted or typical for the class:
         self.total_work = sum(typical_runs)
         self.request_count = len(typical_runs)
@@ -75,7 +75,7 @@
             attempt: An attempt whose start is known.
         """
         run = now - attempt.started_at
-        if request.work:  # without a hint, a long request could not be told from a slow backend
+        if request.work:  # without a hint, a long request looks like a slow backend
             self._record_hinted_run(now, request.work, run, attempt.backend)
         known = request.request_class
         known.typical_run = exponential_average(known.typical_run, run, CLASS_RUN_WEIGHT)
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -29,7 +29,7 @@
 from crankfold.routing.state import RoutingState
 from crankfold.routing.subsetting import Subset
 
-SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that has room
+SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that counts as free
 MAX_LOAD_RATIO = 1.3  # load over slots; behind more a request would be late, so it stays in the queue here
 MAX_UTILIZATION = 2.0  # requests for each core by the list from which a backend is left out
 
@@ -77,7 +77,7 @@
 
 
 def warming_first(now: int, pool: Backends) -> Backends:
-    """Returns the backends that warm up, as a slow-start budget lapses unless it is used."""
+    """Returns the backends that warm up, as a slow-start budget that is not used expires."""
     return prefer([b for b in pool if b.warm_from > now], otherwise=pool)
 
 
--- a/crankfold/routing/final_answer.py
+++ b/crankfold/routing/final_answer.py
@@ -6,7 +6,7 @@
 
 
 class FinalAnswer(Enum):
-    """What a client is told of a request without a result."""
+    """The answer to the client of a request without a result."""
 
     SHED = auto()  # a retry is harmless
     FAILED = auto()  # the request may have been executed, and a retry may execute it again
--- a/crankfold/routing/hashing.py
+++ b/crankfold/routing/hashing.py
@@ -2,7 +2,16 @@
 
 from math import log
 
-_POSITION_STEPS = 0x100000  # a hash position is taken to 20 bits
+_POSITION_STEPS = 0x100000  # a hash position is rounded to 20 bits
+# Multipliers are those of SplitMix64.
+_GOLDEN_GAMMA = 0x9E3779B97F4A7C15
+_FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
+_SECOND_MULTIPLIER = 0x94D049BB133111EB
+_FIRST_SHIFT = 29
+_SECOND_SHIFT = 33
+_MASK_64 = 0xFFFFFFFFFFFFFFFF
+_MASK_31 = 0x7FFFFFFF
+_RANGE_31 = 0x80000000
 
 
 def hash_weight(key: int, position: float) -> float:
@@ -10,7 +19,8 @@
 
     Divided by the backend's weight and sorted, these put each backend first for its part of all keys.
     """
-    mixed = (key ^ int(position * _POSITION_STEPS) * 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9
-    mixed &= 0xFFFFFFFFFFFFFFFF
-    uniform = (((mixed ^ mixed >> 29) * 0x94D049BB133111EB >> 33 & 0x7FFFFFFF) + 1) / 0x80000000
+    mixed = (key ^ int(position * _POSITION_STEPS) * _GOLDEN_GAMMA) * _FIRST_MULTIPLIER
+    mixed &= _MASK_64
+    mixed = (mixed ^ mixed >> _FIRST_SHIFT) * _SECOND_MULTIPLIER >> _SECOND_SHIFT & _MASK_31
+    uniform = (mixed + 1) / _RANGE_31
     return -log(uniform)
--- a/crankfold/routing/hedging.py
+++ b/crankfold/routing/hedging.py
@@ -1,6 +1,6 @@
-"""Hedging: when a request whose attempt hangs is sent to a second backend, within a budget of work."""
+"""Hedging: when a request whose attempt is stalled is sent to a second backend, within a budget of work."""
 
-from crankfold.routing.outlier_ejection import HangDetection
+from crankfold.routing.outlier_ejection import StallDetection
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
@@ -20,9 +20,9 @@
 class HedgingPolicy:
     """Decides when an attempt in flight is looked at, and whether a hedge is due."""
 
-    def __init__(self, state: RoutingState, hangs: HangDetection) -> None:
+    def __init__(self, state: RoutingState, stalls: StallDetection) -> None:
         self._state = state
-        self._hangs = hangs
+        self._stalls = stalls
         self._budget = 0.0  # slot-ticks of work
 
     def attempt_sent(self, now: int, request: PendingRequest, work: float) -> None:
@@ -38,7 +38,7 @@
         self._state.set_request_timer(now, request, now + request.hedge_delay)
 
     def hedge_due(self, now: int, request: PendingRequest) -> bool:
-        """Whether the one attempt in flight hangs and a hedge is useful and within the budget.
+        """Whether the one attempt in flight is stalled and a hedge is useful and within the budget.
 
         Args:
             now: Ticks.
@@ -49,7 +49,7 @@
             len(in_flight) <= MAX_IN_FLIGHT
             and self._budget > 0
             and self._is_useful(now, request)
-            and all(self._hangs.is_hanging(now, attempt) for attempt in in_flight)
+            and all(self._stalls.is_stalled(now, attempt) for attempt in in_flight)
         )
 
     def charge(self, request: PendingRequest) -> None:
@@ -58,7 +58,7 @@
 
     def postpone(self, now: int, request: PendingRequest) -> None:
         """Sets the timer for the next look at the attempts of the request."""
-        request.hedge_delay = max(request.hedge_delay, self._hangs.max_progress_gap)
+        request.hedge_delay = max(request.hedge_delay, self._stalls.max_progress_gap)
         self._state.set_request_timer(now, request, now + request.hedge_delay)
 
     def _earn(self, work: float) -> None:
--- a/crankfold/routing/load_reports.py
+++ b/crankfold/routing/load_reports.py
@@ -8,7 +8,7 @@
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-REPORT_MAX_AGE_TICKS = 5 * TICKS_PER_SECOND  # an older report does not tell one backend from another
+REPORT_MAX_AGE_TICKS = 5 * TICKS_PER_SECOND  # an older report is no basis to compare backends
 REPORT_WEIGHT = 0.12  # of one report in the estimate
 PROBE_INTERVAL_TICKS = 2 * TICKS_PER_SECOND  # between two probes of a backend
 SLOWNESS_TOLERANCE_RATIO = 2.0  # of running time to the median, by which types of backends differ anyway
@@ -73,7 +73,7 @@
         """Probes the next members in turn, as many as are due in an interval.
 
         Where reports come by probe alone, each of them is probed, elsewhere only those that have given no
-        sign of life for `PROBE_INTERVAL_TICKS`.
+        response for `PROBE_INTERVAL_TICKS`.
 
         Args:
             now: Ticks.
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: which backends get no attempts for a while, because of errors or because they hang."""
+"""Outlier ejection: which backends get no attempts for a while, because of errors or stalled attempts."""
 
 from crankfold.routing.backend_table import Backend, Backends
 from crankfold.routing.interface import Outcome
@@ -17,12 +17,14 @@
 MAX_ERROR_RATE = 0.45  # above it a backend is ejected
 FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN, Outcome.UNREACHABLE)
 MIN_TRUSTED_DIVISOR = 3  # of the backends: at or under this part, ejection is disregarded
-MIN_COMPARABLE_BACKENDS = 3  # under it a bare majority of ejected backends is no sign of a common cause
+MIN_COMPARABLE_BACKENDS = 3  # with fewer, a majority of ejected backends does not show a common cause
 
-MAX_SILENCE_TICKS = TICKS_PER_SECOND  # without a sign of life after an attempt was sent; then it is ejected
-HANG_TICKS = TICKS_PER_SECOND // 2  # without a sign of life, after which an attempt hangs
-SPARSE_HANG_TICKS = TICKS_PER_SECOND  # the same, where few responses of a backend come here
-MAX_PROGRESS_GAP_INTERVALS = 2.5  # progress intervals without progress, after which an attempt hangs
+MAX_SILENCE_TICKS = (
+    TICKS_PER_SECOND  # without a response after an attempt was sent, until the backend is ejected
+)
+STALL_TICKS = TICKS_PER_SECOND // 2  # without a response or notification, after which an attempt is stalled
+SPARSE_STALL_TICKS = TICKS_PER_SECOND  # the same, where few responses of a backend come here
+MAX_PROGRESS_GAP_INTERVALS = 2.5  # progress intervals without progress, after which an attempt is stalled
 
 
 class OutlierEjection:
@@ -88,17 +90,17 @@
         return trusted or backends
 
 
-class HangDetection:
-    """Tells attempts that hang, and ejects backends that take work and give no sign of life."""
+class StallDetection:
+    """Detects stalled attempts, and ejects backends that accept work and do not respond."""
 
     def __init__(self, state: RoutingState, ejection: OutlierEjection) -> None:
         self._state = state
         self._ejection = ejection
-        # Ticks without progress, after which a started attempt hangs; 0 where backends notify none.
+        # Ticks without progress, after which a started attempt is stalled; 0 where backends notify none.
         self.max_progress_gap = int(MAX_PROGRESS_GAP_INTERVALS * state.config.progress_interval)
 
-    def is_hanging(self, now: int, attempt: Attempt) -> bool:
-        """Whether an attempt in flight gives no sign of life for too long.
+    def is_stalled(self, now: int, attempt: Attempt) -> bool:
+        """Whether the backend has not responded to an attempt in flight for too long.
 
         Args:
             now: Ticks.
@@ -107,12 +109,12 @@
         if attempt.started_at >= 0:
             return self._stands_still(now, attempt)
         # A backend that responds to other attempts is busy, and a hedge would only add to the load.
-        heard_since = attempt.backend.last_seen_at > attempt.sent_at
-        max_wait = SPARSE_HANG_TICKS if self._state.sparse else HANG_TICKS
-        return not heard_since and now - attempt.sent_at > max_wait
+        responded_since = attempt.backend.last_seen_at > attempt.sent_at
+        max_wait = SPARSE_STALL_TICKS if self._state.sparse else STALL_TICKS
+        return not responded_since and now - attempt.sent_at > max_wait
 
     def eject_unresponsive_backends(self, now: int, request: PendingRequest) -> None:
-        """Ejects the backends that give no sign of life to the request's attempts in flight.
+        """Ejects the backends that do not respond to the request's attempts in flight.
 
         Args:
             now: Ticks.
@@ -129,9 +131,9 @@
     def _is_unresponsive(self, now: int, attempt: Attempt) -> bool:
         if attempt.started_at >= 0:
             return self._stands_still(now, attempt)
-        heard_since = attempt.backend.last_seen_at >= attempt.sent_at
+        responded_since = attempt.backend.last_seen_at >= attempt.sent_at
         overdue = now - attempt.sent_at > MAX_SILENCE_TICKS
-        return self._state.start_notifications and not heard_since and overdue
+        return self._state.start_notifications and not responded_since and overdue
 
     def _stands_still(self, now: int, attempt: Attempt) -> bool:
         """Whether a started attempt has made no progress for too long, where backends notify progress."""
--- a/crankfold/routing/random_generator.py
+++ b/crankfold/routing/random_generator.py
@@ -1,6 +1,10 @@
-"""The random numbers of the decisions: seeded, so that the same events bring the same actions."""
+"""The random numbers of the routing: seeded, so that the same events give the same actions."""
 
 _MASK_64 = 0xFFFFFFFFFFFFFFFF
+_MULTIPLIER = 6364136223846793005
+_INCREMENT = 1442695040888963407
+_OUTPUT_BITS = 31
+_DISCARDED_BITS = 64 - _OUTPUT_BITS
 
 
 class RandomGenerator:
@@ -10,6 +14,6 @@
         self.state = seed & _MASK_64
 
     def below(self, bound: int) -> int:
-        """Draws a whole number from 0 up to, but without, `bound`; 0 if `bound` is 0."""
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & _MASK_64
-        return ((self.state >> 33) * bound) >> 31
+        """Returns a random integer from 0 to `bound` - 1; 0 if `bound` is 0."""
+        self.state = (self.state * _MULTIPLIER + _INCREMENT) & _MASK_64
+        return ((self.state >> _DISCARDED_BITS) * bound) >> _OUTPUT_BITS
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -28,7 +28,7 @@
 )
 from crankfold.routing.load_reports import LoadReports
 from crankfold.routing.membership import Membership
-from crankfold.routing.outlier_ejection import HangDetection, OutlierEjection
+from crankfold.routing.outlier_ejection import OutlierEjection, StallDetection
 from crankfold.routing.retries import RetryPolicy
 from crankfold.routing.selection import Selection
 from crankfold.routing.slow_start import SlowStart
@@ -51,9 +51,9 @@
         self.polling = DiscoveryPolling(state)
         self.subset = Subset(state, self.slow_start, self.limit)
         self.ejection = OutlierEjection(state)
-        self.hangs = HangDetection(state, self.ejection)
+        self.stalls = StallDetection(state, self.ejection)
         self.retries = RetryPolicy(state)
-        self.hedging = HedgingPolicy(state, self.hangs)
+        self.hedging = HedgingPolicy(state, self.stalls)
         self.affinity = KeyAffinity(state)
         candidates = Candidates(
             state, self.slow_start, self.subset, self.reports, self.ejection, self.affinity
@@ -61,7 +61,7 @@
         sender = AttemptSender(state, self.slow_start, self.limit, self.hedging)
         self.selection = Selection(state, self.slow_start, self.retries, candidates, sender)
         self.admission = Admission(
-            state, self.slow_start, self.limit, self.retries, self.hedging, self.hangs, self.selection
+            state, self.slow_start, self.limit, self.retries, self.hedging, self.stalls, self.selection
         )
         self.refreshed_at = NEVER_REFRESHED
         self.clock_margin = state.clock_margin  # ticks by which an event or the decision on it may be late
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -4,7 +4,7 @@
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
-BUDGET_SHARE = 0.5  # of what the settings allow all instances together; the rest is a reserve
+BUDGET_SHARE = 0.5  # of what the settings allow all instances together; the other half is a reserve
 MIN_PACE_RATIO = 1.0  # lowest ratio of work sent to present capacity
 
 
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -15,11 +15,11 @@
 MIN_SUBSET_BACKENDS = 5
 MIN_SHORT_SUBSET_BACKENDS = 3  # of the subset, for short requests
 MAX_SLOW_START_SENDERS = 5  # instances that share the budget of one warming backend
-MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to so many, each sees enough of the load of the whole fleet
+MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to so many, each knows enough of the load of all backends
 SHARE_STEPS = 64  # in which the share of short requests is counted
 SHARE_TOLERANCE_STEPS = 8  # by which it may change before the subset is drawn anew
 MIN_SHORT_SHARE = 0.25  # of the fleet, for short requests
-MIN_OBSERVED_REQUESTS = 10  # before their slots tell whether short requests need backends of their own
+MIN_OBSERVED_REQUESTS = 10  # before their slots decide whether short requests need separate backends
 # A subset is kept while the wanted size is from 3/5 to 6/5 of its size: little is known of other backends.
 SIZE_RATIO_DENOMINATOR = 5
 MIN_KEPT_SIZE_NUMERATOR = 3
