--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -17,6 +17,9 @@
 RUN, SLOTS = 0.08, 4  # 85 units a second keep the slots of two runners busy, and some fail
 COLD_FROM, WARM_AFTER, FACTOR = 0.05, 60.0, 2.0
 GRACE = 0.3
+# By its weight a server in slow start is due two of 85 requests a second (0.05 of 2.05): none in 10 s has a
+# chance of e^-20.
+FIRST_REQUEST_TIMEOUT = 10.0
 GRADES = [
     {"name": "safe", "effect": "safe", "cut-off": 3_000_000, "expected-time": 800_000},
     {
@@ -214,6 +217,9 @@
         self.config_file.write_bytes(orjson.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.5)
+        async with asyncio.timeout(FIRST_REQUEST_TIMEOUT):
+            while not self.received_after(out, back_at):  # noqa: ASYNC110 - another process sends
+                await asyncio.sleep(0.02)
         over.set()
         await loading
         async with asyncio.timeout(6):
@@ -227,6 +233,11 @@
             self.assertNotIn("failure", text)
         self.judge(out, out_at, back_at)
 
+    @staticmethod
+    def received_after(runner: Runner, instant: float) -> list[float]:
+        """When each request reached the runner after an instant."""
+        return [at for at, _ in runner.got if at > instant]
+
     def judge(self, out: Runner, out_at: float, back_at: float) -> None:
         self.assertGreater(len(self.ends), 200)
         odd = {
@@ -248,7 +259,7 @@
         banned = [at - out_at for at, _ in out.got if out_at + GRACE < at < back_at]
         self.assertEqual(banned, [])
         # Rule 4, over both processes: in no second more work than the factor times what it bears while cold.
-        back = [at for at, _ in out.got if at > back_at]
+        back = self.received_after(out, back_at)
         self.assertGreater(len(back), 0)
         bears = FACTOR * SLOTS * COLD_FROM / RUN * (1 + (1 / COLD_FROM - 1) * 4 / WARM_AFTER)
         rush = max(sum(at <= one < at + 1 for one in back) for at in back)
