--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -70,6 +70,8 @@
         self._loop = asyncio.get_running_loop()
         self._outgoing: dict[str, asyncio.StreamWriter] = {}
         self._incoming: dict[str, asyncio.StreamWriter] = {}
+        self._accepted: set[asyncio.StreamWriter] = set()  # also those whose hello is awaited
+        self._closed = False
         self._connecting: set[str] = set()
         self._reconnect_not_before: dict[str, float] = {}
         self._reconnect_delay: dict[str, float] = {}
@@ -147,12 +149,13 @@
 
     async def _run_incoming(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name = ""
+        self._accepted.add(writer)
         try:
-            if len(self._incoming) >= MAX_INCOMING_CONNECTIONS:
+            if self._closed or len(self._incoming) >= MAX_INCOMING_CONNECTIONS:
                 return
             decoder = FrameDecoder()
             messages = await self._read_first(reader, decoder)
-            if not messages:
+            if self._closed or not messages:
                 return
             name = self._admit(messages[0], writer)
             if name:
@@ -162,6 +165,7 @@
         except (OSError, TimeoutError):
             pass  # the sender connects again
         finally:
+            self._accepted.discard(writer)
             if name and self._incoming.get(name) is writer:
                 del self._incoming[name]
             with contextlib.suppress(OSError):
@@ -217,11 +221,16 @@
             messages = decoder.feed(data)
 
     async def close(self) -> None:
-        """Stops listening and closes all connections."""
+        """Stops listening and closes all connections, also those whose sender has not said its name yet.
+
+        Otherwise the sender would keep such a connection, and never connect to a voter that this process
+        opens on the same address.
+        """
+        self._closed = True
         if self._acceptor:
             self._acceptor.close()
             self._acceptor = None
-        for writer in [*self._outgoing.values(), *self._incoming.values()]:
+        for writer in [*self._outgoing.values(), *self._accepted]:
             writer.close()
         for task in list(self._tasks):
             task.cancel()
