--- a/benchmarks/compare_versions.py
+++ b/benchmarks/compare_versions.py
@@ -4,10 +4,10 @@
 
 Three parts, each on loopback with the stand-ins of `benchmarks.upgrades`:
 
-- cluster: three peers, one of them from the other checkout, agree on a published document; then two of them
-  swap checkouts over the same voter folders and agree on another one.
-- handover: the two checkouts replace each other at one address, again and again, under load.
-- speed: the two serve the same load in turn; processor time a request, latency, memory, start, modules.
+- cluster: three voters, one of them from the other checkout, agree on a published document; then two of them
+  swap checkouts over the same voter folders, and agree on another one.
+- handover: processes of the two checkouts replace each other at one address, under load.
+- speed: both serve the same load in turn; processor time per request, latency, memory, start, modules.
 """
 
 import argparse
@@ -24,16 +24,17 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.upgrades import HOST, Rig, free_port, message
+from benchmarks.upgrades import HOST, Rig, free_port, read_message
 
 HERE = Path(__file__).resolve().parent.parent
 DEADLINE = 20.0  # seconds until a cluster has to agree
 LOAD_SECONDS = 8.0
+IMPORT_RUNS = 5
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 async def admin_call(port: int, path: str, body: dict[str, Any] | None = None) -> tuple[int, Any]:
-    """One call to the operators' address of a dispatcher: its status and decoded answer."""
+    """Calls the admin server of a dispatcher; the status and the decoded body of the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     content = json.dumps(body).encode() if body is not None else b""
     method = "POST" if body is not None else "GET"
@@ -41,7 +42,7 @@
         f"{method} /control/{path} HTTP/1.1\r\nHost: b\r\nContent-Length: {len(content)}\r\n\r\n".encode()
         + content
     )
-    head, answer = await message(reader)
+    head, answer = await read_message(reader)
     writer.close()
     return int(head.split()[1]), json.loads(answer) if answer else None
 
@@ -104,25 +105,25 @@
                     "reason": reason,
                     "wait": 5.0,
                 }
-                status, told = await admin_call(self.admin_ports["n0"], "agreed/settings", request)
+                status, published = await admin_call(self.admin_ports["n0"], "agreed/settings", request)
             except (OSError, asyncio.IncompleteReadError):
                 continue
-            if status == 200 and told["counts"] and not told["lag"]:
-                return int(told["number"])
+            if status == 200 and published["counts"] and not published["lag"]:
+                return int(published["number"])
         raise SystemExit(f"{reason}: no agreement within {DEADLINE} s")
 
-    async def acting(self) -> list[tuple[int, Any]]:
-        """For each member the version that is active there, and the idempotency it acts on."""
-        found = []
+    async def active_versions(self) -> list[tuple[int, Any]]:
+        """Returns each member's active version and the idempotency of its request class."""
+        versions = []
         for name in self.names:
-            _, known = await admin_call(self.admin_ports[name], "agreed/settings")
-            found.append((known["counts"], known["acting"]["service-grades"][0]["effect"]))
-        return found
+            _, document = await admin_call(self.admin_ports[name], "agreed/settings")
+            versions.append((document["counts"], document["acting"]["service-grades"][0]["effect"]))
+        return versions
 
 
 async def compare_in_cluster(other: Path) -> None:
     """Has three voters of both checkouts agree, swaps two of them, and has them agree again."""
-    rig = Rig(shared=True)
+    rig = Rig(is_shared=True)
     await rig.open()
     config = json.loads(rig.config.read_text())
     settings = {name: config["settings"][name] for name in ("service-grades", "allowed")}
@@ -134,15 +135,15 @@
     for name, checkout in (("n0", HERE), ("n1", other), ("n2", HERE)):
         await cluster.start(name, checkout)
     number = await cluster.publish(with_effect("unsafe"), "one of three is the other checkout")
-    print(f"cluster: n1 is the other checkout; version {number} active: {await cluster.acting()}")
+    active = await cluster.active_versions()
+    print(f"cluster: n1 is the other checkout; version {number} active: {active}")
     for name in ("n0", "n1"):
         await cluster.stop(name)
     await cluster.start("n0", other)
     await cluster.start("n1", HERE)
     number = await cluster.publish(with_effect("safe"), "two have swapped checkouts over their folders")
-    print(
-        f"cluster: n0 is the other checkout, folders kept; version {number} active: {await cluster.acting()}"
-    )
+    active = await cluster.active_versions()
+    print(f"cluster: n0 is the other checkout, folders kept; version {number} active: {active}")
     for name in cluster.names:
         await cluster.stop(name)
 
@@ -164,59 +165,61 @@
 
 async def compare_handover(other: Path, rounds: int) -> None:
     """Replaces the dispatcher under load by the two checkouts in turn, and prints what clients saw."""
-    rig = VersionedRig(shared=True)
+    rig = VersionedRig(is_shared=True)
     await rig.open()
     rig.checkout = other
     await rig.start()
     over = asyncio.Event()
-    about = [asyncio.create_task(each(over)) for each in (rig.load, rig.callers)]
+    activities = (rig.load, rig.poll_readiness)
+    running = [asyncio.create_task(activity(over)) for activity in activities]
     await asyncio.sleep(1.0)
     for number in range(rounds):
         rig.checkout = (HERE, other)[number % 2]
         await rig.replace()
         await asyncio.sleep(0.5)
     over.set()
-    await asyncio.gather(*about)
+    await asyncio.gather(*running)
     await asyncio.sleep(4.0)
     rig.processes[0].terminate()
     await rig.processes[0].wait()
-    ends = ", ".join(f"{end} {count}" for end, count in sorted(rig.ends.items()))
+    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(rig.outcomes.items()))
     print(
-        f"handover: {rounds} times in turn, beginning with the other checkout; requests: {ends}", flush=True
+        f"handover: {rounds} times in turn, beginning with the other checkout; requests: {outcomes}",
+        flush=True,
     )
 
 
 class SpeedRig(VersionedRig):
-    """Backends that answer at once; keeps each request's latency."""
+    """Backends that call back at once; records each request's latency in seconds."""
 
     def __init__(self) -> None:
-        super().__init__(shared=True)
+        super().__init__(is_shared=True)
         self.latencies: list[float] = []
 
-    async def work(self, ident: str, name: str) -> None:
+    async def work(self, request_id: str, name: str) -> None:
         """Calls back at once that a request is done."""
-        body = json.dumps({"id": ident, "from": name, "state": "done", "result": ident}).encode()
+        body = json.dumps({"id": request_id, "from": name, "state": "done", "result": request_id}).encode()
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nConnection: close\r\n"
             b"Content-Length: %d\r\n\r\n" % len(body) + body
         )
-        await message(reader)
+        await read_message(reader)
         writer.close()
 
-    async def client(self, ident: str, keep: bool) -> None:
-        """Sends a request and keeps the seconds that it took."""
+    async def client(self, request_id: str, keep: bool) -> None:
+        """Sends a request and records its latency in seconds."""
         begun = time.monotonic()
-        await super().client(ident, keep)
+        await super().client(request_id, keep)
         self.latencies.append(time.monotonic() - begun)
 
     def processor_seconds(self) -> float:
-        """The processor time of the dispatcher since its start."""
+        """Returns the processor time of the dispatcher since its start."""
         fields = Path(f"/proc/{self.processes[0].pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def memory_kilobytes(self) -> int:
-        """The dispatcher's memory, shared pages by their part."""
+        """Returns the dispatcher's proportional memory."""
         rollup = Path(f"/proc/{self.processes[0].pid}/smaps_rollup").read_text()
         return int(rollup.partition("\nPss:")[2].split()[0])
 
@@ -247,15 +250,15 @@
         "99th percentile, ms": 1000 * latencies[int(len(latencies) * 0.99)],
         "memory, MB": memory / 1024,
         "start until ready, s": start,
-        "answered otherwise": sum(count for end, count in rig.ends.items() if end != "done"),
+        "answered otherwise": sum(count for outcome, count in rig.outcomes.items() if outcome != "done"),
     }
 
 
 def imported_modules(checkout: Path) -> tuple[set[str], float]:
-    """What `serve` imports before it reads a configuration, and the milliseconds of it (best of five)."""
+    """Returns what `serve` imports before it reads a configuration, and its shortest duration in ms."""
     names: set[str] = set()
-    spans = []
-    for _ in range(5):
+    durations = []
+    for _ in range(IMPORT_RUNS):
         begun = time.perf_counter()
         result = subprocess.run(
             [sys.executable, "-O", "-X", "importtime", "-m", "crankfold", "serve", "--config", "/nowhere"],
@@ -263,10 +266,10 @@
             capture_output=True,
             text=True,
         )
-        spans.append(1000 * (time.perf_counter() - begun))
+        durations.append(1000 * (time.perf_counter() - begun))
         lines = result.stderr.splitlines()
         names = {line.rpartition("|")[2].strip() for line in lines if line.startswith("import time:")}
-    return names, min(spans)
+    return names, min(durations)
 
 
 async def compare_speed(other: Path, rounds: int) -> None:
@@ -277,31 +280,34 @@
         for name in sorted(checkouts, reverse=number % 2 == 1):
             runs[name].append(await measure_speed(checkouts[name]))
     print(f"speed: {rounds} runs each, in turn, {LOAD_SECONDS:.0f} s of load; medians, this / other by pairs")
-    for what in runs["this"][0]:
-        medians = {name: statistics.median(run[what] for run in runs[name]) for name in runs}
-        line = f"  {what:<26} other {medians['other']:8.3f}  this {medians['this']:8.3f}"
+    for figure in runs["this"][0]:
+        medians = {name: statistics.median(run[figure] for run in runs[name]) for name in runs}
+        line = f"  {figure:<26} other {medians['other']:8.3f}  this {medians['this']:8.3f}"
         if medians["other"]:
-            ratios = [new[what] / old[what] for new, old in zip(runs["this"], runs["other"], strict=True)]
+            ratios = [new[figure] / old[figure] for new, old in zip(runs["this"], runs["other"], strict=True)]
             line += f"  ratio {statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})"
         print(line)
     modules = {name: imported_modules(checkout) for name, checkout in checkouts.items()}
-    for name, (names, span) in modules.items():
+    for name, (names, milliseconds) in modules.items():
         own = sum(module.startswith("crankfold") for module in names)
-        print(f"  imports of serve, {name}: {len(names)} modules, {own} of the project's, {span:.0f} ms")
+        print(
+            f"  imports of serve, {name}: {len(names)} modules, {own} of the project's, {milliseconds:.0f} ms"
+        )
     libraries = {
-        name: {m for m in names if not m.startswith("crankfold")} for name, (names, _) in modules.items()
+        name: {module for module in names if not module.startswith("crankfold")}
+        for name, (names, _) in modules.items()
     }
     print(f"  libraries imported that were not: {sorted(libraries['this'] - libraries['other']) or 'none'}")
 
 
 def compile_checkout(checkout: Path) -> None:
-    """As the build in the deploy file does, so that no start pays for the compiler."""
+    """Compiles a checkout as the build in the deploy file does, so that no start includes it."""
     command = [sys.executable, "-O", "-m", "compileall", "-q", "crankfold"]
     subprocess.run(command, cwd=checkout, check=True)
 
 
 async def compare(other: Path, rounds: int) -> None:
-    """Runs all three parts."""
+    """Makes all three comparisons."""
     for checkout in (other, HERE):
         compile_checkout(checkout)
     await compare_in_cluster(other)
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -2,11 +2,10 @@
 
     python -m benchmarks.upgrades --upgrades 10 > benchmarks/upgrades.txt
 
-Discovery and backends are played in this process. Load is open loop; half of the requests come on
-connections of their own, the others on kept ones. Two ways: the listening socket passed on (both processes
-share a folder), and two listeners with SO_REUSEPORT alone (each has a folder of its own, so they don't find
-each other). Beside the load, silent connections are open at the admin server, and readiness is asked all the
-time.
+Discovery and backends run in this process. The load is open loop; half of the requests use a new connection,
+the others a persistent one. Measured twice: with the listening socket handed over (both processes share a
+folder), and with two listeners by SO_REUSEPORT alone (each process has a folder of its own, so neither finds
+the other). Beside the load, idle connections are open at the admin server, and its readiness is polled.
 """
 
 import argparse
@@ -16,6 +15,7 @@
 import os
 import random
 import signal
+import socket
 import sys
 import tempfile
 import time
@@ -28,59 +28,70 @@
 BACKENDS = 4
 RATE = 120.0  # requests a second
 MEAN_RUN_SECONDS = 0.05
+MAX_STALLED_CONNECTIONS = 40  # at the admin server
 
 
-async def message(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """The head and the body of the next HTTP message."""
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, bytes]:
+    """Reads the head and the body of the next HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     length = [line for line in head.lower().split("\r\n") if line.startswith("content-length:")]
     return head, await reader.readexactly(int(length[0].partition(":")[2]) if length else 0)
 
 
 def free_port() -> int:
-    """A port that nobody listens on at the moment."""
-    import socket
-
+    """Returns a port on which nobody listens at the moment."""
     with socket.create_server((HOST, 0)) as free:
         return int(free.getsockname()[1])
 
 
-def where(server: asyncio.Server) -> str:
-    """The address of a server."""
+def address_of(server: asyncio.Server) -> str:
+    """Returns the address of a server."""
     return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
 
 def usage_of(pid: int) -> tuple[int, int]:
-    """A process's proportional memory in kB, and how many descriptors it has open.
+    """Returns a process's proportional memory in kB and the number of its open descriptors.
 
     Raises:
-        OSError: it has ended.
+        OSError: The process has ended.
     """
     rollup = Path(f"/proc/{pid}/smaps_rollup").read_text()
     return int(rollup.partition("\nPss:")[2].split()[0]), len(os.listdir(f"/proc/{pid}/fd"))
 
 
 class Rig:
-    """Stand-ins, load, and the dispatchers that replace each other."""
+    """Stand-ins, load, and the dispatchers that replace each other.
+
+    Attributes:
+        is_shared: Whether a process finds the one that it replaces.
+        outcomes: The number of requests by outcome.
+        readiness_latencies: Seconds of each readiness check that was answered.
+        failed_readiness_checks: Those answered with "not ready", or not at all.
+        idle_connections: Persistent client connections without a request.
+        peak_memory: Of all processes together, in kB.
+        peak_descriptors: Of all processes together.
+        admin_port: The admin server of the newest process.
+    """
 
-    def __init__(self, shared: bool) -> None:
-        self.shared = shared  # whether a process finds the one that it replaces
+    def __init__(self, is_shared: bool) -> None:
+        self.is_shared = is_shared
         self.port = free_port()
-        self.ends: Counter[str] = Counter()  # how requests ended
-        self.calls: list[float] = []  # seconds that calls of the admin server took
-        self.wrong_calls = 0  # that said not ready, or were not answered
-        self.kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self.most_memory = 0  # kB
-        self.most_descriptors = 0
+        self.outcomes: Counter[str] = Counter()
+        self.readiness_latencies: list[float] = []
+        self.failed_readiness_checks = 0
+        self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.peak_memory = 0
+        self.peak_descriptors = 0
         self.folder = Path(tempfile.mkdtemp())
         self.processes: list[asyncio.subprocess.Process] = []
-        self.door = 0  # port of the admin server
+        self.admin_port = 0
         self.tasks: set[asyncio.Task[None]] = set()
+        self.log_readers: set[asyncio.Task[None]] = set()
 
     # --- stand-ins ---
 
     async def open(self) -> None:
-        """Start the stand-ins, and write the configuration."""
+        """Starts the stand-ins and writes the configuration."""
         targets = [await self.start_backend(f"r{number}") for number in range(BACKENDS)]
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -90,7 +101,7 @@
         request_class = {"name": "g", "effect": "safe", "cut-off": 3_000_000, "expected-time": 1_000_000}
         configuration = {
             "listen": f"{HOST}:{self.port}",
-            "discovery": where(discovery),
+            "discovery": address_of(discovery),
             "admin_addr": f"{HOST}:0",
             "limits": {"sockets": 384},
             "settings": {
@@ -104,22 +115,22 @@
         self.config.write_text(json.dumps(configuration))
 
     async def start_backend(self, name: str) -> dict[str, object]:
-        """Start one, and how discovery lists it."""
+        """Starts a backend and returns its entry in the list of discovery."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
                 while True:
-                    head, _ = await message(reader)
+                    head, _ = await read_message(reader)
                     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
                     if head.startswith("POST"):
-                        ident = head.lower().partition("x-request-id: ")[2].split()[0]
-                        self.spawn(self.work(ident, name))
+                        request_id = head.lower().partition("x-request-id: ")[2].split()[0]
+                        self.spawn(self.work(request_id, name))
             writer.close()
 
         server = await asyncio.start_server(serve, HOST, 0)
         return {
             "uid": name,
-            "endpoint": where(server),
+            "endpoint": address_of(server),
             "state": "in_service",
             "capacity_hint": 1.0,
             "boot_ms": 0,
@@ -131,10 +142,10 @@
         writer: asyncio.StreamWriter,
         targets: list[dict[str, object]],
     ) -> None:
-        """All backends at first; a poll for changes waits, and there are none."""
+        """Answers with all backends; a call for changes waits and is answered with none."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
-                head, _ = await message(reader)
+                head, _ = await read_message(reader)
                 is_poll = "after=" in head
                 if is_poll:
                     await asyncio.sleep(3)
@@ -144,16 +155,16 @@
         writer.close()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run it beside the rest."""
+        """Starts a task whose end `measure` awaits."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def work(self, ident: str, name: str) -> None:
-        """A request runs at a backend, which calls back then."""
+    async def work(self, request_id: str, name: str) -> None:
+        """Executes a request at a backend, and then calls back."""
         await asyncio.sleep(random.expovariate(1 / MEAN_RUN_SECONDS))
-        body = json.dumps({"id": ident, "from": name, "state": "done", "result": ident}).encode()
-        for _ in range(10):  # a callback is tried until it is answered
+        body = json.dumps({"id": request_id, "from": name, "state": "done", "result": request_id}).encode()
+        for _ in range(10):  # a callback is repeated until it is accepted
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
                 reader, writer = await asyncio.open_connection(HOST, self.port)
                 writer.write(
@@ -161,87 +172,93 @@
                     b"Content-Length: %d\r\n\r\n" % len(body) + body
                 )
                 async with asyncio.timeout(1):
-                    head, _ = await message(reader)
+                    head, _ = await read_message(reader)
                 writer.close()
                 if head.split()[1] in ("200", "204"):
                     return
             await asyncio.sleep(0.2)
 
-    # --- clients and callers ---
+    # --- clients and operators ---
 
-    async def client(self, ident: str, keep: bool) -> None:
-        """One request, on a connection of its own or a kept one."""
+    async def client(self, request_id: str, keep: bool) -> None:
+        """Sends a request on a new connection, or on a persistent one if `keep`."""
         for attempt in range(2):
-            sent = False
+            is_sent = False
             try:
-                used = bool(keep and self.kept)
-                reader, writer = self.kept.pop() if used else await asyncio.open_connection(HOST, self.port)
+                is_reused = bool(keep and self.idle_connections)
+                reader, writer = (
+                    self.idle_connections.pop()
+                    if is_reused
+                    else await asyncio.open_connection(HOST, self.port)
+                )
                 close = "" if keep else "Connection: close\r\n"
                 writer.write(
-                    f"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: {ident}-{attempt}\r\n{close}"
+                    f"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request_id}-{attempt}\r\n{close}"
                     "X-Priority-Class: g\r\nX-Timeout: 3\r\nContent-Length: 0\r\n\r\n".encode()
                 )
-                sent = True
+                is_sent = True
                 async with asyncio.timeout(4):
-                    head, body = await message(reader)
-            except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as broken:
-                # On a kept one the close crossed the request: sent once more on a new one, as clients do.
-                if used and attempt == 0:
-                    self.ends["crossed"] += 1
+                    head, body = await read_message(reader)
+            except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as error:
+                # The close of a persistent connection crossed the request: clients repeat it on a new one.
+                if is_reused and attempt == 0:
+                    self.outcomes["crossed"] += 1
                     continue
-                self.ends[f"lost ({'no answer' if sent else 'not let in'}, {type(broken).__name__})"] += 1
+                self.outcomes[
+                    f"lost ({'no response' if is_sent else 'not accepted'}, {type(error).__name__})"
+                ] += 1
                 return
-            good = head.split()[1] == "200" and body.decode() == f"{ident}-{attempt}"
-            self.ends["done" if good else f"answered {head.split()[1]}"] += 1
+            succeeded = head.split()[1] == "200" and body.decode() == f"{request_id}-{attempt}"
+            self.outcomes["done" if succeeded else f"answered {head.split()[1]}"] += 1
             if keep and "connection: close" not in head.lower():
-                self.kept.append((reader, writer))
+                self.idle_connections.append((reader, writer))
             else:
                 writer.close()
             return
 
     async def load(self, over: asyncio.Event) -> None:
-        """Requests at random times, whatever became of those before."""
-        n = 0
+        """Sends requests at random times until `over` is set, whatever became of earlier ones."""
+        count = 0
         due = time.monotonic()
         while not over.is_set():
-            n += 1
+            count += 1
             due += random.expovariate(RATE)
             await asyncio.sleep(max(due - time.monotonic(), 0))
-            self.spawn(self.client(f"u{n}", n % 2 == 0))
+            self.spawn(self.client(f"u{count}", count % 2 == 0))
 
-    async def ask(self, door: int) -> bool:
-        """Whether the process with that admin port says that it is ready."""
+    async def check_readiness(self, admin_port: int) -> bool:
+        """Asks the process with that admin port whether it is ready, and records the latency."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(5):
-                reader, writer = await asyncio.open_connection(HOST, door)
+                reader, writer = await asyncio.open_connection(HOST, admin_port)
                 writer.write(b"GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n")
-                head, _ = await message(reader)
+                head, _ = await read_message(reader)
                 writer.close()
         except (ConnectionError, asyncio.IncompleteReadError, TimeoutError):
             return False
-        self.calls.append(time.monotonic() - began)
+        self.readiness_latencies.append(time.monotonic() - began)
         return head.split()[1] == "200"
 
-    async def callers(self, over: asyncio.Event) -> None:
-        """Readiness, beside callers that say nothing, or half a call, and stay."""
-        silent: list[asyncio.StreamWriter] = []
-        n = 0
+    async def poll_readiness(self, over: asyncio.Event) -> None:
+        """Polls the readiness beside connections that send nothing, or half of a request, and stay open."""
+        stalled: list[asyncio.StreamWriter] = []
+        count = 0
         while not over.is_set():
-            n += 1
-            door = self.door
+            count += 1
+            admin_port = self.admin_port
             with contextlib.suppress(ConnectionError):
-                _, writer = await asyncio.open_connection(HOST, door)
-                writer.write(b"GET /control" if n % 2 else b"")
-                silent.append(writer)
-            if len(silent) > 40:
-                silent.pop(0).close()
-            if not await self.ask(door) and door == self.door:
-                self.wrong_calls += 1
+                _, writer = await asyncio.open_connection(HOST, admin_port)
+                writer.write(b"GET /control" if count % 2 else b"")
+                stalled.append(writer)
+            if len(stalled) > MAX_STALLED_CONNECTIONS:
+                stalled.pop(0).close()
+            if not await self.check_readiness(admin_port) and admin_port == self.admin_port:
+                self.failed_readiness_checks += 1
             await asyncio.sleep(0.02)
 
-    async def watch(self, over: asyncio.Event) -> None:
-        """Proportional memory and descriptors of all processes together."""
+    async def sample_usage(self, over: asyncio.Event) -> None:
+        """Records the peak of memory and of descriptors, of all processes together."""
         while not over.is_set():
             memory = descriptors = 0
             for process in self.processes:
@@ -249,16 +266,20 @@
                     used = usage_of(process.pid)
                     memory += used[0]
                     descriptors += used[1]
-            self.most_memory = max(self.most_memory, memory)
-            self.most_descriptors = max(self.most_descriptors, descriptors)
+            self.peak_memory = max(self.peak_memory, memory)
+            self.peak_descriptors = max(self.peak_descriptors, descriptors)
             await asyncio.sleep(0.02)
 
     # --- the dispatcher ---
 
     async def start(self) -> float:
-        """Until it says ready; how long that took."""
+        """Starts a dispatcher and returns the seconds until it is ready.
+
+        Raises:
+            SystemExit: It ended before it was ready.
+        """
         began = time.monotonic()
-        folder = self.folder if self.shared else Path(tempfile.mkdtemp())
+        folder = self.folder if self.is_shared else Path(tempfile.mkdtemp())
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-O",
@@ -270,51 +291,52 @@
         )
         self.processes.append(process)
         assert process.stderr
-        door = 0
-        while not door:
+        admin_port = 0
+        while not admin_port:
             line = (await process.stderr.readline()).decode()
             if not line:
                 raise SystemExit("the dispatcher did not start")
             if "operators at" in line:
-                door = int(line.rpartition(":")[2])
-        self.spawn(self.drink(process))
-        while not await self.ask(door):  # noqa: ASYNC110 - another process is asked
+                admin_port = int(line.rpartition(":")[2])
+        self.log_readers.add(asyncio.get_running_loop().create_task(self.discard_log(process)))
+        while not await self.check_readiness(admin_port):  # noqa: ASYNC110 - another process is polled
             await asyncio.sleep(0.02)
-        self.door = door
+        self.admin_port = admin_port
         return time.monotonic() - began
 
-    async def drink(self, process: asyncio.subprocess.Process) -> None:
-        """Read what the process logs, so that it is not held up."""
+    async def discard_log(self, process: asyncio.subprocess.Process) -> None:
+        """Reads the log of a process, which would block once the pipe is full."""
         assert process.stderr
         while await process.stderr.readline():
             pass
 
     async def replace(self) -> tuple[float, float]:
-        """Start another process and end the present one; seconds until each was done."""
+        """Replaces the process; the seconds until the new one is ready, and until the old one has ended."""
         old = self.processes[0]
-        took = await self.start()
+        startup = await self.start()
         began = time.monotonic()
         old.send_signal(signal.SIGTERM)
         await old.wait()
         self.processes.remove(old)
-        return took, time.monotonic() - began
+        return startup, time.monotonic() - began
 
 
-async def play(shared: bool, upgrades: int) -> None:
-    """Replace the process so many times, and print what came of the requests."""
-    rig = Rig(shared)
+async def measure(is_shared: bool, upgrades: int) -> None:
+    """Replaces the process so many times under load, and prints the results."""
+    rig = Rig(is_shared)
     await rig.open()
     await rig.start()
     over = asyncio.Event()
-    about = [asyncio.create_task(each(over)) for each in (rig.load, rig.callers, rig.watch)]
+    activities = (rig.load, rig.poll_readiness, rig.sample_usage)
+    running = [asyncio.create_task(activity(over)) for activity in activities]
     await asyncio.sleep(2)
     times = []
     for _ in range(upgrades):
         times.append(await rig.replace())
         await asyncio.sleep(0.5)
     over.set()
-    await asyncio.gather(*about)
-    while rig.tasks - {t for t in rig.tasks if "drink" in repr(t.get_coro())}:  # noqa: ASYNC110 - may start others
+    await asyncio.gather(*running)
+    while rig.tasks:  # noqa: ASYNC110 - a task may start another
         await asyncio.sleep(0.05)
     rig.processes[0].terminate()
     await rig.processes[0].wait()
@@ -322,38 +344,38 @@
 
 
 def print_results(rig: Rig, times: list[tuple[float, float]]) -> None:
-    """What came of the requests, and how long the upgrades took."""
-    calls = sorted(rig.calls)
-    upgrades = len(times)
-    lost = sum(count for end, count in rig.ends.items() if end.startswith("lost"))
-    print(f"{'the listening socket passed on' if rig.shared else 'two listeners, SO_REUSEPORT alone'}")
-    ready, gone = zip(*times, strict=True)
+    """Prints the outcomes of the requests and the durations of the upgrades."""
+    lost = sum(count for outcome, count in rig.outcomes.items() if outcome.startswith("lost"))
+    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(rig.outcomes.items()))
+    ready, ended = zip(*times, strict=True)
+    latencies = sorted(1000 * latency for latency in rig.readiness_latencies)
+    print(f"{'the listening socket handed over' if rig.is_shared else 'two listeners, SO_REUSEPORT alone'}")
     print(
-        f"  upgrades {upgrades}; ready after {min(ready):.2f} to {max(ready):.2f} s, the old one gone "
-        f"{min(gone):.2f} to {max(gone):.2f} s after SIGTERM"
+        f"  upgrades {len(times)}; ready after {min(ready):.2f} to {max(ready):.2f} s, the old process ended "
+        f"{min(ended):.2f} to {max(ended):.2f} s after SIGTERM"
     )
-    print(f"  units {sum(rig.ends.values())}: " + ", ".join(f"{e} {n}" for e, n in sorted(rig.ends.items())))
-    print(f"  lost at the door in an upgrade: {lost / upgrades:.1f}")
+    print(f"  requests {sum(rig.outcomes.values())}: {outcomes}")
+    print(f"  requests lost in an upgrade: {lost / len(times):.1f}")
     print(
-        f"  door: {len(calls)} calls, median {1000 * calls[len(calls) // 2]:.1f} ms, 99th percentile "
-        f"{1000 * calls[int(len(calls) * 0.99)]:.1f} ms, worst {1000 * calls[-1]:.1f} ms, "
-        f"not answered with yes {rig.wrong_calls}"
+        f"  readiness checks: {len(latencies)}, median {latencies[len(latencies) // 2]:.1f} ms, "
+        f"99th percentile {latencies[int(len(latencies) * 0.99)]:.1f} ms, longest {latencies[-1]:.1f} ms, "
+        f"failed {rig.failed_readiness_checks}"
     )
     print(
-        f"  both together at most: {rig.most_memory / 1024:.1f} MB (proportional), "
-        f"{rig.most_descriptors} descriptors",
+        f"  both processes together at most: {rig.peak_memory / 1024:.1f} MB (proportional), "
+        f"{rig.peak_descriptors} descriptors",
         flush=True,
     )
 
 
 def main() -> None:
-    """Measure both ways."""
+    """Measures both ways of listening."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--upgrades", type=int, default=10)
     upgrades = parser.parse_args().upgrades
     random.seed(1)
-    for shared in (True, False):
-        asyncio.run(play(shared, upgrades))
+    for is_shared in (True, False):
+        asyncio.run(measure(is_shared, upgrades))
 
 
 if __name__ == "__main__":
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -2,8 +2,8 @@
 
     python examples/toy_server.py
 
-Backends accept each request with a 202, work for a moment, and tell the dispatcher by callback. A request
-whose body is `fail` fails, one whose body is `hang` never ends.
+Backends accept each request with a 202, work for a moment, and report the outcome by a callback. A request
+whose body is `fail` fails; one whose body is `hang` never ends.
 """
 
 import http.client
@@ -22,12 +22,12 @@
 
 
 class Discovery(BaseHTTPRequestHandler):
-    """Tells the list of backends, which never changes; a watch waits and is told of no change."""
+    """Serves the list of backends, which never changes; a watch waits and is answered without a change."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
-        """Answers `/v1/servers` with all backends, and with no change where a revision is given."""
+        """Answers `/v1/servers` with all backends, or without a change if the call has a revision."""
         is_watch = "after=1" in self.path
         if is_watch:
             time.sleep(LONG_POLL_SECONDS)
@@ -60,7 +60,7 @@
     slots = threading.Semaphore(SLOTS)
 
     def do_POST(self) -> None:
-        """Accepts a request and works on it behind the answer."""
+        """Accepts a request, and executes it after the response."""
         body = self.rfile.read(int(self.headers["Content-Length"])).decode()
         request_id = self.headers["X-Request-ID"]
         threading.Thread(target=self.work, args=(request_id, body), daemon=True).start()
@@ -72,7 +72,7 @@
         self.respond(200 if self.path in ("/load", "/healthz") else 404, report)
 
     def do_DELETE(self) -> None:
-        """Accepts the cancellation of a request, and works on."""
+        """Accepts the cancellation of a request, which goes on nevertheless."""
         self.respond(200)
 
     def respond(self, status: int, text: str = "") -> None:
@@ -94,7 +94,7 @@
                 self.call_back(id=request_id, state="done", result=result, load={"queue": 0, "x0": SLOTS})
 
     def call_back(self, **event: object) -> None:
-        """Tells the dispatcher what became of a request."""
+        """Sends the dispatcher a callback about a request."""
         connection = http.client.HTTPConnection(*DISPATCHER, timeout=2)
         connection.request("POST", "/v1/job-events", json.dumps({"from": self.backend_id, **event}))
         connection.getresponse().read()
