--- a/crankfold/consensus/incarnations.py
+++ b/crankfold/consensus/incarnations.py
@@ -15,9 +15,13 @@
         self.current: dict[str, int] = {}
         self._retired: dict[str, list[int]] = {}
 
+    def is_retired(self, name: str, incarnation: int) -> bool:
+        """Whether a later incarnation has replaced this one."""
+        return incarnation in self._retired.get(name, ())
+
     def accept(self, name: str, incarnation: int) -> bool:
         """Accepts an incarnation unless it is retired; a new incarnation retires the present one."""
-        if incarnation in self._retired.get(name, ()):
+        if self.is_retired(name, incarnation):
             return False
         previous = self.current.get(name)
         if previous is not None and previous != incarnation:
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -269,7 +269,7 @@
             name, heartbeat.incarnation
         ):
             return f"the name {name} is in use elsewhere"
-        if not self._incarnations.accept(name, heartbeat.incarnation):
+        if self._incarnations.is_retired(name, heartbeat.incarnation):
             return f"another process has taken the name {name} over"
         return ""
 
@@ -278,6 +278,7 @@
         if rejection:
             self.raft.send(sender, Rejection(rejection))
             return
+        self._incarnations.accept(heartbeat.name, heartbeat.incarnation)
         holder = self.leases.record_heartbeat(now, heartbeat, self.documents.max_request_duration())
         if holder:
             self._send_update(now, heartbeat.name, holder, heartbeat.sent_at)
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -129,3 +129,11 @@
                 True,
             ],
         )
+
+    def test_a_question_about_an_incarnation_retires_none(self) -> None:
+        tracker = IncarnationTracker()
+        tracker.accept("n", 1)
+        self.assertFalse(tracker.is_retired("n", 2))
+        self.assertFalse(tracker.is_retired("n", 1))
+        tracker.accept("n", 2)
+        self.assertTrue(tracker.is_retired("n", 1))
