--- a/crankfold/service/cluster/membership.py
+++ b/crankfold/service/cluster/membership.py
@@ -22,7 +22,7 @@
 class _NotJoined(NoCluster):
     """The services before the cluster is joined: there is no valid configuration yet."""
 
-    def has_valid_config(self) -> bool:
+    def authorize_action(self) -> bool:
         """See `ClusterServices`."""
         return False
 
@@ -92,9 +92,9 @@
 
     # --- ClusterServices ---
 
-    def has_valid_config(self) -> bool:
+    def authorize_action(self) -> bool:
         """See `ClusterServices`."""
-        return self._services.has_valid_config()
+        return self._services.authorize_action()
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
         """See `ClusterServices`."""
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -5,7 +5,7 @@
 
 import logging
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
@@ -35,7 +35,7 @@
 
 logger = logging.getLogger(__name__)
 
-CONTINUE_WHEN_ISOLATED = "go-on"  # the isolation policy of the configuration
+CONTINUE_WHEN_ISOLATED: Final = "go-on"  # the isolation policy of the configuration
 
 
 class ReplicatedConfig:
@@ -123,19 +123,22 @@
 
     # --- for requests and attempts: ClusterServices ---
 
-    def has_valid_config(self) -> bool:
-        """Whether requests may be admitted and attempts may be sent under the configuration in force.
+    def authorize_action(self) -> bool:
+        """See `ClusterServices`.
 
-        That is while this member holds a lease, or is isolated and configured to continue. Logs the loss of
-        the lease once.
+        An action is permitted while this member holds a lease, or is isolated and configured to continue.
         """
         if self.effective_settings is None:
             return False
-        if self.cluster_node.has_lease():
-            self.was_isolated = False
-            return True
+        has_lease = self.cluster_node.has_lease()
+        if not has_lease:
+            self._record_isolated_action()
+        self.was_isolated = not has_lease
+        return has_lease or self.acts_when_isolated
+
+    def _record_isolated_action(self) -> None:
+        """Logs the first action after the loss of the lease, and counts the permitted ones."""
         if not self.was_isolated:
-            self.was_isolated = True
             logger.warning(
                 "%s; %s",
                 self.cluster_node.inactive_reason(),
@@ -144,7 +147,6 @@
             )
         if self.acts_when_isolated:
             self.metrics.increment("acted-while-isolated")
-        return self.acts_when_isolated
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
         """See `ClusterServices`."""
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -140,7 +140,7 @@
             and attempt.in_flight
             and self.backends.records[attempt.backend].state == EndpointState.READY
             and self.clock.now() < request.deadline
-            and self.cluster.has_valid_config()
+            and self.cluster.authorize_action()
             and self._within_deduplication_window(request, attempt)
         )
         if allowed:
--- a/crankfold/service/requests/collaborators.py
+++ b/crankfold/service/requests/collaborators.py
@@ -25,8 +25,11 @@
 class ClusterServices(Protocol):
     """The cluster of dispatchers, as requests and attempts depend on it."""
 
-    def has_valid_config(self) -> bool:
-        """Whether requests may be admitted and attempts may be sent under the configuration in force."""
+    def authorize_action(self) -> bool:
+        """Returns whether a request may be admitted, or an attempt sent, under the configuration in force.
+
+        Records the call if the configuration may be outdated.
+        """
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
         """Counts a request against the cluster-wide limits, unless one of them is used up.
@@ -74,7 +77,7 @@
 class NoCluster:
     """A dispatcher without peers: its configuration is always valid; there are no quotas and no event log."""
 
-    def has_valid_config(self) -> bool:
+    def authorize_action(self) -> bool:
         """See `ClusterServices`."""
         return True
 
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -169,7 +169,7 @@
 
     def is_serving(self) -> bool:
         """Whether this process is in service and has a valid configuration."""
-        return self.lifecycle.is_serving() and self.cluster.has_valid_config()
+        return self.lifecycle.is_serving() and self.cluster.authorize_action()
 
     def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of that name."""
@@ -227,7 +227,7 @@
             return DUPLICATE_ID
         if client.exceeds_limit() or len(self.request_table.requests) >= self.config.max_pending:
             return OVERLOADED
-        if not self.cluster.has_valid_config():
+        if not self.cluster.authorize_action():
             return NO_VALID_CONFIG
         return None
 
