--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -28,11 +28,14 @@
             last_applied: The last applied index, which is the highest result.
         """
 
-    def quota_usage(self) -> dict[str, int]:
-        """The number of open and wanted requests, by cluster-wide limit."""
+    def collect_quota_usage(self) -> dict[str, int]:
+        """Returns the open requests plus those rejected since the last call, by cluster-wide limit."""
 
-    def maintenance_report(self) -> MaintenanceReport | None:
-        """A new report on machines in maintenance; None while there are none."""
+    def build_maintenance_report(self) -> MaintenanceReport | None:
+        """Makes a new report on machines in maintenance; None while there are none.
+
+        Also starts the maintenance commands that are due at this dispatcher.
+        """
 
 
 class VoterHost(MemberHost, Protocol):
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -195,7 +195,7 @@
 
     def subtree_report(self, now: int) -> SubtreeReport:
         """The merged maintenance report of this voter and the holders of its leases."""
-        own = SubtreeReport(self.name, self.last_applied, self.host.maintenance_report())
+        own = SubtreeReport(self.name, self.last_applied, self.host.build_maintenance_report())
         return self.leases.subtree_report(now, own, self.documents.max_request_duration())
 
     def cluster_report(self, now: int) -> ClusterReport:
@@ -332,7 +332,7 @@
             contact_ticks=now - self.started_at,
             last_applied=self.last_applied,
             state=LeaseHolderState.ALIVE,
-            quota_usage=self.host.quota_usage(),
+            quota_usage=self.host.collect_quota_usage(),
         )
 
     def propose(self, now: int, proposal_id: str, kind: str, data: EntryData) -> None:
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -231,8 +231,8 @@
         if endpoints:
             self.request_handler.effective_endpoints_changed(endpoints)
 
-    def quota_usage(self) -> dict[str, int]:
-        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
+    def collect_quota_usage(self) -> dict[str, int]:
+        """See `MemberHost`."""
         return self.quotas.collect_usage()
 
     def quiesced_index(self, applied: int) -> int:
@@ -252,8 +252,8 @@
         ]
         return min([applied, *(index - 1 for index in pending)])
 
-    def maintenance_report(self) -> MaintenanceReport | None:
-        """Returns the report of this dispatcher on machines in maintenance; None while there are none."""
+    def build_maintenance_report(self) -> MaintenanceReport | None:
+        """See `MemberHost`."""
         return self.maintenance.build_report() if self.maintenance else None
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -165,7 +165,10 @@
         self.commands.start_due(self.state, self.jobs())
 
     def build_report(self) -> MaintenanceReport | None:
-        """Returns the report that goes with each lease request; None while there is no maintenance."""
+        """Makes the report that goes with each lease request; None while there is no maintenance.
+
+        Also starts the commands that are due, and ends local restorations once this member holds a lease.
+        """
         if not self.jobs() and not self.state.machines:
             return None
         if self.restored_locally and self.cluster_node.has_lease():
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -101,7 +101,7 @@
         elif machine_id in self.answer_counts:
             self.answer_counts[machine_id].add(bad=machine.unhealthy and machine.restarted())
 
-    def maintenance_report(self) -> MaintenanceReport | None:
+    def build_maintenance_report(self) -> MaintenanceReport | None:
         """Returns the dispatcher's report on machines in maintenance; None without maintenance."""
         if not self.maintenance_state().machines and not self.jobs():
             return None
