--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -23,8 +23,8 @@
 )
 from crankfold.cli.options import admin_option, author_option, json_option, reason_option
 from crankfold.cli.settings import Publication, fetch_document, publish
+from crankfold.document_names import MAINTENANCE
 
-DOCUMENT = "works"  # the name of the document that holds the jobs
 FORECAST_WAIT = 10.0  # seconds in which the server has to compute a forecast
 REPLACED = "gone"  # the outcome of a machine that was replaced by another one
 
@@ -238,7 +238,7 @@
 
 def _publish_change(address: str, change: JobChange, as_json: bool) -> None:
     """Publishes all jobs with the change; rejected if another version was published since they were read."""
-    view = fetch_document(address, DOCUMENT)
+    view = fetch_document(address, MAINTENANCE)
     newest = view.find(view.newest)
     jobs: dict[str, JsonObject] = newest.content["works"] if newest else {}
     if change.is_new and change.name in jobs:
@@ -254,7 +254,7 @@
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
-        document=DOCUMENT,
+        document=MAINTENANCE,
         content={"works": jobs},
         made_from=view.newest,
         reason=change.reason,
--- a/crankfold/cli/options.py
+++ b/crankfold/cli/options.py
@@ -2,6 +2,8 @@
 
 import click
 
+from crankfold.document_names import DOCUMENTS, SETTINGS
+
 MAX_WAIT_SECONDS = 60
 
 config_option = click.option(
@@ -23,9 +25,9 @@
 document_option = click.option(
     "--doc",
     "document",
-    default="settings",
+    default=SETTINGS,
     show_default=True,
-    type=click.Choice(["settings", "runners-out", "runners-never", "limits", "deal", "works"]),
+    type=click.Choice(DOCUMENTS),
 )
 author_option = click.option("--author", envvar="USER", default="", show_envvar=True)
 reason_option = click.option("--reason", default="", help="For the history.")
--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -18,6 +18,7 @@
 from crankfold.consensus.raft_state import OutgoingMessage, Ready
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import SETTINGS
 from crankfold.maintenance.transitions import TransitionDocument
 from crankfold.network.metrics import Metrics
 from crankfold.time_units import TICKS_PER_SECOND
@@ -161,7 +162,7 @@
             nothing_applied = "nothing heard of the fleet yet"
             isolated = "cut off from the majority" if self.consensus.last_applied else nothing_applied
             return self.consensus.rejection_reason or isolated
-        return "" if self.consensus.effective_content("settings") else "no settings count yet"
+        return "" if self.consensus.effective_content(SETTINGS) else "no settings count yet"
 
     def status(self) -> StatusDocument:
         """The state of the cluster at this member, as an answer of the admin API."""
--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -15,12 +15,12 @@
     StorageUnavailableError,
 )
 from crankfold.cluster.status import StatusDocument
-from crankfold.consensus.conservative_merge import DOCUMENTS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import VoterHost
 from crankfold.consensus.messages import DocumentContent, EntryData, ProposalResponse
 from crankfold.consensus.proposals import NO_LEADER, rejected
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import DOCUMENTS
 from crankfold.maintenance.transitions import TransitionDocument
 from crankfold.network.metrics import Metrics
 
--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -3,13 +3,13 @@
 Times are ticks of a tenth of a millisecond.
 """
 
-from crankfold.consensus.conservative_merge import QUOTAS
 from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import ActivateData, EntryKind, entry_data
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import DocumentVersion, VersionedDocuments
+from crankfold.document_names import QUOTAS
 
 
 class VersionActivator:
--- a/crankfold/consensus/conservative_merge.py
+++ b/crankfold/consensus/conservative_merge.py
@@ -4,20 +4,20 @@
 permitted for both. Fields that permit nothing, such as the priority weight, are taken from the newer version.
 `docs/bound.md` has the table of all fields.
 
-Document names and keys are those of the stored documents, which is why contents are plain dictionaries.
+Keys are those of the stored documents, which is why contents are plain dictionaries.
 """
 
 from collections.abc import Callable
 
 from crankfold.consensus.messages import DocumentContent
-
-SETTINGS = "settings"
-DRAINED_BACKENDS = "runners-out"
-EXCLUDED_BACKENDS = "runners-never"
-LIMITS = "limits"  # cluster-wide limits on open requests
-QUOTAS = "deal"  # the part of each limit that a member may use
-MAINTENANCE = "works"
-DOCUMENTS = (SETTINGS, DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, QUOTAS, MAINTENANCE)
+from crankfold.document_names import (
+    DRAINED_BACKENDS,
+    EXCLUDED_BACKENDS,
+    LIMITS,
+    MAINTENANCE,
+    QUOTAS,
+    SETTINGS,
+)
 
 # Ordered from most to least permissive; an unknown value has the rank of the last.
 IDEMPOTENT_WITH_KEY = "keyed"
@@ -134,6 +134,6 @@
     """Merges version `old` of the named document with the later version `new`.
 
     Raises:
-        KeyError: The name is not one of `DOCUMENTS`.
+        KeyError: The name is not one of `document_names.DOCUMENTS`.
     """
     return _MERGE_FUNCTIONS[document](old, new)
--- a/crankfold/consensus/leader_proposals.py
+++ b/crankfold/consensus/leader_proposals.py
@@ -4,7 +4,6 @@
 """
 
 from crankfold.consensus.activation import VersionActivator
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import EntryKind, PublishData, RegisterFolderData, entry_data
@@ -13,6 +12,7 @@
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import VersionedDocuments
+from crankfold.document_names import SETTINGS
 
 FIRST_SETTINGS_PROPOSAL_ID = "begin"  # the same for each leader, so that one proposal takes effect
 
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -5,7 +5,6 @@
 
 from typing import Protocol
 
-from crankfold.consensus.conservative_merge import DOCUMENTS
 from crankfold.consensus.messages import (
     DocumentContent,
     LogEntry,
@@ -15,6 +14,7 @@
 )
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import MACHINES, VersionedDocuments
+from crankfold.document_names import DOCUMENTS
 from crankfold.maintenance.transitions import TransitionDocument
 
 
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -1,6 +1,6 @@
 """Proposals: sent by any member to the leader, validated by a majority, answered when committed."""
 
-from typing import Annotated, Literal
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct
@@ -19,6 +19,7 @@
 from crankfold.consensus.raft_state import Role
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import VersionedDocuments
+from crankfold.document_names import DocumentName
 
 # The reason of a response that is not final: the proposer proposes again.
 NO_LEADER = "there is no leader"
@@ -46,7 +47,7 @@
         text: The content of the version.
     """
 
-    doc: Literal["settings", "runners-out", "runners-never", "limits", "deal", "works"]
+    doc: DocumentName
     made_from: Annotated[int, Meta(ge=0)]
     author: Annotated[str, Meta(max_length=MAX_AUTHOR_CHARACTERS)]
     reason: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)]
--- a/crankfold/consensus/quotas.py
+++ b/crankfold/consensus/quotas.py
@@ -1,10 +1,10 @@
 """The allocation of cluster-wide limits: the quota of each member, proposed by the leader."""
 
-from crankfold.consensus.conservative_merge import LIMITS, QUOTAS
 from crankfold.consensus.log_entries import EntryKind, PublishData, entry_data
 from crankfold.consensus.messages import LeaseHolderStatus
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.versioned_documents import VersionedDocuments
+from crankfold.document_names import LIMITS, QUOTAS
 
 Allocation = dict[str, dict[str, int]]  # quotas by limit and member
 
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from crankfold.consensus.conservative_merge import MAINTENANCE, SETTINGS, conservative_merge
+from crankfold.consensus.conservative_merge import conservative_merge
 from crankfold.consensus.log_entries import (
     EntryKind,
     PublishData,
@@ -21,6 +21,7 @@
     publish_data,
 )
 from crankfold.consensus.messages import DocumentContent, LogEntry
+from crankfold.document_names import MAINTENANCE, SETTINGS
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -13,10 +13,10 @@
 
 from crankfold.cluster.config import parse_address
 from crankfold.cluster.node import ClusterNode
-from crankfold.consensus.conservative_merge import DOCUMENTS
 from crankfold.consensus.messages import ProposalResponse
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import DOCUMENTS
 from crankfold.service.cluster.admin_messages import (
     AdminAnswer,
     AppliedPublishOutcome,
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -16,13 +16,7 @@
     read_routing_config,
     read_service_config,
 )
-from crankfold.consensus.conservative_merge import (
-    DRAINED_BACKENDS,
-    EXCLUDED_BACKENDS,
-    LIMITS,
-    MAINTENANCE,
-    SETTINGS,
-)
+from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, MAINTENANCE, SETTINGS
 from crankfold.maintenance.scheduler import Machine
 from crankfold.service.config_file import Settings
 
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -12,9 +12,9 @@
 
 import orjson
 
-from crankfold.consensus.conservative_merge import DRAINED_BACKENDS, EXCLUDED_BACKENDS, QUOTAS, SETTINGS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, QUOTAS, SETTINGS
 from crankfold.service.requests.collaborators import RecordedEvent
 
 logger = logging.getLogger(__name__)
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -10,15 +10,9 @@
 from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
-from crankfold.consensus.conservative_merge import (
-    DRAINED_BACKENDS,
-    EXCLUDED_BACKENDS,
-    MAINTENANCE,
-    QUOTAS,
-    SETTINGS,
-)
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.versioned_documents import MACHINES
+from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, MAINTENANCE, QUOTAS, SETTINGS
 from crankfold.errors import ConfigError
 from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from crankfold.cluster.clock import boottime_ticks
-from crankfold.consensus.conservative_merge import MAINTENANCE
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.forecast import Forecast, ForecastInputs, forecast_job
 from crankfold.maintenance.scheduler import Machine
 from crankfold.maintenance.specification import (
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from crankfold.cluster.node import ClusterNode
-from crankfold.consensus.conservative_merge import MAINTENANCE
 from crankfold.consensus.maintenance_reports import ClusterReport
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance import specification
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.fleet_view import Area, FleetView
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from crankfold.consensus.conservative_merge import LIMITS, QUOTAS, SETTINGS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.member import MaintenanceCoordinator, Member
@@ -15,6 +14,7 @@
 from crankfold.consensus.raft_state import PersistentState
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import LIMITS, QUOTAS, SETTINGS
 from crankfold.simulation.consensus.case import (
     REQUEST_DEADLINE,
     TOTAL_QUOTA,
--- a/crankfold/simulation/consensus/process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -4,12 +4,12 @@
 from random import Random
 from typing import Protocol
 
-from crankfold.consensus.conservative_merge import QUOTAS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import Member
 from crankfold.consensus.messages import MaintenanceReport, Message, ProposalResponse
 from crankfold.consensus.raft_state import PersistentState, Ready, Role
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import QUOTAS
 from crankfold.simulation.consensus.case import ClusterCase, Document
 from crankfold.simulation.event_queue import EventQueue
 
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -6,6 +6,7 @@
 
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.fleet_view import FleetView
 from crankfold.maintenance.scheduler import Machine
@@ -71,7 +72,7 @@
     def jobs(self) -> dict[str, JobSpecification]:
         """Returns the newest jobs that this member knows."""
         assert self.member is not None
-        document = self.member.documents.document("works")
+        document = self.member.documents.document(MAINTENANCE)
         return parse_jobs(document.versions[-1].text) if document.versions else {}
 
     def discovered_machines(self) -> list[Machine]:
@@ -145,7 +146,7 @@
         return FleetView(
             now=now,
             wall_ms=self.cluster.events.now // TICKS_PER_MILLISECOND,
-            jobs_version=member.documents.document("works").latest_number(),
+            jobs_version=member.documents.document(MAINTENANCE).latest_number(),
             jobs=self.jobs(),
             state=self.maintenance_state(),
             machines=self.discovered_machines(),
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -6,6 +6,7 @@
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import MaintenanceCoordinator
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.scheduler import Machine
 from crankfold.maintenance.specification import WorkMethod, parse_jobs
@@ -113,7 +114,7 @@
     def submit_jobs(self, dispatcher: str, call: str) -> None:
         """Publishes the jobs of the case."""
         data = {
-            "doc": "works",
+            "doc": MAINTENANCE,
             "made_from": 0,
             "author": "o",
             "reason": "r",
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -15,8 +15,8 @@
 from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.framing import PROTOCOL_VERSION, Hello, encode_frame
 from crankfold.cluster.node import ClusterNode
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import Rejection
+from crankfold.document_names import SETTINGS
 from crankfold.network.metrics import Metrics
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
 from tests.loopback import Loopback
--- a/tests/consensus/test_cluster_safety.py
+++ b/tests/consensus/test_cluster_safety.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 from typing import Any
 
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import FollowerHeartbeat, Message
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import SETTINGS
 from crankfold.simulation.consensus.cluster import (
     ClusterCase,
     ClusterFault,
--- a/tests/consensus/test_conservative_merge.py
+++ b/tests/consensus/test_conservative_merge.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from crankfold.consensus.conservative_merge import QUOTAS, SETTINGS, conservative_merge
+from crankfold.consensus.conservative_merge import conservative_merge
+from crankfold.document_names import QUOTAS, SETTINGS
 from tests.scene import TraceTestCase
 
 
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -2,7 +2,6 @@
 
 from typing import Any
 
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.errors import MembershipChangeError
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.messages import (
@@ -16,6 +15,7 @@
 from crankfold.consensus.raft_state import PersistentState
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import SETTINGS
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
 from tests.scene import TraceTestCase
 
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -1,8 +1,8 @@
 """Documents with versions: pending, active, encoded."""
 
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import LogEntry
 from crankfold.consensus.versioned_documents import VersionedDocuments
+from crankfold.document_names import SETTINGS
 from crankfold.simulation.consensus.cluster import settings_document
 from tests.scene import TraceTestCase
 
--- a/tests/terms/test_storage_faults.py
+++ b/tests/terms/test_storage_faults.py
@@ -13,9 +13,9 @@
 import orjson
 
 from crankfold.cluster.raft_storage import RaftStorage
-from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import PersistentState, Ready
+from crankfold.document_names import SETTINGS
 from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.requests.collaborators import RecordedEvent
 from tests.cluster.test_node import VOTERS, ClusterScene
