--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -3,7 +3,7 @@
 Times are ticks of a tenth of a millisecond.
 """
 
-from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
+from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import ActivateData, EntryKind, entry_data
 from crankfold.consensus.raft import Raft
@@ -40,7 +40,7 @@
             now: Ticks.
             own: The bounds of the leader and the holders of its leases.
         """
-        if now < earlier_leases_until(self._raft.leader_since, self._timing):
+        if now < self._timing.earlier_leases_until(self._raft.leader_since):
             return  # members may hold leases from an earlier leader, and their applied index is unknown
         reports = self._leases.reports_until(now)
         lowest_applied = min([own.lowest_applied, *(report.lowest_applied_index for report in reports)])
@@ -58,7 +58,7 @@
     def _lowest_quiesced(self, now: int, own: AppliedBounds) -> int:
         """The index of the quotas that all open requests keep within, those of expired leases included."""
         request_duration = self._documents.max_request_duration()
-        if now < earlier_leases_until(self._raft.leader_since, self._timing) + request_duration:
+        if now < self._timing.earlier_leases_until(self._raft.leader_since) + request_duration:
             return 0
         reports = self._leases.reports_until(now, request_duration)
         return min([own.quiesced, *(report.quiesced_index for report in reports)])
--- a/crankfold/consensus/leader_leases.py
+++ b/crankfold/consensus/leader_leases.py
@@ -7,12 +7,7 @@
 
 from crankfold.consensus.maintenance_reports import SubtreeReport
 from crankfold.consensus.messages import LeaseRequest, MaintenanceReport
-from crankfold.consensus.timing import Timing, with_drift_margin
-
-
-def earlier_leases_until(leader_since: int, timing: Timing) -> int:
-    """The latest time, in ticks, at which leases from leaders of earlier terms expire."""
-    return leader_since + timing.lease_expiry_wait
+from crankfold.consensus.timing import with_drift_margin
 
 
 class VoterReport(Struct):
--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -90,10 +90,6 @@
         self.started_at = started_at
         self.holders: dict[str, LeaseHolder] = {}
 
-    def _earlier_leases_until(self) -> int:
-        """When leases from an earlier process of this voter, whose holders are unknown, have expired."""
-        return self.started_at + self.timing.lease_expiry_wait
-
     def state_of(self, now: int, holder: LeaseHolder) -> LeaseHolderState:
         """The state of the holder at `now`."""
         if holder.has_left:
@@ -183,9 +179,11 @@
                 lowest_applied = min(lowest_applied, holder.last_applied)
             if now < holder.expires_at + request_duration:
                 quiesced = min(quiesced, holder.quiesced_index)
-        if now < self._earlier_leases_until():
+        # The holders of leases from an earlier process of this voter are unknown.
+        earlier_leases_until = self.timing.earlier_leases_until(self.started_at)
+        if now < earlier_leases_until:
             lowest_applied = 0
-        if now < self._earlier_leases_until() + request_duration:
+        if now < earlier_leases_until + request_duration:
             quiesced = 0
         return AppliedBounds(lowest_applied, quiesced)
 
@@ -210,7 +208,7 @@
             drained_index = min(drained_index, holder.last_applied if has_reported else 0)
             if holder.maintenance_report:
                 own.report.merge(holder.maintenance_report, lease_valid=now < holder.expires_at)
-        if now < self._earlier_leases_until() + request_duration:
+        if now < self.timing.earlier_leases_until(self.started_at) + request_duration:
             drained_index = 0
         return SubtreeReport(own.voter, drained_index, own.report)
 
--- a/crankfold/consensus/timing.py
+++ b/crankfold/consensus/timing.py
@@ -74,3 +74,13 @@
     def lease_expiry_wait(self) -> int:
         """The time on one clock after which a lease of full duration has expired on any other clock."""
         return with_drift_margin(self.lease_duration)
+
+    def earlier_leases_until(self, granter_since: int) -> int:
+        """The latest time at which leases of the granter before this one expire.
+
+        Args:
+            granter_since: When the present granter took over: the start of a voter's process, whose earlier
+                process may have granted leases to followers, or of a leader's term, whose predecessors may
+                have granted leases to voters.
+        """
+        return granter_since + self.lease_expiry_wait
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -4,7 +4,7 @@
 """
 
 from crankfold.consensus.incarnations import IncarnationTracker
-from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
+from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leader_proposals import LeaderProposals
 from crankfold.consensus.leases import (
     AppliedBounds,
@@ -201,7 +201,7 @@
     def cluster_report(self, now: int) -> ClusterReport:
         """At the leader: the maintenance reports of all voters and their lease holders."""
         request_duration = self.documents.max_request_duration()
-        leases_until = earlier_leases_until(self.raft.leader_since, self.timing)
+        leases_until = self.timing.earlier_leases_until(self.raft.leader_since)
         return ClusterReport(
             [self.subtree_report(now), *self.leader_leases.subtree_reports(now, request_duration)],
             earlier_leases_may_run=now < leases_until + request_duration,
