--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -13,7 +13,9 @@
 
 from crankfold.cluster.config import parse_address
 from crankfold.cluster.node import ClusterNode
+from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.messages import ProposalResponse
+from crankfold.consensus.proposals import MAX_AUTHOR_CHARACTERS, MAX_REASON_CHARACTERS
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import DOCUMENTS
@@ -37,8 +39,6 @@
 PUBLISH_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
 READ_TIMEOUT = 2.0  # seconds that a read waits for the minimum version of its caller
 MAX_WAIT = 60.0  # seconds that a publish waits at most until all dispatchers have applied the version
-MAX_AUTHOR_LENGTH = 200  # characters
-MAX_REASON_LENGTH = 2000  # characters
 VOTERS = "voters"  # in place of the name of a document: changes the membership
 FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
 
@@ -108,7 +108,7 @@
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
         response = await self.cluster_node.propose(
-            "voters", {"voters": voters}, request.call, PUBLISH_TIMEOUT
+            EntryKind.CHANGE_VOTERS, {"voters": voters}, request.call, PUBLISH_TIMEOUT
         )
         return encode_answer(
             HTTPStatus.OK if response.accepted else HTTPStatus.CONFLICT,
@@ -116,13 +116,14 @@
         )
 
     async def _publish_version(self, name: str, request: PublishRequest) -> AdminAnswer:
+        """Proposes a version; a longer author or reason, which every voter would reject, is truncated."""
         response = await self.cluster_node.propose(
-            "publish",
+            EntryKind.PUBLISH,
             {
                 "doc": name,
                 "made_from": request.made_from,
-                "author": request.author[:MAX_AUTHOR_LENGTH],
-                "reason": request.reason[:MAX_REASON_LENGTH],
+                "author": request.author[:MAX_AUTHOR_CHARACTERS],
+                "reason": request.reason[:MAX_REASON_CHARACTERS],
                 "at": wall_clock_ms(),
                 "text": request.content,
             },
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -19,13 +19,13 @@
 from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, MAINTENANCE, SETTINGS
 from crankfold.maintenance.scheduler import Machine
 from crankfold.service.config_file import Settings
+from crankfold.service.requests.quotas import ALL_REQUESTS, REQUEST_CLASS_PREFIX, TENANT_PREFIX
 
 Content = dict[str, Any]
 """The content of a replicated document: the JSON object that an operator published."""
 
 # The schema requires these keys of a configuration file; replicated settings do not have them.
 PLACEHOLDERS = {"listen": "-", "discovery": "-"}
-LIMIT_PREFIXES = ("grade", "tenant")  # a limit is `all`, or one of these, a colon and a name
 
 
 class QuotaDocument(Struct, forbid_unknown_fields=True):
@@ -105,6 +105,9 @@
 
 def _limits_error(content: Content) -> str:
     for name in msgspec.convert(content, QuotaDocument).limits:
-        if name != "all" and name.partition(":")[0] not in LIMIT_PREFIXES:
-            return f"limits.{name}: found {name!r}; all, grade:NAME or tenant:NAME"
+        # The colon may be missing; no request counts against such a limit.
+        prefix = name.partition(":")[0] + ":"
+        if name != ALL_REQUESTS and prefix not in (REQUEST_CLASS_PREFIX, TENANT_PREFIX):
+            allowed = f"{ALL_REQUESTS}, {REQUEST_CLASS_PREFIX}NAME or {TENANT_PREFIX}NAME"
+            return f"limits.{name}: found {name!r}; {allowed}"
     return ""
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from crankfold.cluster.clock import boottime_ticks
+from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.forecast import Forecast, ForecastInputs, forecast_job
@@ -164,7 +165,7 @@
             return TransitionResult(False, objection)
         transition = operator_document(_requested_transition(request, machine.job, phase))
         response = await self.agent.cluster_node.propose(
-            "step", {"steps": [transition]}, request.call, PROPOSE_TIMEOUT
+            EntryKind.MAINTENANCE, {"steps": [transition]}, request.call, PROPOSE_TIMEOUT
         )
         return TransitionResult(
             response.accepted, response.reason, response.accepted or response.log_index > 0
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -9,6 +9,7 @@
 from typing import NamedTuple
 
 from crankfold.cluster.node import ClusterNode
+from crankfold.consensus.log_entries import EntryKind
 from crankfold.maintenance.specification import JobSpecification
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, outcome_document
@@ -107,7 +108,9 @@
         )
         call = f"{key.machine_id} {key.drain_number} {command.incarnation}"
         while True:  # until the proposal is known to be committed or rejected
-            response = await self.cluster_node.propose("step", {"steps": [transition]}, call, PROPOSE_TIMEOUT)
+            response = await self.cluster_node.propose(
+                EntryKind.MAINTENANCE, {"steps": [transition]}, call, PROPOSE_TIMEOUT
+            )
             if response.accepted or response.log_index:
                 return
 
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -4,6 +4,7 @@
 from typing import Final
 
 from crankfold.consensus.follower import Follower
+from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.member import MaintenanceCoordinator
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import MAINTENANCE
@@ -127,7 +128,7 @@
         """Proposes a transition, in its stored form, to the cluster."""
         self.dispatchers[dispatcher].deliver(
             lambda member, now: member.propose(  # type: ignore[attr-defined]
-                now, call, "step", {"steps": [step]}
+                now, call, EntryKind.MAINTENANCE, {"steps": [step]}
             )
         )
 
