--- a/crankfold/protocol/admin_api.py
+++ b/crankfold/protocol/admin_api.py
@@ -47,8 +47,8 @@
     minimum_version: int = 0
 
 
-class ReplicatedConfigAdmin(Protocol):
-    """Operations on the documents that are replicated in the cluster. Results are a status and JSON."""
+class ClusterOperations(Protocol):
+    """Operations on the cluster and its replicated documents. Results are a status and JSON."""
 
     def cluster_status(self) -> tuple[int, str]:
         """The members and their state."""
@@ -63,7 +63,7 @@
 class AdminOperations(Protocol):
     """The operations of the admin API. Each is in force when its call is answered."""
 
-    replicated_config: ReplicatedConfigAdmin | None  # None without a cluster
+    cluster_admin: ClusterOperations | None  # None without a cluster
 
     def is_ready(self) -> bool:
         """Whether a request would be admitted and a backend is available."""
@@ -230,7 +230,7 @@
         case AdminAction.DRAIN_BACKEND | AdminAction.RESTORE_BACKEND:
             return await _set_backend_drained(command, operations)
         case _:
-            return await _replicated_config_result(command, body, operations.replicated_config)
+            return await _cluster_result(command, body, operations.cluster_admin)
 
 
 async def _set_backend_drained(command: AdminCommand, operations: AdminOperations) -> tuple[int, str]:
@@ -243,13 +243,13 @@
     return HTTPStatus.NOT_FOUND, "no such runner was ever listed"
 
 
-async def _replicated_config_result(
-    command: AdminCommand, body: bytes, config: ReplicatedConfigAdmin | None
+async def _cluster_result(
+    command: AdminCommand, body: bytes, cluster: ClusterOperations | None
 ) -> tuple[int, str]:
-    if config is None:
+    if cluster is None:
         return HTTPStatus.NOT_FOUND, "no peers in the configuration"
     if command.action is AdminAction.PUBLISH_DOCUMENT:
-        return await config.publish(command.subject, body)
+        return await cluster.publish(command.subject, body)
     if command.action is AdminAction.READ_DOCUMENT:
-        return await config.read_document(command.subject, command.minimum_version)
-    return config.cluster_status()
+        return await cluster.read_document(command.subject, command.minimum_version)
+    return cluster.cluster_status()
--- a/crankfold/service/admin_service.py
+++ b/crankfold/service/admin_service.py
@@ -3,7 +3,7 @@
 import logging
 
 from crankfold.network.listener import Listener
-from crankfold.protocol.admin_api import ReplicatedConfigAdmin
+from crankfold.protocol.admin_api import ClusterOperations
 from crankfold.service.backends.registry import UnknownBackendError
 from crankfold.service.lifecycle import Lifecycle
 from crankfold.service.requests.collaborators import OtherProcesses
@@ -31,7 +31,7 @@
         self.lifecycle = lifecycle
         self.other_processes = other_processes
         self.loop = request_handler.timers.loop
-        self.replicated_config: ReplicatedConfigAdmin | None = None
+        self.cluster_admin: ClusterOperations | None = None
         """None without a cluster, and until this process has joined it."""
         self._checking_drain = False
 
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -28,16 +28,16 @@
 PLACEHOLDERS = {"listen": "-", "discovery": "-"}
 
 
-class QuotaDocument(Struct, forbid_unknown_fields=True):
-    """The document of cluster-wide limits on requests in hand, by the name of the limit."""
+class LimitsDocument(Struct, forbid_unknown_fields=True):
+    """The form of the document of cluster-wide limits on requests in hand, by the name of the limit."""
 
     limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)
 
 
-class ManualDrainDocument(Struct, forbid_unknown_fields=True):
-    """The document of backends that are drained at all dispatchers."""
+class BackendListDocument(Struct, forbid_unknown_fields=True):
+    """The form of both documents of backends that get no requests: the drained and the excluded ones."""
 
-    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # by backend id
+    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # why, by backend id
 
 
 def replicated_settings(settings: Settings) -> Content:
@@ -66,7 +66,7 @@
         if document == SETTINGS:
             return _settings_error(content, previous, local_settings)
         if document in (DRAINED_BACKENDS, EXCLUDED_BACKENDS):
-            msgspec.convert(content, ManualDrainDocument)
+            msgspec.convert(content, BackendListDocument)
             return ""
         if document == LIMITS:
             return _limits_error(content)
@@ -104,7 +104,7 @@
 
 
 def _limits_error(content: Content) -> str:
-    for name in msgspec.convert(content, QuotaDocument).limits:
+    for name in msgspec.convert(content, LimitsDocument).limits:
         # The colon may be missing; no request counts against such a limit.
         prefix = name.partition(":")[0] + ":"
         if name != ALL_REQUESTS and prefix not in (REQUEST_CLASS_PREFIX, TENANT_PREFIX):
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -91,7 +91,7 @@
         """
         await self.cluster_node.open()
         # The admin server is open already; calls about the cluster are answered from here on.
-        self.admin_service.replicated_config = ClusterAdmin(
+        self.admin_service.cluster_admin = ClusterAdmin(
             self.cluster_node, lambda: self._maintenance_agent().admin
         )
 
