--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -5,7 +5,6 @@
 
 from typing import Protocol
 
-from crankfold.consensus.conservative_merge import DOCUMENTS
 from crankfold.consensus.messages import (
     DocumentContent,
     LogEntry,
@@ -15,6 +14,7 @@
 )
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import MACHINES, VersionedDocuments
+from crankfold.document_names import DOCUMENTS
 from crankfold.maintenance.transitions import TransitionDocument
 
 
@@ -28,11 +28,14 @@
             last_applied: The last applied index, which is the highest result.
         """
 
-    def quota_usage(self) -> dict[str, int]:
-        """The number of open and wanted requests, by cluster-wide limit."""
+    def collect_quota_usage(self) -> dict[str, int]:
+        """Returns the open requests plus those rejected since the last call, by cluster-wide limit."""
 
-    def maintenance_report(self) -> MaintenanceReport | None:
-        """A new report on machines in maintenance; None while there are none."""
+    def build_maintenance_report(self) -> MaintenanceReport | None:
+        """Makes a new report on machines in maintenance; None while there are none.
+
+        Also starts the maintenance commands that are due at this dispatcher.
+        """
 
 
 class VoterHost(MemberHost, Protocol):
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -4,7 +4,7 @@
 """
 
 from crankfold.consensus.incarnations import IncarnationTracker
-from crankfold.consensus.leader_leases import LeaderLeases, earlier_leases_until
+from crankfold.consensus.leader_leases import LeaderLeases
 from crankfold.consensus.leader_proposals import LeaderProposals
 from crankfold.consensus.leases import (
     AppliedBounds,
@@ -195,13 +195,13 @@
 
     def subtree_report(self, now: int) -> SubtreeReport:
         """The merged maintenance report of this voter and the holders of its leases."""
-        own = SubtreeReport(self.name, self.last_applied, self.host.maintenance_report())
+        own = SubtreeReport(self.name, self.last_applied, self.host.build_maintenance_report())
         return self.leases.subtree_report(now, own, self.documents.max_request_duration())
 
     def cluster_report(self, now: int) -> ClusterReport:
         """At the leader: the maintenance reports of all voters and their lease holders."""
         request_duration = self.documents.max_request_duration()
-        leases_until = earlier_leases_until(self.raft.leader_since, self.timing)
+        leases_until = self.timing.earlier_leases_until(self.raft.leader_since)
         return ClusterReport(
             [self.subtree_report(now), *self.leader_leases.subtree_reports(now, request_duration)],
             earlier_leases_may_run=now < leases_until + request_duration,
@@ -269,7 +269,7 @@
             name, heartbeat.incarnation
         ):
             return f"the name {name} is in use elsewhere"
-        if not self._incarnations.accept(name, heartbeat.incarnation):
+        if self._incarnations.is_retired(name, heartbeat.incarnation):
             return f"another process has taken the name {name} over"
         return ""
 
@@ -278,6 +278,7 @@
         if rejection:
             self.raft.send(sender, Rejection(rejection))
             return
+        self._incarnations.accept(heartbeat.name, heartbeat.incarnation)
         holder = self.leases.record_heartbeat(now, heartbeat, self.documents.max_request_duration())
         if holder:
             self._send_update(now, heartbeat.name, holder, heartbeat.sent_at)
@@ -331,7 +332,7 @@
             contact_ticks=now - self.started_at,
             last_applied=self.last_applied,
             state=LeaseHolderState.ALIVE,
-            quota_usage=self.host.quota_usage(),
+            quota_usage=self.host.collect_quota_usage(),
         )
 
     def propose(self, now: int, proposal_id: str, kind: str, data: EntryData) -> None:
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -16,34 +16,28 @@
     read_routing_config,
     read_service_config,
 )
-from crankfold.consensus.conservative_merge import (
-    DRAINED_BACKENDS,
-    EXCLUDED_BACKENDS,
-    LIMITS,
-    MAINTENANCE,
-    SETTINGS,
-)
+from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, MAINTENANCE, SETTINGS
 from crankfold.maintenance.scheduler import Machine
 from crankfold.service.config_file import Settings
+from crankfold.service.requests.quotas import ALL_REQUESTS, REQUEST_CLASS_PREFIX, TENANT_PREFIX
 
 Content = dict[str, Any]
 """The content of a replicated document: the JSON object that an operator published."""
 
 # The schema requires these keys of a configuration file; replicated settings do not have them.
 PLACEHOLDERS = {"listen": "-", "discovery": "-"}
-LIMIT_PREFIXES = ("grade", "tenant")  # a limit is `all`, or one of these, a colon and a name
 
 
-class QuotaDocument(Struct, forbid_unknown_fields=True):
-    """The document of cluster-wide limits on requests in hand, by the name of the limit."""
+class LimitsDocument(Struct, forbid_unknown_fields=True):
+    """The form of the document of cluster-wide limits on requests in hand, by the name of the limit."""
 
     limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)
 
 
-class ManualDrainDocument(Struct, forbid_unknown_fields=True):
-    """The document of backends that are drained at all dispatchers."""
+class BackendListDocument(Struct, forbid_unknown_fields=True):
+    """The form of both documents of backends that get no requests: the drained and the excluded ones."""
 
-    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # by backend id
+    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # why, by backend id
 
 
 def replicated_settings(settings: Settings) -> Content:
@@ -72,7 +66,7 @@
         if document == SETTINGS:
             return _settings_error(content, previous, local_settings)
         if document in (DRAINED_BACKENDS, EXCLUDED_BACKENDS):
-            msgspec.convert(content, ManualDrainDocument)
+            msgspec.convert(content, BackendListDocument)
             return ""
         if document == LIMITS:
             return _limits_error(content)
@@ -110,7 +104,10 @@
 
 
 def _limits_error(content: Content) -> str:
-    for name in msgspec.convert(content, QuotaDocument).limits:
-        if name != "all" and name.partition(":")[0] not in LIMIT_PREFIXES:
-            return f"limits.{name}: found {name!r}; all, grade:NAME or tenant:NAME"
+    for name in msgspec.convert(content, LimitsDocument).limits:
+        # The colon may be missing; no request counts against such a limit.
+        prefix = name.partition(":")[0] + ":"
+        if name != ALL_REQUESTS and prefix not in (REQUEST_CLASS_PREFIX, TENANT_PREFIX):
+            allowed = f"{ALL_REQUESTS}, {REQUEST_CLASS_PREFIX}NAME or {TENANT_PREFIX}NAME"
+            return f"limits.{name}: found {name!r}; {allowed}"
     return ""
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -5,20 +5,14 @@
 
 import logging
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
-from crankfold.consensus.conservative_merge import (
-    DRAINED_BACKENDS,
-    EXCLUDED_BACKENDS,
-    MAINTENANCE,
-    QUOTAS,
-    SETTINGS,
-)
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.versioned_documents import MACHINES
+from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, MAINTENANCE, QUOTAS, SETTINGS
 from crankfold.errors import ConfigError
 from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
@@ -35,7 +29,7 @@
 
 logger = logging.getLogger(__name__)
 
-CONTINUE_WHEN_ISOLATED = "go-on"  # the isolation policy of the configuration
+CONTINUE_WHEN_ISOLATED: Final = "go-on"  # the isolation policy of the configuration
 
 
 class ReplicatedConfig:
@@ -97,7 +91,7 @@
         """
         await self.cluster_node.open()
         # The admin server is open already; calls about the cluster are answered from here on.
-        self.admin_service.replicated_config = ClusterAdmin(
+        self.admin_service.cluster_admin = ClusterAdmin(
             self.cluster_node, lambda: self._maintenance_agent().admin
         )
 
@@ -123,19 +117,22 @@
 
     # --- for requests and attempts: ClusterServices ---
 
-    def has_valid_config(self) -> bool:
-        """Whether requests may be admitted and attempts may be sent under the configuration in force.
+    def authorize_action(self) -> bool:
+        """See `ClusterServices`.
 
-        That is while this member holds a lease, or is isolated and configured to continue. Logs the loss of
-        the lease once.
+        An action is permitted while this member holds a lease, or is isolated and configured to continue.
         """
         if self.effective_settings is None:
             return False
-        if self.cluster_node.has_lease():
-            self.was_isolated = False
-            return True
+        has_lease = self.cluster_node.has_lease()
+        if not has_lease:
+            self._record_isolated_action()
+        self.was_isolated = not has_lease
+        return has_lease or self.acts_when_isolated
+
+    def _record_isolated_action(self) -> None:
+        """Logs the first action after the loss of the lease, and counts the permitted ones."""
         if not self.was_isolated:
-            self.was_isolated = True
             logger.warning(
                 "%s; %s",
                 self.cluster_node.inactive_reason(),
@@ -144,7 +141,6 @@
             )
         if self.acts_when_isolated:
             self.metrics.increment("acted-while-isolated")
-        return self.acts_when_isolated
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
         """See `ClusterServices`."""
@@ -229,8 +225,8 @@
         if endpoints:
             self.request_handler.effective_endpoints_changed(endpoints)
 
-    def quota_usage(self) -> dict[str, int]:
-        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
+    def collect_quota_usage(self) -> dict[str, int]:
+        """See `MemberHost`."""
         return self.quotas.collect_usage()
 
     def quiesced_index(self, applied: int) -> int:
@@ -250,8 +246,8 @@
         ]
         return min([applied, *(index - 1 for index in pending)])
 
-    def maintenance_report(self) -> MaintenanceReport | None:
-        """Returns the report of this dispatcher on machines in maintenance; None while there are none."""
+    def build_maintenance_report(self) -> MaintenanceReport | None:
+        """See `MemberHost`."""
         return self.maintenance.build_report() if self.maintenance else None
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from crankfold.cluster.node import ClusterNode
-from crankfold.consensus.conservative_merge import MAINTENANCE
 from crankfold.consensus.maintenance_reports import ClusterReport
 from crankfold.consensus.messages import MaintenanceReport
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance import specification
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.fleet_view import Area, FleetView
@@ -165,7 +165,10 @@
         self.commands.start_due(self.state, self.jobs())
 
     def build_report(self) -> MaintenanceReport | None:
-        """Returns the report that goes with each lease request; None while there is no maintenance."""
+        """Makes the report that goes with each lease request; None while there is no maintenance.
+
+        Also starts the commands that are due, and ends local restorations once this member holds a lease.
+        """
         if not self.jobs() and not self.state.machines:
             return None
         if self.restored_locally and self.cluster_node.has_lease():
--- a/crankfold/simulation/consensus/process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -4,12 +4,12 @@
 from random import Random
 from typing import Protocol
 
-from crankfold.consensus.conservative_merge import QUOTAS
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.member import Member
 from crankfold.consensus.messages import MaintenanceReport, Message, ProposalResponse
 from crankfold.consensus.raft_state import PersistentState, Ready, Role
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import QUOTAS
 from crankfold.simulation.consensus.case import ClusterCase, Document
 from crankfold.simulation.event_queue import EventQueue
 
@@ -50,11 +50,11 @@
         """Returns `last_applied`: no request uses an older version."""
         return last_applied
 
-    def quota_usage(self) -> dict[str, int]:
+    def collect_quota_usage(self) -> dict[str, int]:
         """Returns an empty map."""
         return {}
 
-    def maintenance_report(self) -> MaintenanceReport | None:
+    def build_maintenance_report(self) -> MaintenanceReport | None:
         """Returns None."""
         return None
 
@@ -124,7 +124,7 @@
         version = document.find(document.active_number)
         return version is not None and QUOTA_KEY in version.text["shares"]
 
-    def quota_usage(self) -> dict[str, int]:
+    def collect_quota_usage(self) -> dict[str, int]:
         """Returns the requests in flight plus the further demand."""
         return {QUOTA_KEY: len(self.request_ends) + self.wanted_requests}
 
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -4,8 +4,10 @@
 from typing import Final
 
 from crankfold.consensus.follower import Follower
+from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.member import MaintenanceCoordinator
 from crankfold.consensus.voter import Voter
+from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.scheduler import Machine
 from crankfold.maintenance.specification import WorkMethod, parse_jobs
@@ -113,7 +115,7 @@
     def submit_jobs(self, dispatcher: str, call: str) -> None:
         """Publishes the jobs of the case."""
         data = {
-            "doc": "works",
+            "doc": MAINTENANCE,
             "made_from": 0,
             "author": "o",
             "reason": "r",
@@ -126,7 +128,7 @@
         """Proposes a transition, in its stored form, to the cluster."""
         self.dispatchers[dispatcher].deliver(
             lambda member, now: member.propose(  # type: ignore[attr-defined]
-                now, call, "step", {"steps": [step]}
+                now, call, EntryKind.MAINTENANCE, {"steps": [step]}
             )
         )
 
