--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -112,7 +112,12 @@
             )
 
         self.handover = self._build_handover(document, handover_directory, build_serving_parts)
-        parts = self.handover.serving_parts if self.handover else build_serving_parts(NoOtherProcess())
+        if self.handover:
+            self.other_processes: OtherProcesses = self.handover.other_processes
+            parts = self.handover.serving_parts
+        else:
+            self.other_processes = NoOtherProcess()
+            parts = build_serving_parts(self.other_processes)
         self.request_handler, self.listener, self.socket_budget = parts
 
     def _build_request_handler(
@@ -144,13 +149,15 @@
         """Enables the handover if there is an admin server, which reports the readiness of a successor."""
         if not self.admin_address or not directory:
             return None
-        from crankfold.service.handover.handover import Handover  # imported only with a handover directory
+        # Imported only with a handover directory.
+        from crankfold.service.handover.handover import Handover
+        from crankfold.service.handover.identity import DispatcherIdentity
 
         return Handover(
             directory,
-            str(document.get("name") or ""),
-            self.listen_address,
+            DispatcherIdentity(str(document.get("name") or ""), self.listen_address),
             self.backend_registry,
+            self.metrics,
             build_serving_parts,
         )
 
@@ -170,7 +177,7 @@
         """Builds the parts that discovery, operators and signals control."""
         self.discovery_watcher = self._build_discovery_watcher(document)
         self.admin_service = AdminService(
-            self.request_handler, self.listener, self.lifecycle, self.handover or NoOtherProcess()
+            self.request_handler, self.listener, self.lifecycle, self.other_processes
         )
         self.admin_server = AdminServer(self.admin_service, self.metrics)
         self.config_applier = ConfigApplier(config, self.request_handler, self.connection_limiter)
@@ -190,6 +197,7 @@
             listener=self.listener,
             admin_server=self.admin_server,
             discovery_watcher=self.discovery_watcher,
+            other_processes=self.other_processes,
             handover=self.handover,
             cluster=self.cluster,
         )
@@ -267,7 +275,7 @@
     async def _start_discovery(self) -> None:
         """Registers the endpoints of the predecessor or of the configuration, and starts the watcher."""
         if self.handover:
-            self.known_endpoints = await self.handover.connect() or self.known_endpoints
+            self.known_endpoints = await self.handover.takeover.connect() or self.known_endpoints
         if self.known_endpoints is not None:
             self._register_known_endpoints()
         if not self.polls_discovery:
@@ -301,16 +309,19 @@
                     self.admin_service,
                     self.config_applier,
                     self._endpoint_list_age,
-                    is_successor=self.handover is not None and self.handover.listening_socket is not None,
+                    is_successor=self._is_successor(),
                 )
             except (OSError, ValueError) as error:
                 raise ConfigError(f"peers: {error}") from None
 
+    def _is_successor(self) -> bool:
+        return self.handover is not None and self.handover.takeover.listening_socket is not None
+
     async def _start_serving(self) -> None:
         listening_socket: socket.socket | None = None
         if self.handover:
-            self.handover.replay_reports()
-            listening_socket = await self.handover.take_over()
+            self.handover.takeover.replay_reports()
+            listening_socket = await self.handover.takeover.take_over()
         with _config_error_at(self.listen_address):
             self.listener.open(*self.listen_address, listening_socket, self.handover is not None)
         if self.handover:
--- /dev/null
+++ b/crankfold/service/handover/actions.py
@@ -0,0 +1,133 @@
+"""Carries out the actions of the handover state machine at this process."""
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from crankfold.network.handover_channel import HandoverChannel
+from crankfold.network.metrics import Metrics
+from crankfold.protocol.callbacks import handle_callback, request_id_of
+from crankfold.protocol.handover_messages import HandoverMessage, ProcessState, ProcessUsage
+from crankfold.service.handover import transferred_state
+from crankfold.service.handover.manual_drain_file import ManualDrainFile
+from crankfold.service.handover.other_processes import ConnectedProcesses
+from crankfold.service.handover.state_machine import HandoverStateMachine
+from crankfold.service.handover.takeover import TakeoverDecision
+from crankfold.service.requests.collaborators import OtherProcesses
+from crankfold.service.serving_parts import ServingParts
+
+logger = logging.getLogger(__name__)
+
+
+class ActionExecutor:
+    """Owns the state machine and carries out its actions; implements `HandoverActions`.
+
+    The actions need the parts that serve clients, and these need the other processes, which the state machine
+    knows. So all of them are built here, in that order.
+
+    Args:
+        channel: To the other processes.
+        manual_drain_file: Of this dispatcher.
+        takeover_decision: Receives the response to a takeover request.
+        metrics: Of this process.
+        build_serving_parts: Builds the parts that serve clients, given the other processes; called once.
+    """
+
+    def __init__(
+        self,
+        *,
+        channel: HandoverChannel,
+        manual_drain_file: ManualDrainFile,
+        takeover_decision: TakeoverDecision,
+        metrics: Metrics,
+        build_serving_parts: Callable[[OtherProcesses], ServingParts],
+    ) -> None:
+        self.channel = channel
+        self.dispatcher_name = manual_drain_file.dispatcher_name
+        self.backend_registry = manual_drain_file.backend_registry
+        self.takeover_decision = takeover_decision
+        self.metrics = metrics
+        self.state_machine = HandoverStateMachine(self)
+        self.other_processes = ConnectedProcesses(self.state_machine, manual_drain_file, metrics)
+        self.serving_parts = build_serving_parts(self.other_processes)
+        self.request_handler, self.listener, self.socket_budget = self.serving_parts
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def send(self, process: int, message: HandoverMessage) -> None:
+        """Sends a message to another process."""
+        self.channel.send(process, message)
+
+    def disconnect(self, process: int) -> None:
+        """Closes the connection to a process after all sent messages are written."""
+        self.channel.disconnect(process)
+
+    def describe_state(self) -> ProcessState:
+        """Returns the state that a successor adopts."""
+        return transferred_state.describe_state(self.request_handler, self.dispatcher_name)
+
+    def describe_usage(self) -> ProcessUsage:
+        """Returns the requests and connections that this process still has."""
+        return transferred_state.describe_usage(self.request_handler, len(self.listener.connections))
+
+    def stop_accepting(self) -> None:
+        """Leaves new connections and the slow-start budgets of backends to the successor."""
+        logger.info("a successor process takes over")
+        self.metrics.increment("handovers")
+        self.listener.pause()
+        self.socket_budget.yield_to_successor()
+        self.request_handler.effective_endpoints_changed(self.backend_registry.reserve_slow_start(True))
+
+    def resume_accepting(self) -> None:
+        """Accepts connections again after the successor has ended."""
+        logger.info("the successor process has ended; serving again")
+        self.metrics.increment("handovers-reverted")
+        self.socket_budget.reserve(0, 0)
+        self.request_handler.effective_endpoints_changed(self.backend_registry.reserve_slow_start(False))
+        task = asyncio.get_running_loop().create_task(self._reopen())
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _reopen(self) -> None:
+        self.listener.resume()
+        self.channel.stop_accepting()
+        await self.accept_successors()
+
+    async def accept_successors(self) -> None:
+        """Opens the channel for successors; a failure is logged, and the process serves without it."""
+        try:
+            await self.channel.open()
+        except OSError as error:
+            logger.warning(
+                "%s; handover disabled, a restart will drop connections",
+                error,
+                extra={"category": "records"},
+            )
+
+    def takeover_completed(self) -> None:
+        """Ends the wait for the predecessor."""
+        self.takeover_decision.complete()
+
+    def takeover_refused(self) -> None:
+        """Makes this process connect again, to the process that serves."""
+        self.takeover_decision.refuse()
+
+    def handle_callback(self, callback: str) -> bool:
+        """Handles a callback if its request is in hand at this process; returns whether it is."""
+        body = callback.encode()
+        callbacks = self.request_handler.callbacks
+        return callbacks.has_request(request_id_of(body)) and handle_callback(
+            body, callbacks, self.request_handler.config.report_fields
+        )
+
+    def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
+        """Drains or restores a backend, which may be missing in the endpoint list of this process."""
+        self.backend_registry.known_ids.add(backend_id)
+        change = self.backend_registry.drain if drained else self.backend_registry.restore
+        endpoint = change(backend_id)
+        if endpoint:
+            self.request_handler.effective_endpoints_changed([endpoint])
+
+    def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
+        """Notes the requests in hand at the predecessor and reserves sockets for its connections."""
+        self.other_processes.predecessor_request_ids = frozenset(usage.request_ids)
+        self.socket_budget.reserve(usage.accepted_connections, usage.backend_connections)
--- /dev/null
+++ b/crankfold/service/handover/other_processes.py
@@ -0,0 +1,55 @@
+"""The other processes of the dispatcher, as request handling and the admin calls use them."""
+
+import asyncio
+
+from crankfold.network.handover_channel import resolve
+from crankfold.network.metrics import Metrics
+from crankfold.service.handover.manual_drain_file import ManualDrainFile
+from crankfold.service.handover.state_machine import HandoverRole, HandoverStateMachine
+from crankfold.service.requests.collaborators import CallbackAnswer
+
+
+class ConnectedProcesses:
+    """The predecessor and the successors that are connected; implements `OtherProcesses`.
+
+    Attributes:
+        predecessor_request_ids: The requests in hand at the predecessor, as it last reported them.
+    """
+
+    def __init__(
+        self, state_machine: HandoverStateMachine, manual_drain_file: ManualDrainFile, metrics: Metrics
+    ) -> None:
+        self.state_machine = state_machine
+        self.manual_drain_file = manual_drain_file
+        self.metrics = metrics
+        self.loop = asyncio.get_running_loop()
+        self.predecessor_request_ids: frozenset[str] = frozenset()
+
+    def has_successor(self) -> bool:
+        """Whether a successor accepts the connections in place of this process."""
+        return self.state_machine.role == HandoverRole.SUPERSEDED
+
+    def has_request(self, request_id: str) -> bool:
+        """Whether the request is in hand at the predecessor."""
+        return request_id in self.predecessor_request_ids
+
+    def forward_callback(self, body: bytes, on_answer: CallbackAnswer) -> bool:
+        """Forwards a callback for a request that is not in hand at this process.
+
+        Returns:
+            Whether there is another process. If so, `on_answer` is called, possibly before the return.
+        """
+        if not self.state_machine.processes:
+            return False
+        self.metrics.increment("callbacks-forwarded")
+        self.state_machine.query_callback(self.loop.time(), body.decode(errors="replace"), on_answer)
+        return True
+
+    async def replicate_manual_drain(self, backend_id: str, drained: bool) -> None:
+        """Saves the manual drains and applies a drain, or its end, at the other processes."""
+        self.manual_drain_file.save()
+        answered: asyncio.Future[None] = self.loop.create_future()
+        self.state_machine.query_manual_drain(
+            self.loop.time(), backend_id, drained, lambda _: resolve(answered)
+        )
+        await answered
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -20,6 +20,7 @@
 )
 from crankfold.routing.interface import EndpointState
 from crankfold.service.backends.manual_drains import AssumedStart
+from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.backends.starts import MAX_CLOCK_ERROR
 from crankfold.service.requests.handler import RequestHandler
 
@@ -69,7 +70,7 @@
         dispatcher_name=dispatcher_name,
         weight_semantics=weight_semantics(routing.weights_follow_load),
         report_fields=list(request_handler.config.report_fields),
-        manual_drains=manual_drain_state(request_handler),
+        manual_drains=manual_drain_state(registry),
         known_ids=sorted({*names, *registry.known_ids}),
         endpoints=_transferred_endpoints(request_handler),
         load_reports={
@@ -99,10 +100,10 @@
     return entry._replace(weight=routing.backend_weight(backend))
 
 
-def manual_drain_state(request_handler: RequestHandler) -> ManualDrainState:
+def manual_drain_state(registry: BackendRegistry) -> ManualDrainState:
     """Returns the manual drains of this process, with times by the present wall clock."""
-    drains = request_handler.backends.manual_drains
-    shift = request_handler.timers.clock.wall_shift()
+    drains = registry.manual_drains
+    shift = registry.timers.clock.wall_shift()
     assumed_starts = {
         backend_id: (assumed.drained_at + shift, assumed.started_at + shift)
         for backend_id, assumed in drains.assumed_starts.items()
@@ -112,18 +113,17 @@
 
 
 def adopt_manual_drains(
-    request_handler: RequestHandler, state: ManualDrainState, *, times_known: bool = True
+    registry: BackendRegistry, state: ManualDrainState, *, times_known: bool = True
 ) -> None:
     """Puts the manual drains of an earlier process in force.
 
     Args:
-        request_handler: The request handler of this process.
+        registry: The backends of this process.
         state: The manual drains of the earlier process.
         times_known: Whether the state was received from a running process, so that the wall clock was not
             stepped in between. Else backends that may still be in slow start are assumed to start now.
     """
-    registry = request_handler.backends
-    now = request_handler.timers.clock.now()
+    now = registry.timers.clock.now()
     doubtful_from = now + 1 if times_known else now - MAX_CLOCK_ERROR
     registry.manual_drains.drained_since.update(
         {backend_id: min(at, now) for backend_id, at in state.drained_since.items()}
--- a/crankfold/service/shutdown.py
+++ b/crankfold/service/shutdown.py
@@ -9,6 +9,7 @@
 from crankfold.network.listener import Listener
 from crankfold.network.signals import ignore_signals_at_end
 from crankfold.service.lifecycle import Lifecycle
+from crankfold.service.requests.collaborators import OtherProcesses
 from crankfold.service.requests.handler import RequestHandler
 
 if TYPE_CHECKING:
@@ -37,6 +38,7 @@
         listener: Listener,
         admin_server: AdminServer,
         discovery_watcher: DiscoveryWatcher,
+        other_processes: OtherProcesses,
         handover: "Handover | None",
         cluster: "ClusterMembership | None",
     ) -> None:
@@ -45,6 +47,7 @@
         self.listener = listener
         self.admin_server = admin_server
         self.discovery_watcher = discovery_watcher
+        self.other_processes = other_processes
         self.handover = handover
         self.cluster = cluster
         self.loop = asyncio.get_running_loop()
@@ -61,7 +64,7 @@
         end = self.loop.time() + min(longest_deadline, MAX_DRAIN_DURATION) + DRAIN_MARGIN
         logger.info("draining")
         self.lifecycle.start_shutdown(self.loop.time())
-        if self.handover and self.handover.has_successor():
+        if self.other_processes.has_successor():
             await self._drain_to_successor(end)
         else:
             await self._drain_without_successor(end)
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -82,14 +82,15 @@
         self.assertEqual((await self.call(self.admin_port, "runners/a/offline")).split()[0], "200")
 
         async def learnt(name: str) -> tuple[bool, bool, list[str]]:
-            handover = Application({**self.config, "name": name}, lambda: self.config, self.folder).handover
+            application = Application({**self.config, "name": name}, lambda: self.config, self.folder)
+            handover = application.handover
             assert handover
-            welcome = await handover.connect()
+            welcome = await handover.takeover.connect()
             handover.close()
             return (
                 welcome is not None,
-                handover.listening_socket is not None,
-                list(handover.backend_registry.manual_drains.drained_since),
+                handover.takeover.listening_socket is not None,
+                list(application.backend_registry.manual_drains.drained_since),
             )
 
         self.assertEqual(await learnt("n1"), (False, False, []))
--- a/tests/terms/test_handed_over_times.py
+++ b/tests/terms/test_handed_over_times.py
@@ -12,29 +12,28 @@
 
 
 class HandedOverTimesTest(unittest.TestCase):
-    def process(self, wall_error_ns: int) -> Mock:
-        """A process that was started while the wall clock was so wrong."""
+    def process(self, wall_error_ns: int) -> BackendRegistry:
+        """The backends of a process that was started while the wall clock was so wrong."""
         right = self.right_ns + wall_error_ns
         with patch("crankfold.network.timers.time.time_ns", lambda: right):
             clock = Clock()
-        registry = BackendRegistry(
+        return BackendRegistry(
             Mock(slow_start_duration=300_000, initial_capacity=0.2), Mock(clock=clock), Mock()
         )
-        return Mock(backends=registry, timers=Mock(clock=clock))
 
     def age_after_handover(self, *, step_ns: int, from_file: bool) -> int:
         """How old a successor takes an assumed start to be that its predecessor made just now."""
         self.right_ns = 1_800_000_000 * 10**9
         old = self.process(0)
         now = old.timers.clock.now()
-        old.backends.manual_drains.assumed_starts["a"] = AssumedStart(now, now)
+        old.manual_drains.assumed_starts["a"] = AssumedStart(now, now)
         stepped = self.right_ns + step_ns
         told_at = self.right_ns if from_file else stepped
         with patch("crankfold.network.timers.time.time_ns", lambda: told_at):
             state = manual_drain_state(old)
         new = self.process(step_ns)
         adopt_manual_drains(new, state, times_known=not from_file)
-        return int(new.timers.clock.now() - new.backends.manual_drains.assumed_starts["a"].started_at)
+        return int(new.timers.clock.now() - new.manual_drains.assumed_starts["a"].started_at)
 
     def test_an_assumed_start_is_as_old_for_the_successor_though_the_clock_was_stepped(self) -> None:
         for step_ns in (0, HOUR_NS, -HOUR_NS):
