--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -107,17 +107,14 @@
             listener = Listener(
                 request_handler, self.metrics, config.report_fields, limits.accepted_connections
             )
-            return ServingParts(
-                request_handler, listener, SocketBudget(limits, listener, self.connection_limiter)
-            )
+            socket_budget = SocketBudget(limits, listener, self.connection_limiter)
+            return ServingParts(request_handler, listener, socket_budget)
 
         self.handover = self._build_handover(document, handover_directory, build_serving_parts)
-        if self.handover:
-            self.other_processes: OtherProcesses = self.handover.other_processes
-            parts = self.handover.serving_parts
-        else:
-            self.other_processes = NoOtherProcess()
-            parts = build_serving_parts(self.other_processes)
+        self.other_processes: OtherProcesses = (
+            self.handover.other_processes if self.handover else NoOtherProcess()
+        )
+        parts = self.handover.serving_parts if self.handover else build_serving_parts(self.other_processes)
         self.request_handler, self.listener, self.socket_budget = parts
 
     def _build_request_handler(
--- a/crankfold/service/handover/actions.py
+++ b/crankfold/service/handover/actions.py
@@ -28,24 +28,24 @@
     Args:
         channel: To the other processes.
         manual_drain_file: Of this dispatcher.
-        takeover_decision: Receives the response to a takeover request.
         metrics: Of this process.
         build_serving_parts: Builds the parts that serve clients, given the other processes; called once.
+
+    Attributes:
+        takeover_decision: The response to the last takeover request of this process.
     """
 
     def __init__(
         self,
-        *,
         channel: HandoverChannel,
         manual_drain_file: ManualDrainFile,
-        takeover_decision: TakeoverDecision,
         metrics: Metrics,
         build_serving_parts: Callable[[OtherProcesses], ServingParts],
     ) -> None:
         self.channel = channel
         self.dispatcher_name = manual_drain_file.dispatcher_name
         self.backend_registry = manual_drain_file.backend_registry
-        self.takeover_decision = takeover_decision
+        self.takeover_decision = TakeoverDecision()
         self.metrics = metrics
         self.state_machine = HandoverStateMachine(self)
         self.other_processes = ConnectedProcesses(self.state_machine, manual_drain_file, metrics)
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -11,7 +11,7 @@
 from crankfold.service.handover.actions import ActionExecutor
 from crankfold.service.handover.identity import DispatcherIdentity
 from crankfold.service.handover.manual_drain_file import ManualDrainFile
-from crankfold.service.handover.takeover import Takeover, TakeoverDecision
+from crankfold.service.handover.takeover import Takeover
 from crankfold.service.requests.collaborators import OtherProcesses
 from crankfold.service.serving_parts import ServingParts
 
@@ -49,14 +49,7 @@
         self.loop = backend_registry.timers.loop
         self.channel = HandoverChannel(directory, identity.socket_name(), self)
         manual_drain_file = ManualDrainFile(self.channel, identity.dispatcher_name, backend_registry)
-        takeover_decision = TakeoverDecision()
-        self.actions = ActionExecutor(
-            channel=self.channel,
-            manual_drain_file=manual_drain_file,
-            takeover_decision=takeover_decision,
-            metrics=metrics,
-            build_serving_parts=build_serving_parts,
-        )
+        self.actions = ActionExecutor(self.channel, manual_drain_file, metrics, build_serving_parts)
         self.state_machine = self.actions.state_machine
         self.other_processes = self.actions.other_processes
         self.serving_parts = self.actions.serving_parts
@@ -64,7 +57,7 @@
             identity=identity,
             channel=self.channel,
             state_machine=self.state_machine,
-            decision=takeover_decision,
+            decision=self.actions.takeover_decision,
             manual_drain_file=manual_drain_file,
             request_handler=self.serving_parts.request_handler,
         )
