--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -22,6 +22,8 @@
 _STATE_NAMES = {state: name for name, state in _STATES.items()}
 MAX_LIST_SIZE = 16 * 1024 * 1024  # bytes
 _WireEntry = dict[str, Any]  # a JSON object with the field names of the wire
+EndpointDocument = dict[str, Any]
+"""An endpoint list as decoded JSON, in the form of a response of discovery."""
 
 
 class DiscoveryError(CrankfoldError, ValueError):
@@ -126,6 +128,23 @@
     }
 
 
+def encode_snapshot(entries: Sequence[DiscoveryEntry]) -> EndpointDocument:
+    """The whole endpoint list in the form of a response; its revision is 0."""
+    return {"rev": 0, "all": True, "targets": [encode_entry(entry) for entry in entries]}
+
+
+def without_weights(document: EndpointDocument) -> EndpointDocument | None:
+    """Returns the endpoint list without the weights of its entries; None if it has no entries.
+
+    Anything else in the list stays as it is; entries that are no JSON objects are left out.
+    """
+    entries = document.get("targets")
+    if not isinstance(entries, list):
+        return None
+    unweighted = [entry | {"capacity_hint": 0.0} for entry in entries if isinstance(entry, dict)]
+    return document | {"targets": unweighted}
+
+
 class DiscoveryConnection:
     """The state of one connection to discovery, used for one call after the other.
 
--- a/crankfold/protocol/handover_messages.py
+++ b/crankfold/protocol/handover_messages.py
@@ -11,6 +11,7 @@
 import orjson
 
 from crankfold.errors import CrankfoldError
+from crankfold.protocol.discovery import EndpointDocument
 
 START_TIMES = 2  # of an assumed start: when its drain began, and the start itself
 FORMAT_VERSION = 1  # of Hello and Welcome; processes of different versions do not hand over
@@ -63,7 +64,7 @@
     report_fields: list[str] | None
     manual_drains: ManualDrainState
     known_ids: list[str]
-    endpoints: _Fields | None
+    endpoints: EndpointDocument | None
     load_reports: dict[str, list[float]]
 
 
--- a/crankfold/service/handover/takeover.py
+++ b/crankfold/service/handover/takeover.py
@@ -5,6 +5,7 @@
 import socket
 
 from crankfold.network.handover_channel import HandoverChannel
+from crankfold.protocol.discovery import EndpointDocument
 from crankfold.protocol.handover_messages import ProcessState
 from crankfold.service.handover import transferred_state
 from crankfold.service.handover.identity import DispatcherIdentity
@@ -80,7 +81,7 @@
         self.listening_socket: socket.socket | None = None
         self._inherited_reports: dict[str, list[float]] = {}
 
-    async def connect(self) -> transferred_state.EndpointDocument | None:
+    async def connect(self) -> EndpointDocument | None:
         """Connects to the predecessor and adopts its state.
 
         Without a predecessor, adopts the saved manual drains.
@@ -105,7 +106,7 @@
         self.manual_drain_file.adopt()
         return None
 
-    def _adopt_state(self, state: ProcessState) -> transferred_state.EndpointDocument | None:
+    def _adopt_state(self, state: ProcessState) -> EndpointDocument | None:
         self.backend_registry.known_ids.update(state.known_ids)
         transferred_state.adopt_manual_drains(self.backend_registry, state.manual_drains)
         self._inherited_reports = transferred_state.inherited_reports(
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -7,9 +7,8 @@
 """
 
 from collections.abc import Sequence
-from typing import Any
 
-from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
+from crankfold.protocol.discovery import DiscoveryEntry, EndpointDocument, encode_snapshot, without_weights
 from crankfold.protocol.handover_messages import (
     DYNAMIC_WEIGHTS,
     FORMAT_VERSION,
@@ -24,9 +23,6 @@
 from crankfold.service.backends.starts import MAX_CLOCK_ERROR
 from crankfold.service.requests.handler import RequestHandler
 
-EndpointDocument = dict[str, Any]
-"""An endpoint list in the JSON form of discovery."""
-
 MAX_REPORT_AGE = 50_000  # ticks; older load reports are not transferred
 
 
@@ -45,11 +41,7 @@
         return None
     if state.weight_semantics == weight_semantics(weights_follow_load):
         return endpoints
-    targets = endpoints.get("targets")
-    if not isinstance(targets, list):
-        return None
-    without_weights = [target | {"capacity_hint": 0.0} for target in targets if isinstance(target, dict)]
-    return endpoints | {"targets": without_weights}
+    return without_weights(endpoints)
 
 
 def inherited_reports(state: ProcessState, report_fields: Sequence[str]) -> dict[str, list[float]]:
@@ -83,12 +75,12 @@
 def _transferred_endpoints(request_handler: RequestHandler) -> EndpointDocument | None:
     """Returns the endpoint list in the JSON form of discovery; None without a listed backend."""
     registry = request_handler.backends
-    targets = [
-        encode_entry(_transferred_entry(request_handler, backend))
+    entries = [
+        _transferred_entry(request_handler, backend)
         for backend, record in enumerate(registry.records)
         if record.endpoint.state != EndpointState.REMOVED
     ]
-    return {"rev": 0, "all": True, "targets": targets} if targets else None
+    return encode_snapshot(entries) if entries else None
 
 
 def _transferred_entry(request_handler: RequestHandler, backend: int) -> DiscoveryEntry:
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,15 +1,48 @@
 """Answers of discovery: whole, in pieces and broken."""
 
+import unittest
+
 from crankfold.protocol.discovery import (
     DiscoveryConnection,
     DiscoveryEntry,
     DiscoveryError,
     decode_endpoints,
+    encode_snapshot,
+    without_weights,
 )
-from crankfold.routing.interface import Endpoint
+from crankfold.routing.interface import Endpoint, EndpointState
 from tests.scene import TraceTestCase
 
 
+class EndpointDocumentTest(unittest.TestCase):
+    def test_a_snapshot_is_encoded_as_discovery_writes_it(self) -> None:
+        entry = DiscoveryEntry("a", "10.0.0.1", 84, "n", "m", 3, EndpointState.DRAINING, 1.5, 7)
+        target = {
+            "uid": "a",
+            "endpoint": "10.0.0.1:84",
+            "boot_ms": 7,
+            "az": "n",
+            "model": "m",
+            "pod_group": 3,
+            "state": "terminating",
+            "capacity_hint": 1.5,
+        }
+        self.assertEqual(encode_snapshot([entry]), {"rev": 0, "all": True, "targets": [target]})
+
+    def test_without_weights_all_else_in_a_list_stays(self) -> None:
+        document = {
+            "rev": 3,
+            "new": 1,
+            "targets": [{"uid": "a", "capacity_hint": 4.0, "new": 2}, 7, {"uid": "b"}],
+        }
+        unweighted = [{"uid": "a", "capacity_hint": 0.0, "new": 2}, {"uid": "b", "capacity_hint": 0.0}]
+        self.assertEqual(without_weights(document), {"rev": 3, "new": 1, "targets": unweighted})
+
+    def test_without_weights_of_a_list_without_entries_is_none(self) -> None:
+        for document in ({}, {"rev": 3, "targets": None}, {"targets": {"uid": "a"}}):
+            self.assertIsNone(without_weights(document))
+
+
 class DiscoveryConnectionTest(TraceTestCase):
     def make_endpoint(self, entry: DiscoveryEntry) -> Endpoint:
         self.say(
