--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -38,7 +38,6 @@
 
     Attributes:
         request_classes: Indices of their names.
-        tenants: Indices of their names.
         zones: Indices of their names.
         instance_types: Indices of their names.
         report_fields: Of load reports, in the order of their values.
@@ -51,7 +50,6 @@
     """
 
     request_classes: Interner[str]
-    tenants: Interner[str]
     zones: Interner[str]
     instance_types: Interner[str]
     report_fields: tuple[str, ...]
@@ -158,13 +156,13 @@
         SettingsError: A number is malformed.
     """
     settings = _Settings(given)
+    settings.names("orgs")  # validated only: the header of a request names its tenant
     request_classes = settings.names("service-grades")
     deadlines = (
         settings.upper_bound(f"service-grades.{index}.cut-off") for index in range(len(request_classes.names))
     )
     return ServiceConfig(
         request_classes=request_classes,
-        tenants=settings.names("orgs"),
         zones=settings.names("zones"),
         instance_types=settings.names("kinds"),
         report_fields=tuple(settings.items("report.names")),
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -343,12 +343,9 @@
 
     def config_changed(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
         """Puts other request classes and limits in force; interned names keep their indexes."""
-        for tenant in config.tenants.names:
-            self.config.tenants.intern(tenant)
         running = self.config
         self.config = replace(
             config,
-            tenants=running.tenants,
             zones=running.zones,
             instance_types=running.instance_types,
             report_fields=running.report_fields,
--- a/tests/config/test_parser.py
+++ b/tests/config/test_parser.py
@@ -47,6 +47,15 @@
             (1, -1, 120000),
         )
 
+    def test_tenants_are_accepted_by_name_and_their_count_is_validated(self) -> None:
+        without = read_service_config({})
+        for orgs in (["a", "b"], [{"name": "a"}, {"name": "b", "quota-rps": 5}]):
+            given = read_service_config(flatten_settings({"orgs": orgs}))
+            self.assertEqual(given.request_classes.names, without.request_classes.names)
+            self.assertEqual(given.max_pending, without.max_pending)
+        with self.assertRaisesRegex(SettingsError, "'x'"):
+            read_service_config({"orgs.count": "x"})
+
     def test_a_malformed_number_is_a_settings_error(self) -> None:
         self.assertTrue(issubclass(SettingsError, CrankfoldError))
         for name in ("balancers", "tick", "specifics.class-stretch", "rules.overload-factor"):
