--- a/crankfold/network/admin_server.py
+++ b/crankfold/network/admin_server.py
@@ -47,7 +47,7 @@
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.metrics.increment("admin-connections")
-        if not self._evict_if_full():
+        if not self._try_make_room():
             writer.transport.abort()
             return
         connection = AdminConnection()
@@ -78,8 +78,8 @@
             while await reader.read(READ_SIZE):
                 pass
 
-    def _evict_if_full(self) -> bool:
-        """Closes the oldest connections without a call while MAX_CALLERS connections are open.
+    def _try_make_room(self) -> bool:
+        """Makes room for one more connection: at MAX_CALLERS, closes the oldest ones without a call.
 
         A connection whose call was read is never closed: its effect could have begun.
 
