--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -193,9 +193,7 @@
         probing_allowed=settings.flag("allowed.probing"),
         hedging_allowed=settings.flag("allowed.second-copies"),
         max_attempts=settings.integer("allowed.most-dispatches", 1),
-        max_retry_after=(
-            settings.upper_bound("allowed.max-retry-after") if settings.flag("allowed.retry-after") else 0
-        ),
+        max_retry_after=_read_max_retry_after(settings),
         reports_in_responses=settings.text("report.via") == "inline",
         reports_by_probe=settings.text("report.via") == "on_probe",
         report_fields=_read_report_fields(settings),
@@ -213,6 +211,12 @@
     )
 
 
+def _read_max_retry_after(settings: _Settings) -> int:
+    if not settings.flag("allowed.retry-after"):
+        return 0
+    return settings.upper_bound("allowed.max-retry-after")
+
+
 def _read_initial_capacity(settings: _Settings) -> float:
     return settings.number("rules.cold-from", 1.0)
 
