--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -250,7 +250,7 @@
     else:
         job = {**jobs.get(change.name, {}), **change.fields}
         if not change.is_new:
-            # The count tells the dispatchers that the state was set again, also if it is the same state.
+            # A job that halted goes on once it differs, so requesting the same state again must change it.
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -223,11 +223,11 @@
 def republish(address: str, as_json: bool, document: str, number: int, **publication: Any) -> None:
     """Publish an earlier version again, as a new one."""
     view = fetch_document(address, document)
-    content = _kept_content(view, document, number)
+    content = _content_of_version(view, document, number)
     publish(address, Publication(document, content, made_from=view.newest, **publication), as_json)
 
 
-def _kept_content(view: DocumentView, document: str, number: int) -> JsonObject:
+def _content_of_version(view: DocumentView, document: str, number: int) -> JsonObject:
     version = view.find(number)
     if version is None:
         raise UnreachableError(f"no version {number} of {document} is stored")
--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -42,7 +42,7 @@
     incomplete response is no such proof, even with that header in it. The header of a 202 is enough to know
     that the backend has accepted the request. A response without a length counts as incomplete, as its end
     looks like a broken connection. The writing side is never half-closed, so the end of the input is always a
-    close of the whole connection (RFC 9112 section 9.6).
+    full close of the connection (RFC 9112 section 9.6).
 
     The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`). There,
     `NEVER_EXECUTED` has the two results with a "no" and OVERLOADED: that response of 503 or 504, or the
@@ -77,7 +77,7 @@
         headers: Returns the headers; called when the request is written.
         may_send: Whether the request may still be written; called once a new connection is established.
         on_end: Called once with the result, and with the state of the connection if there was one.
-        needs_cooldown: Whether a connection has to rest for REUSE_COOLDOWN before it carries this request;
+        needs_cooldown: Whether REUSE_COOLDOWN must have passed since the last response on the connection;
             False where the response has no consequence.
         connection: Carries the exchange, once there is one.
         finished: Whether `on_end` was called, or the exchange was aborted.
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_TIMEOUT = 1.0  # seconds in which a predecessor must answer; then the start goes on without it
+ANSWER_TIMEOUT = 1.0  # seconds in which a predecessor must answer; else the process starts without it
 READ_SIZE = 64 * 1024  # bytes
 MAX_UNSENT_BYTES = 1024 * 1024
 SOCKET_SIGNATURE = b"!"  # the byte with which the listening socket is passed
--- a/crankfold/network/listener.py
+++ b/crankfold/network/listener.py
@@ -11,7 +11,7 @@
 from crankfold.protocol.client_connection import ClientChannel, ClientRequestHandler
 
 # Timeouts of accepted connections, in seconds, checked each SWEEP_INTERVAL. A client that sends nothing, or
-# stops in the middle of a request, is disconnected within 3 s; one that goes on sending has TRANSFER_TIMEOUT.
+# stops in the middle of a request, is disconnected within 3 s, one that keeps sending after TRANSFER_TIMEOUT.
 FIRST_REQUEST_TIMEOUT = 2.0  # from connecting to the first byte of a request or callback
 STALL_TIMEOUT = 2.0  # without a byte in the middle of a request
 FIRST_HEADER_TIMEOUT = 2.5  # from connecting to the end of the first header
--- a/crankfold/network/socket_state.py
+++ b/crankfold/network/socket_state.py
@@ -1,4 +1,4 @@
-"""Asks the kernel for input of a connection that was not read yet."""
+"""Checks a connection for input in the kernel's buffers that was not read yet."""
 
 import asyncio
 import select
