--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -38,7 +38,6 @@
 
     Attributes:
         request_classes: Indices of their names.
-        tenants: Indices of their names.
         zones: Indices of their names.
         instance_types: Indices of their names.
         report_fields: Of load reports, in the order of their values.
@@ -51,7 +50,6 @@
     """
 
     request_classes: Interner[str]
-    tenants: Interner[str]
     zones: Interner[str]
     instance_types: Interner[str]
     report_fields: tuple[str, ...]
@@ -158,13 +156,13 @@
         SettingsError: A number is malformed.
     """
     settings = _Settings(given)
+    settings.names("orgs")  # validated only: the header of a request names its tenant
     request_classes = settings.names("service-grades")
     deadlines = (
         settings.upper_bound(f"service-grades.{index}.cut-off") for index in range(len(request_classes.names))
     )
     return ServiceConfig(
         request_classes=request_classes,
-        tenants=settings.names("orgs"),
         zones=settings.names("zones"),
         instance_types=settings.names("kinds"),
         report_fields=tuple(settings.items("report.names")),
@@ -195,9 +193,7 @@
         probing_allowed=settings.flag("allowed.probing"),
         hedging_allowed=settings.flag("allowed.second-copies"),
         max_attempts=settings.integer("allowed.most-dispatches", 1),
-        max_retry_after=(
-            settings.upper_bound("allowed.max-retry-after") if settings.flag("allowed.retry-after") else 0
-        ),
+        max_retry_after=_read_max_retry_after(settings),
         reports_in_responses=settings.text("report.via") == "inline",
         reports_by_probe=settings.text("report.via") == "on_probe",
         report_fields=_read_report_fields(settings),
@@ -215,6 +211,12 @@
     )
 
 
+def _read_max_retry_after(settings: _Settings) -> int:
+    if not settings.flag("allowed.retry-after"):
+        return 0
+    return settings.upper_bound("allowed.max-retry-after")
+
+
 def _read_initial_capacity(settings: _Settings) -> float:
     return settings.number("rules.cold-from", 1.0)
 
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -7,9 +7,8 @@
 """
 
 from collections.abc import Sequence
-from typing import Any
 
-from crankfold.protocol.discovery import DiscoveryEntry, encode_entry
+from crankfold.protocol.discovery import DiscoveryEntry, EndpointDocument, encode_snapshot, without_weights
 from crankfold.protocol.handover_messages import (
     DYNAMIC_WEIGHTS,
     FORMAT_VERSION,
@@ -20,12 +19,10 @@
 )
 from crankfold.routing.interface import EndpointState
 from crankfold.service.backends.manual_drains import AssumedStart
+from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.backends.starts import MAX_CLOCK_ERROR
 from crankfold.service.requests.handler import RequestHandler
 
-EndpointDocument = dict[str, Any]
-"""An endpoint list in the JSON form of discovery."""
-
 MAX_REPORT_AGE = 50_000  # ticks; older load reports are not transferred
 
 
@@ -44,11 +41,7 @@
         return None
     if state.weight_semantics == weight_semantics(weights_follow_load):
         return endpoints
-    targets = endpoints.get("targets")
-    if not isinstance(targets, list):
-        return None
-    without_weights = [target | {"capacity_hint": 0.0} for target in targets if isinstance(target, dict)]
-    return endpoints | {"targets": without_weights}
+    return without_weights(endpoints)
 
 
 def inherited_reports(state: ProcessState, report_fields: Sequence[str]) -> dict[str, list[float]]:
@@ -69,7 +62,7 @@
         dispatcher_name=dispatcher_name,
         weight_semantics=weight_semantics(routing.weights_follow_load),
         report_fields=list(request_handler.config.report_fields),
-        manual_drains=manual_drain_state(request_handler),
+        manual_drains=manual_drain_state(registry),
         known_ids=sorted({*names, *registry.known_ids}),
         endpoints=_transferred_endpoints(request_handler),
         load_reports={
@@ -82,12 +75,12 @@
 def _transferred_endpoints(request_handler: RequestHandler) -> EndpointDocument | None:
     """Returns the endpoint list in the JSON form of discovery; None without a listed backend."""
     registry = request_handler.backends
-    targets = [
-        encode_entry(_transferred_entry(request_handler, backend))
+    entries = [
+        _transferred_entry(request_handler, backend)
         for backend, record in enumerate(registry.records)
         if record.endpoint.state != EndpointState.REMOVED
     ]
-    return {"rev": 0, "all": True, "targets": targets} if targets else None
+    return encode_snapshot(entries) if entries else None
 
 
 def _transferred_entry(request_handler: RequestHandler, backend: int) -> DiscoveryEntry:
@@ -99,10 +92,10 @@
     return entry._replace(weight=routing.backend_weight(backend))
 
 
-def manual_drain_state(request_handler: RequestHandler) -> ManualDrainState:
+def manual_drain_state(registry: BackendRegistry) -> ManualDrainState:
     """Returns the manual drains of this process, with times by the present wall clock."""
-    drains = request_handler.backends.manual_drains
-    shift = request_handler.timers.clock.wall_shift()
+    drains = registry.manual_drains
+    shift = registry.timers.clock.wall_shift()
     assumed_starts = {
         backend_id: (assumed.drained_at + shift, assumed.started_at + shift)
         for backend_id, assumed in drains.assumed_starts.items()
@@ -112,18 +105,17 @@
 
 
 def adopt_manual_drains(
-    request_handler: RequestHandler, state: ManualDrainState, *, times_known: bool = True
+    registry: BackendRegistry, state: ManualDrainState, *, times_known: bool = True
 ) -> None:
     """Puts the manual drains of an earlier process in force.
 
     Args:
-        request_handler: The request handler of this process.
+        registry: The backends of this process.
         state: The manual drains of the earlier process.
         times_known: Whether the state was received from a running process, so that the wall clock was not
             stepped in between. Else backends that may still be in slow start are assumed to start now.
     """
-    registry = request_handler.backends
-    now = request_handler.timers.clock.now()
+    now = registry.timers.clock.now()
     doubtful_from = now + 1 if times_known else now - MAX_CLOCK_ERROR
     registry.manual_drains.drained_since.update(
         {backend_id: min(at, now) for backend_id, at in state.drained_since.items()}
