--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -132,8 +132,10 @@
         if exchange.finished or self.closed or not exchange.may_send():
             exchange.finish(ExchangeResult.NOT_SENT, None)
             self.release(connection)
-        else:
-            connection.start(exchange)
+            return
+        if exchange.on_connect:
+            exchange.on_connect()
+        connection.start(exchange)
 
     async def _open(self) -> tuple[asyncio.StreamWriter, DrainNotifyingProtocol, CountingStreamReader]:
         """Opens a connection; repeats a connect that failed locally until the caller cancels it.
--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -76,6 +76,8 @@
     Attributes:
         headers: Returns the headers; called when the request is written.
         may_send: Whether the request may still be written; called once a new connection is established.
+        on_connect: Called once a new connection is established, if the request may still be written; not
+            called where a connection is reused.
         on_end: Called once with the result, and with the state of the connection if there was one.
         needs_cooldown: Whether a connection has to rest for REUSE_COOLDOWN before it carries this request;
             False where the response has no consequence.
@@ -91,6 +93,7 @@
         "may_send",
         "method",
         "needs_cooldown",
+        "on_connect",
         "on_end",
         "target",
     )
@@ -104,6 +107,7 @@
         *,
         may_send: Callable[[], bool],
         on_end: ExchangeCallback,
+        on_connect: Callable[[], None] | None = None,
         needs_cooldown: bool = True,
     ) -> None:
         self.method = method
@@ -112,6 +116,7 @@
         self.body = body
         self.may_send = may_send
         self.on_end = on_end
+        self.on_connect = on_connect
         self.needs_cooldown = needs_cooldown
         self.connection: ExchangeCarrier | None = None
         self.finished = False
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -101,6 +101,7 @@
             # In the next iteration of the event loop: the router calls this method within its decision.
             self.call_soon(self._on_exchange_ended, request, attempt, ExchangeResult.NOT_SENT, None)
             return
+        self._record_sending(request, attempt)
         http = request.http_request
         attempt.exchange = Exchange(
             http.method,
@@ -108,6 +109,7 @@
             lambda: attempt_headers(http.headers, request.deadline - self.clock.now()),
             http.body,
             may_send=partial(self._may_send, request, attempt),
+            on_connect=partial(self._record_sending, request, attempt),
             on_end=partial(self._on_exchange_ended, request, attempt),
         )
         self.backends.records[backend].pool.send(attempt.exchange)
@@ -133,7 +135,7 @@
         Checked before a connection is requested and again once it is established: in between the request may
         have ended, or the backend may have started to drain.
         """
-        allowed = (
+        return (
             request.is_open
             # The close may be unread yet, behind pipelined data of the client.
             and not request.client.peer_has_closed()
@@ -143,10 +145,15 @@
             and self.cluster.has_valid_config()
             and self._within_deduplication_window(request, attempt)
         )
-        if allowed:
-            backend_id = self.backends.backend_ids.names[attempt.backend]
-            self.cluster.record_event(RecordedEvent.ATTEMPT_SENT, request.request_id, backend_id)
-        return allowed
+
+    def _record_sending(self, request: Request, attempt: Attempt) -> None:
+        """Writes an attempt to the event log.
+
+        Called each time that `_may_send` has permitted the attempt, so it has two lines if it needed a new
+        connection, the first of them even if it was not sent in the end.
+        """
+        backend_id = self.backends.backend_ids.names[attempt.backend]
+        self.cluster.record_event(RecordedEvent.ATTEMPT_SENT, request.request_id, backend_id)
 
     def _within_deduplication_window(self, request: Request, attempt: Attempt) -> bool:
         """Whether backends still know the keys of all attempts that may have been executed."""
