--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -92,7 +92,7 @@
         self.overloaded_until = 0  # end of its rest after it refused work or was unreachable
         self.unstarted = 0  # own attempts whose start is not notified
         self.own_share = 0.0  # of the slow-start budget that all instances share
-        self.slow_start_next = 0  # when the budget allows the next request; 0 before its random start
+        self.slow_start_next = 0  # when the budget allows the next request; 0 until the first is drawn
 
     def add_slots(self, now: int, slots: float) -> None:
         """Counts slots taken (positive) or freed (negative) by this instance's own attempts."""
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -166,6 +166,7 @@
 
     def _available(self, now: int, request: PendingRequest, pool: Backends, work: float) -> Backends:
         pool = not_overloaded(now, pool)
+        self._slow_start.draw_first_send_times(now, pool, work)
         pool = self.within_slow_start_budget(now, pool, work)
         pool = self._ejection.trusted(now, pool)
         if self._state.weights_follow_load and (self._state.sparse or request.key):
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: how much work a backend that has just started may be sent while it warms up."""
 
-from crankfold.routing.backend_table import Backend
+from crankfold.routing.backend_table import Backend, Backends
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
@@ -31,24 +31,43 @@
         age = now - backend.warm_from + self._warm_up_time
         return self._initial_capacity + (1.0 - self._initial_capacity) * max(age, 0) / self._warm_up_time
 
+    def draw_first_send_times(self, now: int, backends: Backends, work: float) -> None:
+        """Draws when each warming backend may be sent its first request, where that is not drawn yet.
+
+        The time is random within the first interval between two requests: without it, the first requests of
+        hundreds of instances would overload the backend together. None is drawn for a backend that may not
+        be sent this request at all.
+
+        Args:
+            now: Ticks.
+            backends: The candidates; times are drawn in their order.
+            work: Slot-ticks that an attempt is charged as.
+        """
+        if now >= self.all_warm_from:
+            return
+        for backend in backends:
+            is_due = backend.warm_from > now and not backend.slow_start_next
+            if is_due and self._fits_budget(now, backend, work):
+                interval = int(work / (self._budget(now, backend) * backend.own_share)) + 1
+                backend.slow_start_next = now + self._state.random.below(interval)
+
     def admits(self, now: int, backend: Backend, work: float) -> bool:
-        """Whether the budget of a warming backend has enough saved up, and the backend is not behind.
+        """Whether a warming backend may be sent an attempt now, once its first send time is drawn.
 
-        Saving begins at a random time within the first interval. Without it, the first requests of hundreds
-        of instances would overload the backend together.
+        Permitted if the backend has started all its earlier attempts, and its budget has saved up the work.
 
         Args:
             now: Ticks.
             backend: A backend in slow start.
             work: Slot-ticks that an attempt is charged as.
         """
-        budget = self._budget(now, backend)
-        if backend.unstarted or not backend.own_share or work > self._max_burst * budget:
+        return now >= backend.slow_start_next and self._fits_budget(now, backend, work)
+
+    def _fits_budget(self, now: int, backend: Backend, work: float) -> bool:
+        """Whether the backend has no unstarted attempt, and its budget can save up as much as the work."""
+        if backend.unstarted or not backend.own_share:
             return False
-        if not backend.slow_start_next:
-            interval = int(work / (budget * backend.own_share)) + 1
-            backend.slow_start_next = now + self._state.random.below(interval)
-        return now >= backend.slow_start_next
+        return work <= self._max_burst * self._budget(now, backend)
 
     def charge(self, now: int, backend: Backend, work: float) -> None:
         """Takes `work` slot-ticks from the budget: the next attempt waits until as much is saved up again."""
