--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -65,7 +65,7 @@
 
     def _respond_to_forwarded(self, client: ClientChannel, handled: bool | None) -> None:
         if not handled:
-            self.metrics.increment("callbacks-unknown-request")
+            self._count_unknown_request()
         if client.is_awaiting_response():
             # A callback for a request that is unknown to all processes is acknowledged: a retry would not
             # help. If a process did not answer, the status asks the backend to retry.
@@ -75,7 +75,9 @@
     def execution_started(self, request_id: str, backend_id: str) -> None:
         """Handles the report that the backend has started to execute the request."""
         found = self._find_attempt(request_id, backend_id)
-        if found and not found.attempt.started:
+        if not found:
+            self._count_unknown_request()
+        elif not found.attempt.started:
             found.attempt.started = True
             self._notify_routing(self.owner.routing.attempt_started, found)
 
@@ -89,6 +91,8 @@
         found = self._find_attempt(request_id, backend_id)
         if found:
             self._notify_routing(self.owner.routing.attempt_progressed, found)
+        else:
+            self._count_unknown_request()
 
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
@@ -104,6 +108,7 @@
         """
         found = self._find_attempt(request_id, backend_id)
         if not found:
+            self._count_unknown_request()
             self.request_table.end_abandoned_attempts(request_id, self.backends.backend_ids.find(backend_id))
             self.cluster.abandoned_attempt_finished(request_id, backend_id)
             return
@@ -122,7 +127,8 @@
 
     def _find_attempt(self, request_id: str, backend_id: str) -> ActiveAttempt | None:
         backend = self.backends.backend_ids.find(backend_id)
-        found = self.request_table.find_active_attempt(request_id, backend)
-        if not found:
-            self.metrics.increment("callbacks-unknown-request")
-        return found
+        return self.request_table.find_active_attempt(request_id, backend)
+
+    def _count_unknown_request(self) -> None:
+        """Counts a callback for a request that has no attempt in flight at its backend, or is not in hand."""
+        self.metrics.increment("callbacks-unknown-request")
