--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -84,7 +84,7 @@
             sent_at=now,
             last_applied=self.last_applied,
             quiesced_index=self.quiesced_index(),
-            quota_usage=self.host.collect_quota_usage(),
+            quota_usage=self.host.quota_usage(),
             maintenance_report=self.host.maintenance_report(),
         )
         self._messages.append(OutgoingMessage(self.voter, heartbeat))
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -28,7 +28,7 @@
             last_applied: The last applied index, which is the highest result.
         """
 
-    def collect_quota_usage(self) -> dict[str, int]:
+    def quota_usage(self) -> dict[str, int]:
         """The number of open and wanted requests, by cluster-wide limit."""
 
     def maintenance_report(self) -> MaintenanceReport | None:
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -331,7 +331,7 @@
             contact_ticks=now - self.started_at,
             last_applied=self.last_applied,
             state=LeaseHolderState.ALIVE,
-            quota_usage=self.host.collect_quota_usage(),
+            quota_usage=self.host.quota_usage(),
         )
 
     def propose(self, now: int, proposal_id: str, kind: str, data: EntryData) -> None:
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -229,7 +229,7 @@
         if endpoints:
             self.request_handler.effective_endpoints_changed(endpoints)
 
-    def collect_quota_usage(self) -> dict[str, int]:
+    def quota_usage(self) -> dict[str, int]:
         """Returns the demand for each limit: requests in hand and those rejected since the last call."""
         return self.quotas.collect_usage()
 
--- a/crankfold/simulation/consensus/process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -50,7 +50,7 @@
         """Returns `last_applied`: no request uses an older version."""
         return last_applied
 
-    def collect_quota_usage(self) -> dict[str, int]:
+    def quota_usage(self) -> dict[str, int]:
         """Returns an empty map."""
         return {}
 
@@ -124,7 +124,7 @@
         version = document.find(document.active_number)
         return version is not None and QUOTA_KEY in version.text["shares"]
 
-    def collect_quota_usage(self) -> dict[str, int]:
+    def quota_usage(self) -> dict[str, int]:
         """Returns the requests in flight plus the further demand."""
         return {QUOTA_KEY: len(self.request_ends) + self.wanted_requests}
 
