--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -2,7 +2,7 @@
 
 from crankfold.routing.completion import Completion
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
-from crankfold.routing.hedging import HedgingPolicy
+from crankfold.routing.hedging import HedgingPolicy, min_time_left
 from crankfold.routing.interface import REFRESH_TIMER, RequestArrival, RequestClass
 from crankfold.routing.outlier_ejection import StallDetection
 from crankfold.routing.records import PendingRequest
@@ -17,7 +17,6 @@
 MAX_UNSENT_REQUESTS = 3  # queued requests without a backend in one drain; one more ends it
 IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; less time left: a client with a short deadline
 MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
-LATEST_START_WORK_SHARE = 0.5  # of the expected work that must be left to the objective at the start
 
 
 def first_try_at(now: int, arrival: RequestArrival, settings: RequestClass) -> int:
@@ -38,8 +37,7 @@
 
 def latest_useful_start(request: PendingRequest) -> int:
     """Returns the tick from which an attempt of the request would end too late for its objective."""
-    shortest_run = int(LATEST_START_WORK_SHARE * request.expected_work)
-    return min(request.objective_at - shortest_run, request.deadline)
+    return min(request.objective_at - int(min_time_left(request)), request.deadline)
 
 
 def is_worthless(now: int, request: PendingRequest, first_try: int) -> bool:
--- a/crankfold/routing/affinity.py
+++ b/crankfold/routing/affinity.py
@@ -1,12 +1,12 @@
 """Affinity: the backends that keep the data of a request's key, by rendezvous hashing."""
 
 from crankfold.routing.backend_table import Backends
+from crankfold.routing.concurrency_limit import max_load_ratio
 from crankfold.routing.hashing import hash_weight
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
 PREFERRED_BACKENDS = 2  # for each key
-WAIT_SHARE = 0.4  # of the latency objective that a wait for a preferred backend may take
 
 
 class KeyAffinity:
@@ -23,16 +23,15 @@
     def preferred(self, request: PendingRequest, candidates: Backends) -> Backends:
         """Returns the key's first backends in rendezvous order, most preferred first.
 
-        Backends where the wait would take more than `WAIT_SHARE` of the latency objective are passed over, so
-        the result may be empty.
+        Backends with more load than `max_load_ratio` allows are passed over, so the result may be empty.
 
         Args:
             request: A request with a key.
             candidates: Backends that may take it.
         """
         objective = request.request_class.settings.latency_objective
-        max_filling = 1.0 + WAIT_SHARE * objective / self._state.averages.mean_run  # of the backend's slots
-        with_short_wait = {b for b in candidates if not b.capacity or b.load <= max_filling * b.capacity}
+        max_ratio = max_load_ratio(objective, self._state.averages.mean_run)
+        with_short_wait = {b for b in candidates if not b.capacity or b.load <= max_ratio * b.capacity}
         order = self._rendezvous_order(request.key)
         return [b for b in order if b in with_short_wait][:PREFERRED_BACKENDS]
 
--- a/crankfold/routing/concurrency_limit.py
+++ b/crankfold/routing/concurrency_limit.py
@@ -15,9 +15,20 @@
 MIN_ADJUSTMENT_RATIO = 0.5  # lowest ratio that one adjustment applies
 GROWTH_ROOTS = 0.5  # growth by one adjustment, as a multiple of the limit's square root
 MIN_USE_SHARE = 0.5  # of the limit that must be in flight for it to grow
+MAX_WAIT_SHARE = 0.4  # of the latency objective that the wait for a slot may take
 SPARSE_HEADROOM_RATIO = 1.5  # on a fair share of a few slots, which random arrivals often exceed
 
 
+def max_load_ratio(latency_objective: float, mean_run: float) -> float:
+    """Returns the highest load of a backend, over its slots, at which waits stay within `MAX_WAIT_SHARE`.
+
+    Args:
+        latency_objective: Ticks.
+        mean_run: Ticks, the mean running time of an attempt.
+    """
+    return 1.0 + MAX_WAIT_SHARE * latency_objective / mean_run
+
+
 class ConcurrencyLimit:
     """Counts the attempts in flight and adapts their limit."""
 
--- a/crankfold/routing/hedging.py
+++ b/crankfold/routing/hedging.py
@@ -13,10 +13,15 @@
 DELAY_GROWTH_FACTOR = 2  # from one look at a request to the next
 DELAY_WAIT_RATIO = 4  # lowest delay, as a multiple of the mean wait for a start
 SPARE_TIME_DIVISOR = 3  # of the time to spare: the delay where this instance sees little of the fleet
-LATEST_START_WORK_SHARE = 0.5  # of the expected work that a hedge in time must have left
+MIN_TIME_LEFT_WORK_SHARE = 0.5  # of the expected work: a run may be shorter than expected
 MAX_IN_FLIGHT = 1  # attempts of a request with which a hedge may still be sent
 
 
+def min_time_left(request: PendingRequest) -> float:
+    """Returns the ticks to its latency objective that an attempt of the request needs to end in time."""
+    return MIN_TIME_LEFT_WORK_SHARE * request.expected_work
+
+
 class HedgingPolicy:
     """Decides when an attempt in flight is looked at, and whether a hedge is due."""
 
@@ -78,5 +83,5 @@
 
     def _is_useful(self, now: int, request: PendingRequest) -> bool:
         """Whether the response to a hedge could be in time, or has a value when late."""
-        in_time = now + LATEST_START_WORK_SHARE * request.expected_work <= request.objective_at
+        in_time = now + min_time_left(request) <= request.objective_at
         return in_time or request.request_class.settings.late_value != 0
--- a/crankfold/routing/membership.py
+++ b/crankfold/routing/membership.py
@@ -2,13 +2,12 @@
 
 from collections.abc import Sequence
 
-from crankfold.routing.concurrency_limit import ConcurrencyLimit
+from crankfold.routing.concurrency_limit import ConcurrencyLimit, max_load_ratio
 from crankfold.routing.interface import Endpoint
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-WAIT_SHARE = 0.4  # of the latency objective that requests may wait before the limit shrinks
 MIN_LIMIT_ATTEMPTS = 1.0  # where the limit follows the listed weights
 ADJUST_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # between two adjustments of the limit by listed weights
 
@@ -59,5 +58,5 @@
                 size += backend.weight
         if not size:
             return
-        allowed = 1.0 + WAIT_SHARE * self._state.mean_objective / self._state.averages.mean_run
-        self._limit.adjust(now, min(allowed * size / (load or 1.0), 1.0), MIN_LIMIT_ATTEMPTS)
+        max_ratio = max_load_ratio(self._state.mean_objective, self._state.averages.mean_run)
+        self._limit.adjust(now, min(max_ratio * size / (load or 1.0), 1.0), MIN_LIMIT_ATTEMPTS)
