--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -10,7 +10,7 @@
 | `within_slow_start_budget` | warm backends, and warming ones with budget saved up | no candidate |
 | `OutlierEjection.trusted` | backends that are not ejected | see there |
 | `not_overutilized` | backends whose listed load is low, where lists show it | does without the step |
-| `not_attempted` | backends that no earlier attempt went to | all again, unless an attempt is in flight |
+| `prefer_unattempted` | backends without an earlier attempt | all, unless an attempt is in flight |
 | (all ready backends) | where a subset leaves none, the fleet by the steps above | no candidate |
 | `finishing_in_time` | warm backends, and warming ones fast enough | does without the step |
 | `with_capacity` | backends with free slots | `with_bounded_wait`, but not for a hedge |
@@ -49,11 +49,12 @@
     return prefer([b for b in pool if b.utilization < MAX_UTILIZATION], otherwise=pool)
 
 
-def not_attempted(request: PendingRequest, pool: Backends) -> Backends:
+def prefer_unattempted(request: PendingRequest, pool: Backends) -> Backends:
     """Returns the backends without an earlier attempt of the request.
 
     Where every backend has had one, a retry may go to any of them. A hedge may not, as it would wait for the
-    backend that it hedges against.
+    backend that it hedges against. This is a preference: whether the service may send a second attempt to a
+    backend at all is decided by `Attempts._callback_would_be_ambiguous`.
     """
     if not request.attempts:
         return pool
@@ -171,7 +172,7 @@
         pool = self._ejection.trusted(now, pool)
         if self._state.weights_follow_load and (self._state.sparse or request.key):
             pool = not_overutilized(pool)
-        return not_attempted(request, pool)
+        return prefer_unattempted(request, pool)
 
     def within_slow_start_budget(self, now: int, pool: Backends, work: float) -> Backends:
         """Returns the backends that are warm, and those whose budget has `work` slot-ticks saved up."""
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -118,14 +118,19 @@
         """Whether a callback of this backend could belong to an earlier attempt of the request.
 
         Callbacks name the request, not the attempt, so a backend has at most one attempt of a request at a
-        time, and an attempt that was cancelled without confirmation counts. Backends may repeat callbacks. A
-        repeated "never executed" of the first attempt must not be taken for the outcome of a second one, so a
-        backend gets a request that is not idempotent only once.
+        time; an attempt counts until the backend has confirmed its cancellation. Backends may repeat
+        callbacks, and a repeated "never executed" of the first attempt must not be taken for the outcome of a
+        second one, so a backend receives a request that is not idempotent only once. The router usually
+        avoids such backends (`prefer_unattempted`); this check never permits them.
         """
         never_twice = self.request_table.class_of(request).idempotency != Idempotency.IDEMPOTENT
         return any(
             earlier.backend == backend
-            and (earlier.in_flight or earlier.may_still_run or (never_twice and earlier.was_sent()))
+            and (
+                earlier.in_flight
+                or earlier.may_still_run
+                or (never_twice and earlier.was_assigned_connection())
+            )
             for earlier in request.attempts
         )
 
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -66,8 +66,8 @@
         self.may_still_run = False
         self.may_have_run = True
 
-    def was_sent(self) -> bool:
-        """Whether it was assigned a connection."""
+    def was_assigned_connection(self) -> bool:
+        """Whether a connection was assigned to it, so that the backend may have received the request."""
         return self.exchange is not None and self.exchange.connection is not None
 
 
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -150,7 +150,7 @@
             patch.object(
                 routing.selection.candidates, "_available", lambda *_: routing.state.table.backends[:1]
             ),
-            patch("crankfold.service.requests.table.Attempt.was_sent", lambda _trip: False),
+            patch("crankfold.service.requests.table.Attempt.was_assigned_connection", lambda _trip: False),
         ):
             answer = await self.send_request("u1")
         self.assertEqual((answer[0].split()[1], opened, len(self.lines)), ("504", 2, 1))
