--- a/crankfold/routing/affinity.py
+++ b/crankfold/routing/affinity.py
@@ -40,6 +40,8 @@
         order = self._order_of_key.get(key)
         if order is None:
             ready = self._state.table.ready
-            order = sorted(ready, key=lambda each: hash_weight(key, each.hash_position) / each.weight)
+            order = sorted(
+                ready, key=lambda each: hash_weight(key, each.endpoint.hash_position) / each.weight
+            )
             self._order_of_key[key] = order
         return order
--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -13,6 +13,8 @@
 
 REPORT_DELAY_TICKS = 4 * TICKS_PER_SECOND // 10  # between the creation of a load report and its arrival
 NEVER = -(1 << 62)  # ticks, before every event
+# The entry of a backend that no list has named yet.
+UNLISTED = Endpoint(-1, EndpointState.REMOVED, weight=0.0, zone=0, cell=0, started_at=0)
 
 
 class SlotChange(NamedTuple):
@@ -26,16 +28,13 @@
     """One backend, by the endpoint list, its load reports and this instance's own attempts."""
 
     __slots__ = (
-        "announced_weight",
         "capacity",
-        "cell",
         "ejected_until",
         "ejection_time",
+        "endpoint",
         "error_rate",
-        "hash_position",
         "hinted_work_sum",
         "index",
-        "instance_type",
         "last_seen_at",
         "load",
         "overloaded_until",
@@ -49,7 +48,6 @@
         "run_time_sum",
         "score_factor",
         "slow_start_next",
-        "started_at",
         "state",
         "unstarted",
         "utilization",
@@ -60,16 +58,11 @@
 
     def __init__(self, index: int, now: int) -> None:
         """Creates the record of a backend that is first listed at `now` ticks."""
-        # Over 30 lines as there is one for each field; a dataclass would cost each start a millisecond.
         self.index = index
-        self.state = EndpointState.REMOVED
-        self.zone = 0
-        self.cell = 0
-        self.instance_type = 0
-        self.hash_position = 0.0  # below 1, the same at every instance
-        self.started_at = 0  # by the list; 0 if unknown, which counts as long ago
+        self.endpoint = UNLISTED  # the newest entry of the endpoint list
+        self.state = EndpointState.REMOVED  # of the entry, or REMOVED by a snapshot without an entry
+        self.zone = 0  # of the entry; a field of its own, as it is read for each candidate
         self.warm_from = 0  # end of its warm-up
-        self.announced_weight = 0.0
         self.weight = 0.0  # size: the listed weight, without the load where listed weights follow the load
         self.utilization = 0.0  # requests for each core, from a listed weight that follows the load
         self.capacity = 0.0  # slots; 0 while not known
@@ -89,8 +82,8 @@
         self.error_rate = 0.0  # moving average, from 0 to 1
         self.ejection_time = 0  # length of the present ejection; 0 for a trusted backend
         self.ejected_until = 0
-        self.overloaded_until = 0  # end of its rest after it refused work or was unreachable
-        self.unstarted = 0  # own attempts whose start is not notified
+        self.overloaded_until = 0  # end of the backoff after it refused a request or was unreachable
+        self.unstarted = 0  # own attempts whose start the backend has not notified
         self.own_share = 0.0  # of the slow-start budget that all instances share
         self.slow_start_next = 0  # when the budget allows the next request; 0 until the first is drawn
 
@@ -150,22 +143,18 @@
         self.ready = [backend for backend in self.backends if backend.state == EndpointState.READY]
 
     def _apply(self, backend: Backend, endpoint: Endpoint) -> None:
-        if endpoint.started_at > backend.started_at:
+        if endpoint.started_at > backend.endpoint.started_at:
             # Load, errors and ejection of the earlier process do not apply to the restarted one.
             backend.reported_queue = 0.0
             backend.error_rate = 0.0
             backend.load = backend.own_slots
             backend.ejection_time = 0
             backend.slow_start_next = 0
+        backend.endpoint = endpoint
         backend.state = endpoint.state
-        backend.announced_weight = endpoint.weight
         backend.weight = endpoint.weight if endpoint.weight > 0 else 1.0
         backend.zone = endpoint.zone
-        backend.cell = endpoint.cell
-        backend.started_at = endpoint.started_at
         backend.warm_from = endpoint.started_at + self._warm_up_time if endpoint.started_at else 0
-        backend.hash_position = endpoint.hash_position
-        backend.instance_type = endpoint.instance_type
         backend.capacity = self._capacity.get(endpoint.instance_type, 0.0)
         if endpoint.weight > 0:
             largest = self._largest_weight.get(endpoint.instance_type, 0.0)
@@ -177,15 +166,16 @@
         The size is the largest weight that was listed for the instance type. The listed weight is the size
         over one more than the requests for each core.
         """
-        backend.weight = self._largest_weight.get(backend.instance_type, 1.0)
-        announced = backend.announced_weight if backend.announced_weight > 0 else backend.weight
-        backend.utilization = backend.weight / announced - 1.0
+        backend.weight = self._largest_weight.get(backend.endpoint.instance_type, 1.0)
+        listed_weight = backend.endpoint.weight if backend.endpoint.weight > 0 else backend.weight
+        backend.utilization = backend.weight / listed_weight - 1.0
 
     def learn_capacity(self, backend: Backend, seen: float) -> None:
         """Raises the capacity of each ready backend of the same instance type to `seen` slots."""
         if seen <= backend.capacity:
             return
-        self._capacity[backend.instance_type] = seen
+        instance_type = backend.endpoint.instance_type
+        self._capacity[instance_type] = seen
         for other in self.ready:
-            if other.instance_type == backend.instance_type:
+            if other.endpoint.instance_type == instance_type:
                 other.capacity = seen
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -162,7 +162,7 @@
         if scope.zone >= 0:
             return [b for b in self._state.table.ready if b.zone == scope.zone]
         if scope.cell >= 0:
-            return [b for b in self._state.table.ready if b.cell == scope.cell]
+            return [b for b in self._state.table.ready if b.endpoint.cell == scope.cell]
         return usual
 
     def _available(self, now: int, request: PendingRequest, pool: Backends, work: float) -> Backends:
--- a/crankfold/routing/retries.py
+++ b/crankfold/routing/retries.py
@@ -23,7 +23,7 @@
     if scope == DeduplicationScope.ZONE:
         return AttemptScope(zone=backend.zone)
     if scope == DeduplicationScope.CELL:
-        return AttemptScope(cell=backend.cell)
+        return AttemptScope(cell=backend.endpoint.cell)
     return ANYWHERE
 
 
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -46,7 +46,7 @@
     def endpoints_changed(self) -> None:
         """Orders the ring anew: zone by zone, so that a stretch of it has its share of each zone."""
         ready = self._state.table.ready
-        self._ring = sorted(ready, key=lambda backend: (backend.zone, backend.hash_position))
+        self._ring = sorted(ready, key=lambda backend: (backend.zone, backend.endpoint.hash_position))
         self._is_current = False
 
     def refresh(self, now: int) -> None:
@@ -107,13 +107,13 @@
         count = self._state.instance_count
         senders = min(MAX_SLOW_START_SENDERS, count)
         for backend in ready:
-            position = (self._state.instance_index + int(backend.hash_position * count)) % count
+            position = (self._state.instance_index + int(backend.endpoint.hash_position * count)) % count
             backend.own_share = (position < senders) / senders
 
     def _draw(self, now: int) -> None:
         bound = self._short_share / SHARE_STEPS
-        for_short = [b for b in self._ring if b.hash_position < bound]
-        for_long = [b for b in self._ring if b.hash_position >= bound]
+        for_short = [b for b in self._ring if b.endpoint.hash_position < bound]
+        for_long = [b for b in self._ring if b.endpoint.hash_position >= bound]
         short = self._draw_evenly(now, for_short, MIN_SHORT_SUBSET_BACKENDS)
         long = self._draw_evenly(now, for_long, self._size)
         self.short = short or long
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -50,7 +50,7 @@
         self.assertEqual(((await self.send_request("u3"))[1], self.reads), (b"done", 2))
         self.assertEqual(self.application.request_handler.request_classes.open_counts, [0])
         self.assertEqual(
-            self.application.request_handler.routing.state.table.backends[0].started_at, 0
+            self.application.request_handler.routing.state.table.backends[0].endpoint.started_at, 0
         )  # its kept connection shows it never restarted
 
     async def test_back_after_a_restart_that_the_list_does_not_show_it_is_cold(self) -> None:
@@ -62,7 +62,7 @@
         before = self.application.timers.clock.now()
         await self.call(self.admin_port, "runners/a/online")
         decisions = self.application.request_handler.routing
-        self.assertGreaterEqual(decisions.state.table.backends[0].started_at, before)
+        self.assertGreaterEqual(decisions.state.table.backends[0].endpoint.started_at, before)
         self.assertGreater(
             decisions.state.table.backends[0].warm_from, self.application.timers.clock.now() + 50_000
         )
