--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -101,6 +101,7 @@
             # In the next iteration of the event loop: the router calls this method within its decision.
             self.call_soon(self._on_exchange_ended, request, attempt, ExchangeResult.NOT_SENT, None)
             return
+        self._record_sending(request, attempt)
         http = request.http_request
         attempt.exchange = Exchange(
             http.method,
@@ -108,6 +109,7 @@
             lambda: attempt_headers(http.headers, request.deadline - self.clock.now()),
             http.body,
             may_send=partial(self._may_send, request, attempt),
+            on_connect=partial(self._record_sending, request, attempt),
             on_end=partial(self._on_exchange_ended, request, attempt),
         )
         self.backends.records[backend].pool.send(attempt.exchange)
@@ -116,14 +118,19 @@
         """Whether a callback of this backend could belong to an earlier attempt of the request.
 
         Callbacks name the request, not the attempt, so a backend has at most one attempt of a request at a
-        time, and an attempt that was cancelled without confirmation counts. Backends may repeat callbacks. A
-        repeated "never executed" of the first attempt must not be taken for the outcome of a second one, so a
-        backend gets a request that is not idempotent only once.
+        time; an attempt counts until the backend has confirmed its cancellation. Backends may repeat
+        callbacks, and a repeated "never executed" of the first attempt must not be taken for the outcome of a
+        second one, so a backend receives a request that is not idempotent only once. The router usually
+        avoids such backends (`prefer_unattempted`); this check never permits them.
         """
         never_twice = self.request_table.class_of(request).idempotency != Idempotency.IDEMPOTENT
         return any(
             earlier.backend == backend
-            and (earlier.in_flight or earlier.may_still_run or (never_twice and earlier.was_sent()))
+            and (
+                earlier.in_flight
+                or earlier.may_still_run
+                or (never_twice and earlier.was_assigned_connection())
+            )
             for earlier in request.attempts
         )
 
@@ -133,7 +140,7 @@
         Checked before a connection is requested and again once it is established: in between the request may
         have ended, or the backend may have started to drain.
         """
-        allowed = (
+        return (
             request.is_open
             # The close may be unread yet, behind pipelined data of the client.
             and not request.client.peer_has_closed()
@@ -143,10 +150,15 @@
             and self.cluster.authorize_action()
             and self._within_deduplication_window(request, attempt)
         )
-        if allowed:
-            backend_id = self.backends.backend_ids.names[attempt.backend]
-            self.cluster.record_event(RecordedEvent.ATTEMPT_SENT, request.request_id, backend_id)
-        return allowed
+
+    def _record_sending(self, request: Request, attempt: Attempt) -> None:
+        """Writes an attempt to the event log.
+
+        Called each time that `_may_send` has permitted the attempt, so it has two lines if it needed a new
+        connection, the first of them even if it was not sent in the end.
+        """
+        backend_id = self.backends.backend_ids.names[attempt.backend]
+        self.cluster.record_event(RecordedEvent.ATTEMPT_SENT, request.request_id, backend_id)
 
     def _within_deduplication_window(self, request: Request, attempt: Attempt) -> bool:
         """Whether backends still know the keys of all attempts that may have been executed."""
