--- a/tests/routing/rule_scene.py
+++ b/tests/routing/rule_scene.py
@@ -7,7 +7,7 @@
 
 
 def request_class(**settings: object) -> RequestClass:
-    """The usual class, idempotent, with other settings."""
+    """The idempotent class of the test cases with other settings."""
     return replace(REQUEST_CLASS, **settings)  # type: ignore[arg-type]
 
 
@@ -17,53 +17,53 @@
 
 
 class RuleScene(RouterTestCase):
-    """Keeps what the router did: attempts sent, requests shed and requests failed."""
+    """Records attempts sent, requests shed and requests failed."""
 
-    def open_with(self, *endpoints: Endpoint, free: float = 4.0, **config: object) -> None:
+    def open_with(self, *endpoints: Endpoint, free_slots: float = 4.0, **config: object) -> None:
         """Starts a router with these backends, each with a report of free slots; 0 for no report."""
         self.sent: list[tuple[int, int]] = []  # request, backend
         self.shed_requests: list[int] = []
         self.failed_requests: list[int] = []
-        self.open(runners=0, free=0, **config)  # type: ignore[arg-type]
-        self.list(list(endpoints))
-        if free:
+        self.open(backend_count=0, free_slots=0, **config)  # type: ignore[arg-type]
+        self.change_endpoints(list(endpoints))
+        if free_slots:
             for endpoint in endpoints:
-                self.report(endpoint.backend, free)
+                self.report(endpoint.backend, free_slots)
 
-    def send_attempt(self, unit: int, runner: int) -> None:
-        """Keeps an attempt that is sent."""
-        self.sent.append((unit, runner))
+    def send_attempt(self, request_id: int, backend: int) -> None:
+        """Records an attempt."""
+        self.sent.append((request_id, backend))
 
-    def shed(self, unit: int, advice: int) -> None:  # noqa: ARG002 - as the base names it
-        """Keeps a request that is shed."""
-        self.shed_requests.append(unit)
+    def shed(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 - as the base names it
+        """Records a request that is shed."""
+        self.shed_requests.append(request_id)
 
-    def fail_request(self, unit: int) -> None:
-        """Keeps a request that has failed."""
-        self.failed_requests.append(unit)
+    def fail_request(self, request_id: int) -> None:
+        """Records a request that has failed."""
+        self.failed_requests.append(request_id)
 
-    def report(self, backend: int, free: float) -> None:
-        """Tells of an idle backend with so many free slots."""
-        self.told.probe_ended(self.now, backend, True, (0.0, free))
+    def report(self, backend: int, free_slots: float) -> None:
+        """Sends the report of an idle backend with so many free slots."""
+        self.router.probe_ended(self.now, backend, True, (0.0, free_slots))
 
     def change(self, *endpoints: Endpoint) -> None:
-        """Tells of changed endpoints only."""
-        self.list(list(endpoints), whole=False)
+        """Sends a delta of the endpoint list."""
+        self.change_endpoints(list(endpoints), snapshot=False)
 
     def backends_of(self, request: int) -> list[int]:
         """The backends that the request was sent to, in order."""
         return [backend for sent, backend in self.sent if sent == request]
 
     def send(self, request: int, **arrival: object) -> int:
-        """Takes a request that is sent at once, and gives its backend."""
-        self.take(request, **arrival)  # type: ignore[arg-type]
+        """Receives a request that is sent at once; returns its backend."""
+        self.receive_request(request, **arrival)  # type: ignore[arg-type]
         return self.backends_of(request)[-1]
 
     def finish(self, request: int, outcome: Outcome = Outcome.COMPLETED, *, last: bool = True) -> None:
         """Ends the request's latest attempt."""
         backends = self.backends_of(request)
-        self.end(request, backends[-1], outcome, len(backends) - 1, last=last)
+        self.end_attempt(request, backends[-1], outcome, len(backends) - 1, last=last)
 
     def elapse(self, ms: float) -> None:
-        """Lets time pass, with the timers that fall due."""
-        self.at((self.now - 100_000) / MS + ms)
+        """Moves the clock on by `ms` and fires the timers that are due."""
+        self.advance_to((self.now - 100_000) / MS + ms)
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -10,15 +10,15 @@
 class DiscoveryCrossings(RouterTestCase):
     def test_where_endpoints_are_polled_no_pause_is_longer_than_a_change_may_take(self) -> None:
         self.open(
-            runners=0,
+            backend_count=0,
             discovery_by_poll=True,
             poll_within=200_000,
             instance_count=400,
             change_notice_within=60_000,
         )
         for _ in range(9):
-            self.told.discovery_failed(self.now)
-        pauses = [at - self.now for at, label in self.wakes if label == POLL_TIMER]
+            self.router.discovery_failed(self.now)
+        pauses = [at - self.now for at, label in self.timers if label == POLL_TIMER]
         self.assertEqual(len(pauses), 10)
         self.assertLess(
             max(pauses), 60_000 - CONNECT_TIMEOUT * 20_000
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -1,4 +1,4 @@
-"""What is harmless when one instance does it and harmful when forty do: several instances in one trace."""
+"""What does no harm at one instance and would at forty: rules that limit all instances together."""
 
 import re
 from collections import Counter
@@ -8,150 +8,174 @@
 from crankfold.routing.router import Router
 from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase, TraceTestCase
 
-DISPATCHERS = 40
-WARM = 60
-UNIT = 100 * MS
+INSTANCES = 40
+WARM_BACKENDS = 60
+WORK = 100 * MS  # of each request
 
 
-class Post:
-    """The port of one of many: notes where units went and carries out wakes when time passes."""
+class Instance:
+    """A router of one of many instances, with its attempts, polls and timers."""
 
-    def __init__(self, seed: int, **orders: object) -> None:
-        self.wakes: list[tuple[int, int]] = []
-        self.went: list[tuple[int, int, int]] = []  # when, unit, runner
-        self.now, self.asked = 100_000, list[int]()
-        self.told = Router(replace(ROUTING_CONFIG, **orders), seed, self)  # type: ignore[arg-type]
+    def __init__(self, seed: int, **settings: object) -> None:
+        self.timers: list[tuple[int, int]] = []
+        self.attempts: list[tuple[int, int, int]] = []  # sent at, request id, backend
+        self.now = 100_000
+        self.polls: list[int] = []  # times
+        self.router = Router(replace(ROUTING_CONFIG, **settings), seed, self)  # type: ignore[arg-type]
 
-    def send_attempt(self, unit: int, runner: int) -> None:
-        self.went.append((self.now, unit, runner))
+    def send_attempt(self, request_id: int, backend: int) -> None:
+        self.attempts.append((self.now, request_id, backend))
 
-    def shed(self, unit: int, advice: int) -> None: ...
-    def fail_request(self, unit: int) -> None: ...
-    def cancel_attempt(self, unit: int, nth: int) -> None: ...
-    def probe(self, runner: int) -> None: ...
+    def shed(self, request_id: int, retry_after: int) -> None: ...
+    def fail_request(self, request_id: int) -> None: ...
+    def cancel_attempt(self, request_id: int, attempt_number: int) -> None: ...
+    def probe(self, backend: int) -> None: ...
 
     def poll_endpoints(self) -> None:
-        self.asked.append(self.now)
+        self.polls.append(self.now)
 
-    def set_timer(self, after: int, label: int) -> None:
-        self.wakes.append((self.now + after, label))
+    def set_timer(self, delay: int, token: int) -> None:
+        self.timers.append((self.now + delay, token))
 
-    def pass_to(self, now: int) -> None:
-        while due := [w for w in self.wakes if w[0] <= now]:
-            first = min(due)
-            self.wakes.remove(first)
-            self.now = max(self.now, first[0])
-            self.told.timer_fired(self.now, first[1])
+    def advance_to(self, now: int) -> None:
+        while due := [timer for timer in self.timers if timer[0] <= now]:
+            fires_at, token = min(due)
+            self.timers.remove((fires_at, token))
+            self.now = max(self.now, fires_at)
+            self.router.timer_fired(self.now, token)
         self.now = now
 
 
-class Grown(TraceTestCase):
-    def open(self, cold: int = 0, **orders: object) -> None:
-        self.posts = [
-            Post(
+class ManyInstancesTest(TraceTestCase):
+    def open(self, warming: int = 0, **settings: object) -> None:
+        self.instances = [
+            Instance(
                 seed * 7919,
-                instance_count=DISPATCHERS,
+                instance_count=INSTANCES,
                 zone=seed % 3,
                 request_classes=[REQUEST_CLASS],
                 instance_index=seed - 1,
-                **orders,
+                **settings,
             )
-            for seed in range(1, DISPATCHERS + 1)
+            for seed in range(1, INSTANCES + 1)
         ]
-        listed = [
-            Endpoint(r, EndpointState.READY, (8.0, 4.0, 3.0)[r % 3], r // 3 % 3, r % 6, 0, r % 3, r / WARM)
-            for r in range(WARM)
+        endpoints = [
+            Endpoint(
+                r, EndpointState.READY, (8.0, 4.0, 3.0)[r % 3], r // 3 % 3, r % 6, 0, r % 3, r / WARM_BACKENDS
+            )
+            for r in range(WARM_BACKENDS)
         ]
-        listed += [
-            Endpoint(WARM + r, EndpointState.READY, 4.0, r % 3, r % 6, 100_000, 1, r / cold)
-            for r in range(cold)
+        endpoints += [
+            Endpoint(WARM_BACKENDS + r, EndpointState.READY, 4.0, r % 3, r % 6, 100_000, 1, r / warming)
+            for r in range(warming)
         ]
-        for post in self.posts:
-            post.told.endpoints_changed(post.now, listed, True)
-            for r in range(WARM):
-                post.told.probe_ended(post.now, r, True, (0.0, 4.0))
+        for instance in self.instances:
+            instance.router.endpoints_changed(instance.now, endpoints, True)
+            for r in range(WARM_BACKENDS):
+                instance.router.probe_ended(instance.now, r, True, (0.0, 4.0))
 
     def play(self, seconds: int, every: int) -> None:
-        """Each dispatcher takes a unit so often, which starts at once and runs for its time."""
-        under_way: list[tuple[int, Post, int, int]] = []
-        for turn in range(seconds * 10_000 // every):
-            now = 100_000 + turn * every
-            for done in [d for d in under_way if d[0] <= now]:
-                under_way.remove(done)
-                _, post, unit, runner = done
-                post.pass_to(now)
-                post.told.attempt_ended(now, unit, 0, runner, AttemptEnd(Outcome.COMPLETED, True))
-            for post in self.posts:
-                post.pass_to(now)
-                post.told.request_received(
-                    now, RequestArrival(turn, 0, deadline=now + 5000 * MS, work=UNIT, slots=1.0)
+        """Each instance receives a request every so many ticks; it starts at once and runs for its work."""
+        running: list[tuple[int, Instance, int, int]] = []  # ends at, instance, request id, backend
+        for round_number in range(seconds * 10_000 // every):
+            now = 100_000 + round_number * every
+            for ended in [attempt for attempt in running if attempt[0] <= now]:
+                running.remove(ended)
+                _, instance, request_id, backend = ended
+                instance.advance_to(now)
+                instance.router.attempt_ended(
+                    now, request_id, 0, backend, AttemptEnd(Outcome.COMPLETED, True)
+                )
+            for instance in self.instances:
+                instance.advance_to(now)
+                instance.router.request_received(
+                    now, RequestArrival(round_number, 0, deadline=now + 5000 * MS, work=WORK, slots=1.0)
                 )
-                if post.went and post.went[-1][1] == turn:
-                    post.told.attempt_started(now, turn, 0, post.went[-1][2])
-                    under_way.append((now + UNIT, post, turn, post.went[-1][2]))
+                if instance.attempts and instance.attempts[-1][1] == round_number:
+                    instance.router.attempt_started(now, round_number, 0, instance.attempts[-1][2])
+                    running.append((now + WORK, instance, round_number, instance.attempts[-1][2]))
 
-    def test_all_circles_together_hold_the_listed_weights(self) -> None:
-        # With circles of most of the fleet each kind got the same, whatever it could do.
+    def test_all_subsets_together_spread_the_load_by_the_listed_weights(self) -> None:
+        # Subsets of most of the fleet would give each instance type the same load, whatever its weight.
         self.open()
         self.play(8, 100 * MS)
-        got = Counter((8, 4, 3)[r % 3] for post in self.posts for at, _, r in post.went if at > 140_000)
-        self.say(f"circles of {max(len(post.told.subset.members) for post in self.posts)} at most of {WARM}")
-        held = Counter(backend.index for post in self.posts for backend in post.told.subset.members)
+        attempts_by_weight = Counter(
+            (8, 4, 3)[backend % 3]
+            for instance in self.instances
+            for sent_at, _, backend in instance.attempts
+            if sent_at > 140_000
+        )
+        subsets = [instance.router.subset.members for instance in self.instances]
+        self.say(f"circles of {max(len(subset) for subset in subsets)} at most of {WARM_BACKENDS}")
+        memberships = Counter(backend.index for subset in subsets for backend in subset)
         for weight in (8, 4, 3):
-            holders = [held[r] for r in range(WARM) if (8, 4, 3)[r % 3] == weight]
-            self.say(f"runners of weight {weight} are in {min(holders)} to {max(holders)} circles")
+            counts = [memberships[r] for r in range(WARM_BACKENDS) if (8, 4, 3)[r % 3] == weight]
+            self.say(f"runners of weight {weight} are in {min(counts)} to {max(counts)} circles")
         for weight in (8, 3):
-            share, fair = got[weight] / got.total(), weight / 15
+            share = attempts_by_weight[weight] / attempts_by_weight.total()
+            fair = weight / 15
             self.say(f"weight {weight}: within 15% of its part: {abs(share / fair - 1) < 0.15}")
         self.close("grown-weights")
 
-    def test_all_allowances_together_use_a_cold_fleet_and_stay_under_the_rule(self) -> None:
-        self.open(cold=30, initial_capacity=0.4, overload_factor=4.0)
+    def test_all_allowances_together_use_a_cold_fleet_and_stay_under_the_rule(
+        self,
+    ) -> None:
+        self.open(warming=30, initial_capacity=0.4, overload_factor=4.0)
         self.play(5, 150 * MS)
-        sent = sorted((at, r) for post in self.posts for at, _, r in post.went if r >= WARM)
-        least = 0.4 * 4  # slots that one can fill when it has just started
-        worst = max(
-            sum(UNIT for at, other in sent if other == r and then <= at < then + 1000 * MS)
-            for then, r in sent
+        attempts = sorted(
+            (sent_at, backend)
+            for instance in self.instances
+            for sent_at, _, backend in instance.attempts
+            if backend >= WARM_BACKENDS
+        )
+        initial_slots = 0.4 * 4  # of one backend that has just started
+        most_work = max(
+            sum(WORK for at, other in attempts if other == backend and since <= at < since + 1000 * MS)
+            for since, backend in attempts
         )
-        self.say(f"under four times the least capacity in any second: {worst < 4 * least * 1000 * MS}")
-        used = len(sent) * UNIT / (30 * least * 5000 * MS)
+        self.say(
+            f"under four times the least capacity in any second: {most_work < 4 * initial_slots * 1000 * MS}"
+        )
+        used = len(attempts) * WORK / (30 * initial_slots * 5000 * MS)
         self.say(f"a fifth of the least capacity used by few units: {used > 0.2}")
         self.close("grown-cold")
 
     def test_a_list_service_with_a_queue_gets_to_answer_all_that_start_together(self) -> None:
-        # It serves five calls a second in turn, takes no more than four seconds of them, and answers nobody
-        # who has waited for two: with all asking again and again its queue stayed just too long for ever.
+        # Discovery serves five polls a second in turn, rejects a poll while the queue is longer than four
+        # seconds, and answers none that waited for two. If all polled again at once, it would stay full.
         self.open(discovery_by_poll=True)
-        free_at, known, asked, in_turn = 100_000, set[Post](), 0, list[tuple[int, Post, bool]]()
+        free_at = 100_000
+        informed: set[Instance] = set()
+        poll_count = 0
+        queue: list[tuple[int, Instance, bool]] = []  # ends at, instance, whether it is answered
         for now in range(100_000, 400_000, 100):
-            for answer in [a for a in in_turn if a[0] <= now]:
-                in_turn.remove(answer)
-                _, post, well = answer
-                if well:
-                    known.add(post)
+            for poll in [poll for poll in queue if poll[0] <= now]:
+                queue.remove(poll)
+                _, instance, answered = poll
+                if answered:
+                    informed.add(instance)
                 else:
-                    post.told.discovery_failed(now)
-            for post in self.posts:
-                post.pass_to(now)
-                for _ in post.asked:
-                    asked += 1
+                    instance.router.discovery_failed(now)
+            for instance in self.instances:
+                instance.advance_to(now)
+                for _ in instance.polls:
+                    poll_count += 1
                     if free_at > now + 40_000:
-                        post.told.discovery_failed(now)
+                        instance.router.discovery_failed(now)
                         continue
                     free_at = max(free_at, now) + 2_000
-                    in_turn.append((min(free_at, now + 20_000), post, free_at <= now + 20_000))
-                post.asked.clear()
+                    queue.append((min(free_at, now + 20_000), instance, free_at <= now + 20_000))
+                instance.polls.clear()
             if now in (200_000, 399_900):
-                self.say(f"after {now / 10_000 - 10:.0f} s {len(known)} of {DISPATCHERS} have the list")
-        self.say(f"with less than three calls each: {asked < 3 * DISPATCHERS}")
+                self.say(f"after {now / 10_000 - 10:.0f} s {len(informed)} of {INSTANCES} have the list")
+        self.say(f"with less than three calls each: {poll_count < 3 * INSTANCES}")
         self.close("grown-list")
 
 
-class ColdFirst(RouterTestCase):
-    def open_with_cold(self) -> None:
-        self.open(runners=0, free=0, overload_factor=4.0)
-        self.list(
+class SlowStartTest(RouterTestCase):
+    def open_with_backend_in_slow_start(self) -> None:
+        self.open(backend_count=0, free_slots=0, overload_factor=4.0)
+        self.change_endpoints(
             [
                 Endpoint(0, EndpointState.READY, 4.0, 0, 0, 0),
                 Endpoint(1, EndpointState.READY, 4.0, 0, 0, 0),
@@ -159,56 +183,55 @@
             ]
         )
         for r in (0, 1):
-            self.told.probe_ended(self.now, r, True, (0.0, 4.0))
+            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         self.backends[2].own_share = 1.0
-        for n in range(4):  # usual paces become known
-            self.take(n, work=200)
-            runner = int(self.lines[-1][-1])
-            self.start(n, runner)
-            self.at(200 * (n + 1))
-            self.end(n, runner)
+        for n in range(4):  # makes typical running times known
+            self.receive_request(n, work=200)
+            backend = int(self.lines[-1][-1])
+            self.start_attempt(n, backend)
+            self.advance_to(200 * (n + 1))
+            self.end_attempt(n, backend)
         self.lines.clear()
 
-    def test_an_allowance_that_would_lapse_goes_first(self) -> None:
-        self.open_with_cold()
+    def test_a_slow_start_budget_that_would_expire_is_used_first(self) -> None:
+        self.open_with_backend_in_slow_start()
         self.backends[2].slow_start_next = self.now
-        self.take(10, work=50)
+        self.receive_request(10, work=50)
         self.close("grown-cold-first")
 
-    def test_not_what_would_be_late_there(self) -> None:
-        self.open_with_cold()
+    def test_a_request_that_would_be_late_in_slow_start_goes_elsewhere(self) -> None:
+        self.open_with_backend_in_slow_start()
         self.backends[2].slow_start_next = self.now
-        self.take(10, work=200)
+        self.receive_request(10, work=200)
         self.close("grown-cold-late")
 
-    def test_beyond_the_limit_a_cold_runner_still_gets_its_allowance(self) -> None:
-        self.open_with_cold()
-        self.told.limit.limit, self.backends[2].slow_start_next = 0.0, self.now
-        self.take(10, work=50)
-        self.take(11, work=50)
-        self.say(
-            f"counted against the limit {self.told.limit.in_flight}, held {len(self.told.admission.queue)}"
-        )
-        self.start(10, 2)
-        self.end(10, 2)
-        self.say(f"after its end {self.told.limit.in_flight}")
+    def test_beyond_the_concurrency_limit_a_backend_in_slow_start_gets_its_budget(self) -> None:
+        self.open_with_backend_in_slow_start()
+        self.router.limit.limit, self.backends[2].slow_start_next = 0.0, self.now
+        self.receive_request(10, work=50)
+        self.receive_request(11, work=50)
+        limit = self.router.limit
+        self.say(f"counted against the limit {limit.in_flight}, held {len(self.router.admission.queue)}")
+        self.start_attempt(10, 2)
+        self.end_attempt(10, 2)
+        self.say(f"after its end {self.router.limit.in_flight}")
         self.close("grown-cold-limit")
 
-    def test_the_fair_part_counts_runners_not_seen_yet(self) -> None:
-        self.open(runners=0, free=0, instance_count=24)
-        self.list([Endpoint(r, EndpointState.READY, 4.0, 0, 0, 0) for r in range(72)])
-        self.told.probe_ended(self.now, 0, True, (0.0, 4.0))
-        self.told.limit.limit = 1.0
-        for _n in range(10):  # ten starts after a long wait each bring the limit down to its floor
-            self.told.limit.sample_wait(self.now, self.now, 5000 * MS)
-        self.say(f"limit {self.told.limit.limit:.0f} of {72 * 4} slots over 24 dispatchers")
+    def test_the_floor_of_the_limit_counts_backends_that_have_not_reported(self) -> None:
+        self.open(backend_count=0, free_slots=0, instance_count=24)
+        self.change_endpoints([Endpoint(r, EndpointState.READY, 4.0, 0, 0, 0) for r in range(72)])
+        self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
+        self.router.limit.limit = 1.0
+        for _ in range(10):  # ten starts after long waits bring the limit down to its floor
+            self.router.limit.sample_wait(self.now, self.now, 5000 * MS)
+        self.say(f"limit {self.router.limit.limit:.0f} of {72 * 4} slots over 24 dispatchers")
         self.close("grown-fair")
 
 
-class Few(RouterTestCase):
-    def test_three_dispatchers_use_the_whole_fleet(self) -> None:
-        """With five of ten runners each, three for short units, a quiet day lost a quarter of its worth."""
-        self.open(runners=10, instance_count=3)
+class SmallDeploymentTest(RouterTestCase):
+    def test_three_instances_use_all_of_ten_backends(self) -> None:
+        """Subsets of five of ten backends would leave capacity unused on a calm day."""
+        self.open(backend_count=10, instance_count=3)
         for n in range(10):
-            self.take(n, slots=4.0)
+            self.receive_request(n, slots=4.0)
         self.assertEqual(len(set(re.findall(r"-> runner (\d)", "\n".join(self.lines)))), 10)
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -6,30 +6,30 @@
 
 class Health(RouterTestCase):
     def test_at_a_unit_a_second_no_news_is_not_silence(self) -> None:
-        self.open(runners=30, instance_count=60)
-        self.take(0)
-        self.at(900)
+        self.open(backend_count=30, instance_count=60)
+        self.receive_request(0)
+        self.advance_to(900)
         self.say("no copy so far")
         self.close("no-news")
 
     def test_a_unit_done_in_no_time_fails_no_survey(self) -> None:
-        self.open(runners=1)
-        self.take(0)
-        self.start(0, 0)
-        self.end(0, 0)
-        self.at(600)
+        self.open(backend_count=1)
+        self.receive_request(0)
+        self.start_attempt(0, 0)
+        self.end_attempt(0, 0)
+        self.advance_to(600)
         self.close("no-time")
 
     def test_a_slow_runner_loses_weight(self) -> None:
-        self.open(runners=5)
+        self.open(backend_count=5)
         for n in range(8):
-            self.take(n, work=100)
+            self.receive_request(n, work=100)
             r = int(self.lines[-1][-1])
-            self.start(n, r)
-            self.at(self.now / MS - 10_000 + (900 if r == 2 else 100))
-            self.end(n, r)
-        self.at(self.now / MS - 10_000 + 300)
-        self.told.refresh_if_due(self.now)
+            self.start_attempt(n, r)
+            self.advance_to(self.now / MS - 10_000 + (900 if r == 2 else 100))
+            self.end_attempt(n, r)
+        self.advance_to(self.now / MS - 10_000 + 300)
+        self.router.refresh_if_due(self.now)
         self.say(
             "share of weight kept: "
             + " ".join(f"{1 / backend.score_factor:.2f}" for backend in self.backends)
@@ -37,77 +37,77 @@
         self.close("slow")
 
     def test_quick_errors_lead_to_doubt_and_one_trial_at_a_time(self) -> None:
-        self.open(runners=4, free=0, seed=15)
-        self.told.probe_ended(self.now, 0, True, (0.0, 4.0))
+        self.open(backend_count=4, free_slots=0, seed=15)
+        self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
         for n in range(2):
-            self.take(n)
-            self.end(n, 0, Outcome.ERROR)
-            self.end(n, int(self.lines[-1][-1]), nth=1)
+            self.receive_request(n)
+            self.end_attempt(n, 0, Outcome.ERROR)
+            self.end_attempt(n, int(self.lines[-1][-1]), attempt_number=1)
         for r in (1, 2, 3):
             self.backends[r].last_seen_at = self.now
         for n, ms in enumerate((100, 200, 1300, 1301, 1302, 1303), 2):
-            self.at(ms)
-            self.take(n)
+            self.advance_to(ms)
+            self.receive_request(n)
             if ms != 1300:
-                self.end(n, int(self.lines[-1][-1]))
-        self.end(4, 0)
-        self.take(9)
+                self.end_attempt(n, int(self.lines[-1][-1]))
+        self.end_attempt(4, 0)
+        self.receive_request(9)
         self.close("errors")
 
     def test_full_is_no_fault_but_rests(self) -> None:
-        self.open(runners=1)
-        self.take(0)
-        self.end(0, 0, Outcome.OVERLOADED)
-        self.at(100)
-        self.take(1)
-        self.at(260)
-        self.told.probe_ended(self.now, 0, True, (1.0, 2.0))
+        self.open(backend_count=1)
+        self.receive_request(0)
+        self.end_attempt(0, 0, Outcome.OVERLOADED)
+        self.advance_to(100)
+        self.receive_request(1)
+        self.advance_to(260)
+        self.router.probe_ended(self.now, 0, True, (1.0, 2.0))
         self.close("full")
 
     def test_a_silent_runner_is_doubted_and_its_unit_copied(self) -> None:
-        self.open(runners=3)
-        self.take(0, work=2000)
-        self.at(600)
-        self.start(0, 0, 1)
-        self.end(0, 0, nth=1)
-        self.end(0, 2, Outcome.CANCELLED, last=True)
+        self.open(backend_count=3)
+        self.receive_request(0, work=2000)
+        self.advance_to(600)
+        self.start_attempt(0, 0, 1)
+        self.end_attempt(0, 0, attempt_number=1)
+        self.end_attempt(0, 2, Outcome.CANCELLED, last=True)
         self.close("hang")
 
     def test_a_busy_runner_is_no_reason_for_a_copy(self) -> None:
-        self.open(runners=2)
-        self.take(0, work=2000)
-        self.at(20)
+        self.open(backend_count=2)
+        self.receive_request(0, work=2000)
+        self.advance_to(20)
         self.backends[0].last_seen_at = self.now
-        self.at(400)
+        self.advance_to(400)
         self.close("busy")
 
     def test_when_nearly_all_look_bad_the_suspicion_is_distrusted(self) -> None:
-        self.open(runners=3)
+        self.open(backend_count=3)
         for r in range(3):
-            self.told.ejection.eject(self.now, self.backends[r])
+            self.router.ejection.eject(self.now, self.backends[r])
         for n in range(3):
-            self.take(n)
+            self.receive_request(n)
         self.close("all-bad")
 
     def test_a_worn_connection_blames_nobody_and_dead_runners_rest_though_doubt_is_distrusted(self) -> None:
-        self.open(runners=3, max_attempts=5)
-        self.take(0)
+        self.open(backend_count=3, max_attempts=5)
+        self.receive_request(0)
         first = int(self.lines[-1][-1])
-        self.end(0, first, Outcome.STALE_CONNECTION)
+        self.end_attempt(0, first, Outcome.STALE_CONNECTION)
         errors = [backend.error_rate for backend in self.backends]
         doubt = [backend.ejection_time for backend in self.backends]
         self.say(f"errors {errors}, doubt {doubt}")
         for r in {0, 1, 2} - {first}:
-            self.told.ejection.record_outcome(self.now, self.backends[r], Outcome.UNREACHABLE)
-        self.told.ejection.eject(self.now, self.backends[first])
-        self.take(1)
+            self.router.ejection.record_outcome(self.now, self.backends[r], Outcome.UNREACHABLE)
+        self.router.ejection.eject(self.now, self.backends[first])
+        self.receive_request(1)
         self.say(f"all in doubt, two of them refuse: {set(self.lines[-1][-1]) == {str(first)}}")
         self.close("dead")
 
     def test_list_failures_are_asked_again_after_a_jittered_pause(self) -> None:
         self.open(discovery_by_poll=True)
-        self.told.discovery_failed(self.now)
-        self.at(3000)
-        self.told.discovery_failed(self.now)
-        self.at(6000)
+        self.router.discovery_failed(self.now)
+        self.advance_to(3000)
+        self.router.discovery_failed(self.now)
+        self.advance_to(6000)
         self.close("ask")
--- a/tests/routing/test_rules_admission.py
+++ b/tests/routing/test_rules_admission.py
@@ -16,12 +16,12 @@
 
     def test_request_whose_hinted_work_cannot_end_in_time_is_shed_at_once(self) -> None:
         self.open_strict()
-        self.take(0, work=500)
+        self.receive_request(0, work=500)
         self.assertEqual((self.sent, self.shed_requests), ([], [0]))
 
     def test_request_without_a_hint_is_not_shed_for_the_typical_work_of_its_class(self) -> None:
         self.open_strict()
-        self.take(0, work=0)
+        self.receive_request(0, work=0)
         self.assertEqual((self.sent, self.shed_requests), ([(0, 0)], []))
 
 
@@ -30,7 +30,7 @@
         # Usual are 5000 ms. With more left it counts as a retry, whose objective began with its first try.
         for time_left, sent in ((2400, [(0, 0)]), (2600, [])):
             self.open_with(ready(0))
-            self.take(0, cutoff=time_left, work=100)
+            self.receive_request(0, timeout=time_left, work=100)
             self.assertEqual(self.sent, sent, f"{time_left} ms left")
 
     def test_retry_without_a_hint_is_shed_once_its_first_try_is_older_than_half_a_second(self) -> None:
@@ -38,7 +38,7 @@
             self.open_with(
                 ready(0), request_classes=[request_class(latency_objective=100 * MS, objective_per_work=0.0)]
             )
-            self.take(0, cutoff=5000 - age, work=0, again=True)
+            self.receive_request(0, timeout=5000 - age, work=0, is_retry=True)
             self.assertEqual(self.sent, sent, f"first try {age} ms ago")
 
     def test_retry_without_a_hint_is_not_shed_for_its_age_within_the_latency_objective(self) -> None:
@@ -46,7 +46,7 @@
             self.open_with(
                 ready(0), request_classes=[request_class(latency_objective=1000 * MS, objective_per_work=0.0)]
             )
-            self.take(0, cutoff=5000 - age, work=0, again=True)
+            self.receive_request(0, timeout=5000 - age, work=0, is_retry=True)
             self.assertEqual(self.sent, sent, f"first try {age} ms ago")
 
 
@@ -62,7 +62,7 @@
         )
         self.open_with(
             ready(0, zone=0),
-            free=8.0,
+            free_slots=8.0,
             request_classes=[bound, request_class(latency_objective=3000 * MS)],
             hedging_allowed=False,
         )
@@ -71,7 +71,7 @@
         self.change(replace(ready(0), state=EndpointState.DRAINING), ready(1, zone=1))
         for request in range(stuck):
             self.finish(request, Outcome.STALE_CONNECTION, last=False)
-        self.take(stuck, grade=1)
+        self.receive_request(stuck, request_class=1)
         self.assertEqual(self.backends_of(stuck), [], "the queue goes first")
         self.report(1, 4.0)
 
@@ -91,11 +91,11 @@
             hedging_allowed=False,
         )
         for request in range(10):
-            self.send(request, cutoff=60_000)
+            self.send(request, timeout=60_000)
         self.elapse(3000)
         for request in range(10):  # long waits: the limit falls below the ten in flight
-            self.start(request, self.backends_of(request)[0])
-        self.take(10, work=20, cutoff=60_000)
+            self.start_attempt(request, self.backends_of(request)[0])
+        self.receive_request(10, work=20, timeout=60_000)
         self.assertEqual(self.backends_of(10), [], "queued at the limit")
         self.change(Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * MS))
         self.elapse(1000)
--- a/tests/routing/test_rules_hedging.py
+++ b/tests/routing/test_rules_hedging.py
@@ -27,7 +27,7 @@
         self.open_with(*[ready(backend) for backend in range(45)])
         for request in range(100):
             backend = self.send(request, work=WORK)
-            self.start(request, backend)
+            self.start_attempt(request, backend)
             if request % 20 == 19:
                 self.elapse(WORK)
                 for done in range(request - 19, request + 1):
@@ -54,7 +54,7 @@
     def test_request_with_two_attempts_in_flight_is_not_hedged_again(self) -> None:
         self.open_with(*[ready(backend) for backend in range(9)], max_attempts=5)
         for request in range(1, 4):  # other work earns budget enough for more than one hedge
-            self.start(request, self.send(request, work=4000))
+            self.start_attempt(request, self.send(request, work=4000))
         self.send(0, work=2000)
         self.elapse(4000)
         self.assertEqual(len(self.backends_of(0)), 2)
@@ -77,7 +77,7 @@
             Endpoint(backend, EndpointState.READY, 1.0, 0, 0, 0, 0, backend / 40) for backend in range(40)
         ]
         self.open_with(*fleet, instance_count=60)
-        self.send(0, work=5700, cutoff=15_000)  # on time within 11700 ms: 6000 ms to spare
+        self.send(0, work=5700, timeout=15_000)  # on time within 11700 ms: 6000 ms to spare
         self.elapse(1900)
         self.assertEqual(len(self.backends_of(0)), 1)
         self.elapse(200)
@@ -109,6 +109,6 @@
     def test_backend_that_was_heard_of_since_the_attempt_is_not_ejected(self) -> None:
         backend = self.open_silent()
         self.elapse(500)
-        self.told.probe_ended(self.now, backend, True, ())
+        self.router.probe_ended(self.now, backend, True, ())
         self.elapse(700)
         self.assertTrue(self.is_chosen(backend))
--- a/tests/routing/test_rules_limit.py
+++ b/tests/routing/test_rules_limit.py
@@ -11,20 +11,22 @@
         """Takes so many requests; those of them that are not queued."""
         before = len(self.sent)
         for request in range(first, first + count):
-            self.take(request, cutoff=60_000, work=0)
+            self.receive_request(request, timeout=60_000, work=0)
         return [request for request, _ in self.sent[before:]]
 
     def test_limit_never_falls_below_the_instances_part_of_the_fleet(self) -> None:
-        self.open_with(ready(0), ready(1), free=float(SLOTS), instance_count=INSTANCES, hedging_allowed=False)
+        self.open_with(
+            ready(0), ready(1), free_slots=float(SLOTS), instance_count=INSTANCES, hedging_allowed=False
+        )
         counts = []
         for first in range(0, 400, 40):
             sent = self.sent_at_once(first, 40)
             counts.append(len(sent))
             self.elapse(900)  # every attempt waits much longer than it runs
             for request in sent:
-                self.start(request, self.backends_of(request)[0])
+                self.start_attempt(request, self.backends_of(request)[0])
             for queued in set(range(first, first + 40)) - set(sent):
-                self.told.client_disconnected(self.now, queued)
+                self.router.client_disconnected(self.now, queued)
             for request in sent:
                 self.finish(request)
         self.assertGreater(counts[0], SLOTS)
@@ -37,23 +39,23 @@
         self.open_with(
             ready(0, weight=4.0),
             ready(1, weight=4.0),
-            free=0,
+            free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
             hedging_allowed=False,
             instance_count=16,
         )
         for request in range(16):
-            self.send(request, cutoff=60_000, work=0)
+            self.send(request, timeout=60_000, work=0)
         self.elapse(1000)
         for pause in (0, *pauses):
             self.elapse(pause)
-            self.list([ready(0, weight=0.8), ready(1, weight=0.8)])
+            self.change_endpoints([ready(0, weight=0.8), ready(1, weight=0.8)])
         for request in range(16):
             self.finish(request)
         before = len(self.sent)
         for request in range(100, 130):
-            self.take(request, cutoff=60_000, work=0)
+            self.receive_request(request, timeout=60_000, work=0)
         return len(self.sent) - before
 
     def test_lists_within_half_a_second_lower_the_limit_once(self) -> None:
--- a/tests/routing/test_rules_polling.py
+++ b/tests/routing/test_rules_polling.py
@@ -13,11 +13,11 @@
         """Seconds, over all seeds, of the pause after so many failures in a row."""
         longest = 0
         for seed in SEEDS:
-            self.open_with(free=0, discovery_by_poll=True, seed=seed, **config)
+            self.open_with(free_slots=0, discovery_by_poll=True, seed=seed, **config)
             for _ in range(failures):
-                self.wakes.clear()
-                self.told.discovery_failed(self.now)
-            longest = max(longest, *(at - self.now for at, token in self.wakes if token == POLL_TIMER))
+                self.timers.clear()
+                self.router.discovery_failed(self.now)
+            longest = max(longest, *(at - self.now for at, token in self.timers if token == POLL_TIMER))
         return longest / TICKS_PER_SECOND
 
     def test_the_first_pause_is_at_most_two_seconds_and_jitter(self) -> None:
--- a/tests/routing/test_rules_retries.py
+++ b/tests/routing/test_rules_retries.py
@@ -12,9 +12,9 @@
         """Sends request 0, with an idempotency key, to a backend of cell 0."""
         self.open_with(
             ready(0, zone=0, cell=0),
-            effect=Idempotency.IDEMPOTENT_WITH_KEY,
-            group=scope,
-            window=60_000,
+            idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+            deduplication_scope=scope,
+            deduplication_window=60_000,
             hedging_allowed=False,
         )
         self.assertEqual(self.send(0), 0)
@@ -58,11 +58,11 @@
             self.open_with(
                 ready(0),
                 ready(1),
-                effect=Idempotency.IDEMPOTENT_WITH_KEY,
-                window=1000,
+                idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+                deduplication_window=1000,
                 hedging_allowed=False,
             )
-            self.send(0, cutoff=5000)
+            self.send(0, timeout=5000)
             self.elapse(sent_ago)
             self.finish(0, Outcome.ERROR, last=False)
             self.assertEqual(len(self.backends_of(0)), attempts, f"{sent_ago} ms after the send")
@@ -73,7 +73,7 @@
         """Attempts of a request that always fails, if the settings change after the first is sent."""
         self.open_with(*[ready(backend) for backend in range(9)], max_attempts=before)
         self.send(0)
-        self.told.config_changed(self.now, replace(ROUTING_CONFIG, max_attempts=after))
+        self.router.config_changed(self.now, replace(ROUTING_CONFIG, max_attempts=after))
         while 0 not in self.shed_requests:
             self.finish(0, Outcome.ERROR, last=False)
         return len(self.sent)
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -17,9 +17,13 @@
     def open_one_busy(self) -> None:
         """Two backends of one size, of which the list shows three requests for each core at backend 0."""
         self.open_with(
-            ready(0, weight=4.0), ready(1, weight=4.0), free=0, weights_follow_load=True, instance_count=2
+            ready(0, weight=4.0),
+            ready(1, weight=4.0),
+            free_slots=0,
+            weights_follow_load=True,
+            instance_count=2,
         )
-        self.list([ready(0, weight=1.0), ready(1, weight=4.0)])
+        self.change_endpoints([ready(0, weight=1.0), ready(1, weight=4.0)])
 
     def backends_in_turn(self, key: int) -> set[int]:
         """The backends of eight requests, one after the other; with keys from `key` on, 0 for none."""
@@ -43,7 +47,7 @@
         """Two warm backends, and one in slow start whose budget is saved up."""
         self.open_with(ready(0), ready(1), instance_count=1, hedging_allowed=False)
         if runs_known:
-            self.start(100, self.send(100))
+            self.start_attempt(100, self.send(100))
             self.elapse(100)
             self.finish(100)
         self.change(Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now))
@@ -70,10 +74,10 @@
         for typical, sent in ((100, [(0, 0)]), (200, [])):
             self.open_with(
                 Endpoint(0, EndpointState.READY, 1.0, 0, 0, 100_000),
-                free=0,
+                free_slots=0,
                 instance_count=1,
                 request_classes=[request_class(deadline=10 * typical * MS, latency_objective=2000 * MS)],
             )
-            self.take(0, work=0)
+            self.receive_request(0, work=0)
             self.elapse(700)
             self.assertEqual(self.sent, sent, f"typically {typical} ms")
--- a/tests/routing/test_rules_subsetting.py
+++ b/tests/routing/test_rules_subsetting.py
@@ -32,7 +32,7 @@
         ]
         self.open_with(
             *fleet,
-            free=0,
+            free_slots=0,
             instance_count=INSTANCES,
             instance_index=index,
             seed=index + 1,
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -7,44 +7,44 @@
 
 class Choice(RouterTestCase):
     def test_least_load_for_its_weight(self) -> None:
-        self.open(runners=0, free=0)
-        self.list(
+        self.open(backend_count=0, free_slots=0)
+        self.change_endpoints(
             [Endpoint(0, EndpointState.READY, 1.0, 0, 0, 0), Endpoint(1, EndpointState.READY, 2.0, 0, 0, 0)]
         )
         for r in (0, 1):
-            self.told.probe_ended(self.now, r, True, (0.0, 8.0))
+            self.router.probe_ended(self.now, r, True, (0.0, 8.0))
         for n in range(6):
-            self.take(n)
-            self.start(n, int(self.lines[-1][-1]))
+            self.receive_request(n)
+            self.start_attempt(n, int(self.lines[-1][-1]))
         self.close("weights")
 
     def test_a_repeated_report_is_not_fresh(self) -> None:
         self.open()
-        self.told.probe_ended(self.now, 0, True, (3.0, 0.0))
+        self.router.probe_ended(self.now, 0, True, (3.0, 0.0))
         once = [backend.reported_queue for backend in self.backends]
-        self.told.probe_ended(self.now, 0, True, (3.0, 0.0))
+        self.router.probe_ended(self.now, 0, True, (3.0, 0.0))
         self.say(f"moved again: {once != [backend.reported_queue for backend in self.backends]}")
-        self.told.probe_ended(self.now, 0, True, (3.5, 0.0))
+        self.router.probe_ended(self.now, 0, True, (3.5, 0.0))
         self.say(f"moved by a fresh one: {once != [backend.reported_queue for backend in self.backends]}")
         self.close("repeat")
 
     def test_a_late_report_does_not_hide_own_sends(self) -> None:
-        self.open(runners=1)
-        self.take(0)
-        self.told.probe_ended(self.now, 0, True, (0.0, 3.9))
+        self.open(backend_count=1)
+        self.receive_request(0)
+        self.router.probe_ended(self.now, 0, True, (0.0, 3.9))
         self.say(f"load {self.backends[0].load:.1f}")
-        self.at(1000)
-        self.told.probe_ended(self.now, 0, True, (0.0, 3.0))
+        self.advance_to(1000)
+        self.router.probe_ended(self.now, 0, True, (0.0, 3.0))
         self.say(f"load {self.backends[0].load:.2f}")
         self.close("late-report")
 
     def test_without_a_young_report_the_mean_of_the_others_counts(self) -> None:
-        self.open(runners=3)
-        self.at(4900)
+        self.open(backend_count=3)
+        self.advance_to(4900)
         for r in (0, 1):
-            self.held_back(r)
-        self.at(5600)
-        self.told.refresh_if_due(self.now)
+            self.report_busy(r)
+        self.advance_to(5600)
+        self.router.refresh_if_due(self.now)
         self.say(
             "the third is taken to hold the mean: "
             f"{abs(self.backends[2].reported_queue - self.backends[0].reported_queue) < 2}"
@@ -53,38 +53,38 @@
         self.close("stale")
 
     def test_a_small_circle_is_steady_and_widened_only_when_bare(self) -> None:
-        self.open(runners=0, free=0, instance_count=60)
-        self.told.state.averages.total_work = 10_000.0  # long runs
-        self.list([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(30)])
+        self.open(backend_count=0, free_slots=0, instance_count=60)
+        self.router.state.averages.total_work = 10_000.0  # long runs
+        self.change_endpoints([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(30)])
         for r in range(30):
-            self.told.probe_ended(self.now, r, True, (0.0, 4.0))
+            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         self.say(f"circle {sorted(self.members)}")
-        self.list([Endpoint(7, EndpointState.REMOVED, 1.0, 1, 1, 0)], whole=False)
+        self.change_endpoints([Endpoint(7, EndpointState.REMOVED, 1.0, 1, 1, 0)], snapshot=False)
         self.say(f"without 7 {sorted(self.members)}")
         for r in self.members[1:]:
-            self.told.ejection.eject(self.now, self.backends[r])
-        self.take(0)
+            self.router.ejection.eject(self.now, self.backends[r])
+        self.receive_request(0)
         for r in self.members:
             self.backends[r].overloaded_until = self.now + 100 * MS
-        self.take(1)
+        self.receive_request(1)
         outside = int(self.lines[-1][-2:]) not in self.members
         self.say(f"outside the circle: {outside}")
         self.close("circle")
 
     def test_odd_lists_raise_nothing(self) -> None:
         # No own zone in the list, one runner, none, hundreds, all replaced at once.
-        self.open(runners=0, zone=9, instance_count=300)
-        for n, runners in enumerate((range(1), range(0), range(400), range(400, 420))):
-            self.list([Endpoint(r, EndpointState.READY, 1.0, 3, r // 4, 0) for r in runners])
-            self.take(n)
+        self.open(backend_count=0, zone=9, instance_count=300)
+        for n, indices in enumerate((range(1), range(0), range(400), range(400, 420))):
+            self.change_endpoints([Endpoint(r, EndpointState.READY, 1.0, 3, r // 4, 0) for r in indices])
+            self.receive_request(n)
             self.say(f"circle of {len(self.members)}")
         self.close("odd-lists")
 
     def test_hundreds_that_start_at_once_pick_differently(self) -> None:
         met = set()
         for seed in range(40):
-            self.open(runners=30, free=0, instance_count=60, seed=seed, instance_index=seed)
-            self.take(0)
+            self.open(backend_count=30, free_slots=0, instance_count=60, seed=seed, instance_index=seed)
+            self.receive_request(0)
             met.add(self.lines[-1])
         self.say(f"40 dispatchers meet {len(met)} of 30 runners")
         self.close("starts")
@@ -92,17 +92,17 @@
     def test_same_calls_same_actions(self) -> None:
         seen = []
         for _ in range(2):
-            self.open(runners=6)
+            self.open(backend_count=6)
             for n in range(12):
-                self.take(n)
+                self.receive_request(n)
             seen.append(self.lines)
         self.assertEqual(seen[0], seen[1])
         drawn = {Router(ROUTING_CONFIG, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
         self.assertEqual(len(drawn), 2)
 
     def test_a_trace_of_others_work_is_not_held_against_room(self) -> None:
-        self.open(runners=3, free=1.0)
-        self.told.probe_ended(self.now, 0, True, (1.0, 0.0))  # one busy report moves the load by an eighth
-        self.told.probe_ended(self.now, 2, True, (9.0, 0.0))
-        self.take(0)
+        self.open(backend_count=3, free_slots=1.0)
+        self.router.probe_ended(self.now, 0, True, (1.0, 0.0))  # one busy report moves the load by an eighth
+        self.router.probe_ended(self.now, 2, True, (9.0, 0.0))
+        self.receive_request(0)
         self.close("spare")
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -8,7 +8,7 @@
 
 class Moved(RouterTestCase):
     def listed(self, *weights: float) -> None:
-        self.list(
+        self.change_endpoints(
             [
                 Endpoint(r, EndpointState.READY, weight, 0, 0, 0, 0, r / len(weights))
                 for r, weight in enumerate(weights)
@@ -16,7 +16,7 @@
         )
 
     def test_load_in_a_weight_is_not_size(self) -> None:
-        self.open(runners=0, free=0, weights_follow_load=True)
+        self.open(backend_count=0, free_slots=0, weights_follow_load=True)
         self.listed(4.0, 4.0)
         self.listed(4.0, 1.0)
         sizes = " ".join(f"{backend.weight:.1f}" for backend in self.backends)
@@ -27,12 +27,12 @@
         self.close("move-sizes")
 
     def test_in_sparse_sight_a_long_listed_queue_is_left_out(self) -> None:
-        self.open(runners=0, free=0, weights_follow_load=True, instance_count=60)
+        self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         self.listed(*[4.0] * 30)
         kept = self.members[0]
         self.listed(*[4.0 if r == kept or r not in self.members else 1.0 for r in range(30)])
         for n in range(4):
-            self.take(n)
+            self.receive_request(n)
         self.say(f"all to {kept}: {all(line.endswith(f'runner {kept}') for line in self.lines[1::2])}")
         self.close("move-long")
 
@@ -40,8 +40,8 @@
         homes = set()
         for seed in range(20):
             self.open(
-                runners=0,
-                free=0,
+                backend_count=0,
+                free_slots=0,
                 weights_follow_load=True,
                 start_notifications=False,
                 instance_index=seed,
@@ -49,70 +49,70 @@
                 instance_count=20,
             )
             self.listed(*[4.0] * 12)
-            self.take(0, work=0, key=77)
+            self.receive_request(0, work=0, key=77)
             homes.add(self.lines[-1].split()[-1])
         self.lines = []
         self.say(f"homes at twenty dispatchers: {len(homes)}")
         for r in range(12):
-            self.told.probe_ended(self.now, r, True, (0.0, 4.0))
+            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         self.listed(*[1.0 if str(r) in homes else 4.0 for r in range(12)])  # three held for each core there
-        self.take(1, work=0, key=77)
+        self.receive_request(1, work=0, key=77)
         self.say(f"another where that is full: {self.lines[-1].split()[-1] not in homes}")
         for n in range(2, 22):
-            self.take(n, work=0, key=1000 + n)
+            self.receive_request(n, work=0, key=1000 + n)
         self.say(f"homes of 20 keys: {len({line.split()[-1] for line in self.lines if '->' in line}) > 5}")
         self.lines = [line for line in self.lines if ": " in line]
         self.close("move-homes")
 
     def test_keys_tell_nothing_where_nothing_is_kept(self) -> None:
-        self.open(runners=0, free=0, key_affinity=False, start_notifications=False)
+        self.open(backend_count=0, free_slots=0, key_affinity=False, start_notifications=False)
         self.listed(4.0, 4.0)
         for n in range(4):
-            self.take(n, key=77)
+            self.receive_request(n, key=77)
         self.close("move-no-keys")
 
     def test_the_limit_follows_the_list_where_weights_move(self) -> None:
-        self.open(runners=0, free=0, weights_follow_load=True, start_notifications=False)
+        self.open(backend_count=0, free_slots=0, weights_follow_load=True, start_notifications=False)
         self.listed(4.0, 4.0)
         for r in range(2):
-            self.told.probe_ended(self.now, r, True, (0.0, 4.0))
+            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         for n in range(3):
-            self.take(n, work=0)
-        self.at(600)
+            self.receive_request(n, work=0)
+        self.advance_to(600)
         self.listed(0.8, 0.8)  # four held for each core
         for n in range(3, 8):
-            self.take(n, work=0)
-        self.say(f"limit {self.told.limit.limit:.1f}, held {len(self.told.admission.queue)}")
+            self.receive_request(n, work=0)
+        self.say(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
         self.close("move-limit")
 
     def test_a_wait_that_expected_times_allow_cuts_no_limit(self) -> None:
         self.open(
-            runners=0,
-            free=0,
+            backend_count=0,
+            free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
             request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * MS)],
         )
         self.listed(4.0, 4.0)
         for n in range(3):
-            self.take(n, work=0)
+            self.receive_request(n, work=0)
         for at, weight in ((600, 1.6667), (1200, 0.8)):  # 1.4 held for each core, then four
-            self.at(at)
+            self.advance_to(at)
             self.listed(weight, weight)
-            self.say(f"listed at {weight:.1f}: limit {self.told.limit.limit:.1f}")
+            self.say(f"listed at {weight:.1f}: limit {self.router.limit.limit:.1f}")
         self.close("move-wait")
 
     def test_frantic_repeats_are_shed_and_the_first_try_is_not(self) -> None:
         self.open()
-        self.take(0, cutoff=300, work=0)
-        self.take(1, cutoff=300, work=0, again=True)
-        self.take(2, cutoff=4900, work=0, again=True)
+        self.receive_request(0, timeout=300, work=0)
+        self.receive_request(1, timeout=300, work=0, is_retry=True)
+        self.receive_request(2, timeout=4900, work=0, is_retry=True)
         self.close("move-frantic")
 
     def test_a_cold_runner_outside_the_circle_gets_nothing(self) -> None:
-        self.open(runners=0, free=0, weights_follow_load=True, instance_count=60)
+        self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         start = self.now - 1000 * MS
-        self.list(
+        self.change_endpoints(
             [Endpoint(r, EndpointState.READY, 4.0, 0, 0, start * (r % 2), 0, r / 30) for r in range(30)]
         )
         for r in range(30):
@@ -120,7 +120,7 @@
                 self.backends[r].overloaded_until = self.now + 10_000 * MS
             self.backends[r].slow_start_next = 1  # saved up long since
         for n in range(20):
-            self.take(n, work=20)
+            self.receive_request(n, work=20)
         met = {int(line.split()[-1]) for line in self.lines if "->" in line}
         self.say(f"cold ones met outside the circle: {len(met - set(self.members))}")
         self.lines = self.lines[-1:]
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,4 @@
-"""Stages for tests: what is told and what is done becomes a short trace, kept in traces/."""
+"""Test cases that record events and actions as a trace and compare it with its file in `traces/`."""
 
 import asyncio
 import difflib
@@ -8,7 +8,6 @@
 from dataclasses import replace
 from pathlib import Path
 
-from crankfold.routing import interface as words
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.interface import (
     AttemptEnd,
@@ -18,14 +17,16 @@
     Idempotency,
     Outcome,
     RequestArrival,
+    RequestClass,
+    RoutingConfig,
 )
 from crankfold.routing.router import Router
 
 MS = 10
-REQUEST_CLASS = words.RequestClass(
+REQUEST_CLASS = RequestClass(
     Idempotency.IDEMPOTENT, DeduplicationScope.GLOBAL, 0, 300 * MS, 2.0, 5000 * MS, 1.0, 0.0
 )
-ROUTING_CONFIG = words.RoutingConfig(
+ROUTING_CONFIG = RoutingConfig(
     request_classes=[REQUEST_CLASS],
     instance_count=2,
     zone=0,
@@ -53,144 +54,155 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """A head and its body, of a request or of an answer."""
+    """The head and the body of a request or of a response."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     length = re.search(r"(?i)content-length: (\d+)", head)
     return head, await reader.readexactly(int(length[1]) if length else 0)
 
 
 class TraceTestCase(unittest.TestCase):
+    """Records lines of text and compares them with those of an earlier run."""
+
     def setUp(self) -> None:
         self.lines: list[str] = []
 
     def say(self, text: str) -> None:
+        """Adds a line to the trace."""
         self.lines.append(text)
 
     def close(self, name: str) -> None:
-        kept = Path(__file__).parent / "traces" / f"{name}.txt"
+        """Compares the trace with `traces/NAME.txt`; writes that file if `KEEP_TRACES` is set."""
+        trace_file = Path(__file__).parent / "traces" / f"{name}.txt"
         if os.environ.get("KEEP_TRACES"):
-            kept.write_text("\n".join(self.lines) + "\n")
-        then = kept.read_text().splitlines()
-        diff = list(difflib.unified_diff(then, self.lines, "kept", "now", lineterm=""))
+            trace_file.write_text("\n".join(self.lines) + "\n")
+        expected = trace_file.read_text().splitlines()
+        diff = list(difflib.unified_diff(expected, self.lines, "kept", "now", lineterm=""))
         self.assertFalse(diff, "\n" + "\n".join(diff))
 
 
 class RouterTestCase(TraceTestCase):
-    """Stands round the decisions, as their port and as whoever tells them what happens."""
+    """A router whose actions are recorded and whose events the test sends. Times of helpers: milliseconds."""
 
     def open(
         self,
         *,
-        runners: int = 2,
-        free: float = 4.0,
-        effect: Idempotency = Idempotency.IDEMPOTENT,
-        group: DeduplicationScope = DeduplicationScope.GLOBAL,
-        window: int = 0,
+        backend_count: int = 2,
+        free_slots: float = 4.0,
+        idempotency: Idempotency = Idempotency.IDEMPOTENT,
+        deduplication_scope: DeduplicationScope = DeduplicationScope.GLOBAL,
+        deduplication_window: int = 0,
         seed: int = 7,
-        **orders: object,
+        **settings: object,
     ) -> None:
+        """Starts a router whose backends are ready and have reported `free_slots` each; 0 for no report."""
         self.lines: list[str] = []
         self.now = 100_000
-        self.wakes: list[tuple[int, int]] = []
-        grade = replace(
-            REQUEST_CLASS, idempotency=effect, deduplication_scope=group, deduplication_window=window * MS
+        self.timers: list[tuple[int, int]] = []
+        request_class = replace(
+            REQUEST_CLASS,
+            idempotency=idempotency,
+            deduplication_scope=deduplication_scope,
+            deduplication_window=deduplication_window * MS,
         )
-        self.told = Router(replace(ROUTING_CONFIG, **{"request_classes": [grade], **orders}), seed, self)  # type: ignore[arg-type]
-        if runners:
-            self.list([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(runners)])
-        if free:
-            for r in range(runners):
-                self.told.probe_ended(self.now, r, True, (0.0, free))
+        config = replace(ROUTING_CONFIG, **{"request_classes": [request_class], **settings})  # type: ignore[arg-type]
+        self.router = Router(config, seed, self)
+        if backend_count:
+            self.change_endpoints(
+                [Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(backend_count)]
+            )
+        if free_slots:
+            for r in range(backend_count):
+                self.router.probe_ended(self.now, r, True, (0.0, free_slots))
 
     @property
     def backends(self) -> list[Backend]:
-        return self.told.state.table.backends
+        return self.router.state.table.backends
 
     @property
     def members(self) -> list[int]:
         """The indices of the backends in the subset."""
-        return [backend.index for backend in self.told.subset.members]
+        return [backend.index for backend in self.router.subset.members]
 
     def say(self, text: str) -> None:
         self.lines.append(f"{(self.now - 100_000) / MS:7.1f}  {text}")
 
-    # What the decisions do.
-    def send_attempt(self, unit: int, runner: int) -> None:
-        self.say(f"unit {unit} -> runner {runner}")
+    # RoutingActions: each is recorded.
+    def send_attempt(self, request_id: int, backend: int) -> None:
+        self.say(f"unit {request_id} -> runner {backend}")
 
-    def shed(self, unit: int, advice: int) -> None:  # noqa: ARG002 - as the base names it
-        self.say(f"unit {unit} shed")
+    def shed(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 - as the base names it
+        self.say(f"unit {request_id} shed")
 
-    def fail_request(self, unit: int) -> None:
-        self.say(f"unit {unit} given up")
+    def fail_request(self, request_id: int) -> None:
+        self.say(f"unit {request_id} given up")
 
-    def cancel_attempt(self, unit: int, nth: int) -> None:
-        self.say(f"unit {unit} dispatch {nth} called off")
+    def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
+        self.say(f"unit {request_id} dispatch {attempt_number} called off")
 
-    def set_timer(self, after: int, label: int) -> None:
-        self.wakes.append((self.now + after, label))
+    def set_timer(self, delay: int, token: int) -> None:
+        self.timers.append((self.now + delay, token))
 
-    def probe(self, runner: int) -> None:
-        self.say(f"probe of runner {runner}")
+    def probe(self, backend: int) -> None:
+        self.say(f"probe of runner {backend}")
 
     def poll_endpoints(self) -> None:
         self.say("asks for the list")
 
-    # What they are told.
-    def at(self, ms: float) -> None:
-        """Lets time pass, with the wakes asked for until then."""
+    # RoutingEvents, with the current time.
+    def advance_to(self, ms: float) -> None:
+        """Moves the clock and fires the timers that are due until then."""
         end = 100_000 + int(ms * MS)
-        while due := [w for w in self.wakes if w[0] <= end]:
-            first = min(due)
-            self.wakes.remove(first)
-            self.now = max(self.now, first[0])
-            self.told.timer_fired(self.now, first[1])
+        while due := [timer for timer in self.timers if timer[0] <= end]:
+            fires_at, token = min(due)
+            self.timers.remove((fires_at, token))
+            self.now = max(self.now, fires_at)
+            self.router.timer_fired(self.now, token)
         self.now = end
 
-    def list(self, entries: list[Endpoint], whole: bool = True) -> None:
-        self.told.endpoints_changed(self.now, entries, whole)
+    def change_endpoints(self, endpoints: list[Endpoint], snapshot: bool = True) -> None:
+        self.router.endpoints_changed(self.now, endpoints, snapshot)
 
-    def take(
+    def receive_request(
         self,
-        unit: int,
-        cutoff: float = 5000,
+        request_id: int,
+        timeout: float = 5000,
         work: float = 100,
         slots: float = 1.0,
-        grade: int = 0,
+        request_class: int = 0,
         key: int = 0,
-        again: bool = False,
+        is_retry: bool = False,
     ) -> None:
-        self.say(f"  takes unit {unit}" + (f" of grade {grade}" if grade else ""))
+        self.say(f"  takes unit {request_id}" + (f" of grade {request_class}" if request_class else ""))
         arrival = RequestArrival(
-            unit,
-            grade,
-            deadline=self.now + int(cutoff * MS),
+            request_id,
+            request_class,
+            deadline=self.now + int(timeout * MS),
             work=int(work * MS),
             slots=slots,
             key=key,
-            is_retry=again,
+            is_retry=is_retry,
         )
-        self.told.request_received(self.now, arrival)
+        self.router.request_received(self.now, arrival)
 
-    def start(self, unit: int, runner: int, nth: int = 0) -> None:
-        self.say(f"  unit {unit} starts on runner {runner}")
-        self.told.attempt_started(self.now, unit, nth, runner)
+    def start_attempt(self, request_id: int, backend: int, attempt_number: int = 0) -> None:
+        self.say(f"  unit {request_id} starts on runner {backend}")
+        self.router.attempt_started(self.now, request_id, attempt_number, backend)
 
-    def end(
+    def end_attempt(
         self,
-        unit: int,
-        runner: int,
+        request_id: int,
+        backend: int,
         outcome: Outcome = Outcome.COMPLETED,
-        nth: int = 0,
+        attempt_number: int = 0,
         *,
         last: bool = False,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.say(f"  unit {unit} on runner {runner}: {outcome.name.lower()}")
+        self.say(f"  unit {request_id} on runner {backend}: {outcome.name.lower()}")
         end = AttemptEnd(outcome, last or outcome == Outcome.COMPLETED, report)
-        self.told.attempt_ended(self.now, unit, nth, runner, end)
+        self.router.attempt_ended(self.now, request_id, attempt_number, backend, end)
 
-    def held_back(self, runner: int) -> None:
-        """Puts a runner out of the running by its report: much queued, nothing free."""
+    def report_busy(self, backend: int) -> None:
+        """Sends reports of a long queue and no free slot, so that the backend is not chosen."""
         for n in range(40):
-            self.told.probe_ended(self.now, runner, True, (0.5 + n / 100, 0.0))
+            self.router.probe_ended(self.now, backend, True, (0.5 + n / 100, 0.0))
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -48,8 +48,8 @@
 
     def test_settings_of_the_move_are_checked(self) -> None:
         self.lines = []
-        grade = {"name": "g", "effect": "safe", "cut-off": 5, "expected-time": 1}
-        settings = {"service-grades": [grade], "allowed": {"most-dispatches": 1}}
+        request_class = {"name": "g", "effect": "safe", "cut-off": 5, "expected-time": 1}
+        settings = {"service-grades": [request_class], "allowed": {"most-dispatches": 1}}
         for more in (
             {"weights": "live"},
             {"weights": "heavy"},
@@ -67,18 +67,20 @@
 class FirstSeconds(RouterTestCase):
     def test_after_the_switch_with_units_in_hand_and_cold_runners(self) -> None:
         self.open(
-            runners=0,
-            free=0,
+            backend_count=0,
+            free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
             hedging_allowed=False,
             instance_count=4,
         )
         cold = self.now - 1000 * MS
-        self.list([Endpoint(r, EndpointState.READY, 0.0, 0, 0, cold if r == 2 else 0) for r in range(3)])
+        self.change_endpoints(
+            [Endpoint(r, EndpointState.READY, 0.0, 0, 0, cold if r == 2 else 0) for r in range(3)]
+        )
         for n in range(4):  # before any list of its own: sizes not known, the cold one not pushed
-            self.take(n, work=0)
-        self.list(
+            self.receive_request(n, work=0)
+        self.change_endpoints(
             [
                 Endpoint(r, EndpointState.READY, w, 0, 0, cold if r == 2 else 0)
                 for r, w in enumerate((4.0, 1.0, 4.0))
@@ -87,5 +89,5 @@
         sizes = [backend.weight for backend in self.backends]
         own_slots = sum(backend.own_slots for backend in self.backends)
         self.say(f"sizes {sizes}, own units still counted {own_slots:.0f}")
-        self.take(4, work=0)
+        self.receive_request(4, work=0)
         self.close("carry-first")
