--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -63,19 +63,19 @@
         self.addCleanup(self.admin_server.server_close)
         self.addCleanup(self.admin_server.shutdown)
 
-    def run_command(self, *words: str, text: str = "{}") -> None:
+    def run_command(self, *arguments: str, text: str = "{}") -> None:
         address = f"127.0.0.1:{self.admin_server.server_address[1]}"
-        at = 1 if words[0] == "fleet" else 2
-        result = CliRunner().invoke(main, [*words[:at], "--door", address, *words[at:]], input=text)
+        at = 1 if arguments[0] == "fleet" else 2
+        result = CliRunner().invoke(main, [*arguments[:at], "--door", address, *arguments[at:]], input=text)
         shown = re.sub("--call [0-9a-f]+", "--call ...", result.output).replace(address, "DOOR")
-        self.say(f"{' '.join(words)}: exit {result.exit_code}")
+        self.say(f"{' '.join(arguments)}: exit {result.exit_code}")
         self.lines += ["    " + line for line in shown.splitlines()]
 
     def test_what_commands_print_and_how_they_exit(self) -> None:
         publish = ("settings", "publish", "-", "--from", "1", "--reason", "r")
         self.answers["/control/agreed/settings"] = 200, SHOWN
         self.answers["/control/fleet"] = 200, FLEET
-        for words in (
+        for arguments in (
             ("fleet",),
             ("settings", "show"),
             ("settings", "show", "--version", "7"),
@@ -83,7 +83,7 @@
             ("settings", "diff", "1", "2"),
             ("settings", "diff", "1", "9"),
         ):
-            self.run_command(*words)
+            self.run_command(*arguments)
         self.answers["/control/fleet"] = 200, {**FLEET, "acts": False, "why-not": "cut off from the majority"}
         self.run_command("fleet")
         accepted = {"well": True, "text": "", "number": 3}
@@ -180,13 +180,13 @@
             200,
             {**SHOWN, "newest": 0, "versions": [], "well": True, "number": 1},
         )
-        turns = [
+        forecast = [
             {"begin": 0.0, "end": 73.0, "machine": "m1", "zone": "z0", "why": ""},
             {"begin": 73.0, "end": 146.0, "machine": "m2", "zone": "z1", "why": "1 of 1 at once"},
         ]
         self.answers["/control/agreed/plan"] = (
             200,
-            {"well": True, "turns": turns, "waits": {"m3": "1 of 1 in its zone"}},
+            {"well": True, "turns": forecast, "waits": {"m3": "1 of 1 in its zone"}},
         )
         self.run_command(group, "plan", "-", text=work)
         self.run_command(group, "start", "-", text=work)
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -56,12 +56,14 @@
         for name, batches in (("grown", GROWN), ("compacted", COMPACTED)):
             folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
             folder.mkdir()
-            kept = DATA / "voters" / name
-            shutil.copy(kept / "identity", folder)
+            fixture = DATA / "voters" / name
+            shutil.copy(fixture / "identity", folder)
             store = RaftStorage(folder, "n0")
             for batch in batches:
                 store.save(batch)
             store.close()
             for file in ("identity", "history"):
-                self.assertEqual((folder / file).read_bytes(), (kept / file).read_bytes(), f"{name}/{file}")
+                self.assertEqual(
+                    (folder / file).read_bytes(), (fixture / file).read_bytes(), f"{name}/{file}"
+                )
             self.assertEqual(sorted(path.name for path in folder.iterdir()), ["history", "identity", "lock"])
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -42,23 +42,23 @@
             self.say(f"{what}: taken")
 
     def test_what_a_file_must_look_like(self) -> None:
-        grades = ("settings", "service-grades")
+        request_classes = ("settings", "service-grades")
         self.tried("the same")
         for name in ("listen", "discovery", "settings", "limits", "seed", "known"):
             self.tried(f"no {name}", name, lacks=True)
         for name in ("service-grades", "allowed", "tick", "specifics"):
             self.tried(f"no {name}", "settings", name, lacks=True)
         self.tried("no key deep inside", "settings", "specifics", "tells-start", lacks=True)
-        self.tried("no cut-off", *grades, 1, "cut-off", lacks=True)
-        self.tried("no group, which not all have", *grades, 1, "group", lacks=True)
+        self.tried("no cut-off", *request_classes, 1, "cut-off", lacks=True)
+        self.tried("no group, which not all have", *request_classes, 1, "group", lacks=True)
         for value in (0, -1, "soon", None, True, "5"):
-            self.tried(f"cut-off {value!r}", *grades, 0, "cut-off", value=value)
+            self.tried(f"cut-off {value!r}", *request_classes, 0, "cut-off", value=value)
         for most in (0, -3, 2.5, "many", None):
             self.tried(f"dispatches {most!r}", "settings", "allowed", "most-dispatches", value=most)
-        self.tried("no grade at all", *grades, value=[])
-        self.tried("one grade fewer", *grades, value=FILE["settings"]["service-grades"][:1])
-        self.tried("a name twice", *grades, 1, "name", value="a")
-        self.tried("an effect unknown", *grades, 0, "effect", value="harmless")
+        self.tried("no grade at all", *request_classes, value=[])
+        self.tried("one grade fewer", *request_classes, value=FILE["settings"]["service-grades"][:1])
+        self.tried("a name twice", *request_classes, 1, "name", value="a")
+        self.tried("an effect unknown", *request_classes, 0, "effect", value="harmless")
         self.tried("settings a list", "settings", value=[])
-        self.tried("a grade no object", *grades, 0, value="a")
+        self.tried("a grade no object", *request_classes, 0, value="a")
         self.close("renewal-forms")
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -119,9 +119,9 @@
             f"then {voter.documents.version_numbers()}, "
             f"{len(voter.documents.document(SETTINGS).versions)} in the history"
         )
-        strict = self.voter("settings.service-grades: missing")
-        self.publish(strict, "c", 1)
-        self.say_responses(strict)
+        rejecting = self.voter("settings.service-grades: missing")
+        self.publish(rejecting, "c", 1)
+        self.say_responses(rejecting)
         self.close("consensus-publish")
 
     def test_a_follower_is_sent_a_snapshot_and_a_name_has_one_holder(self) -> None:
--- a/tests/consensus/test_message_forms.py
+++ b/tests/consensus/test_message_forms.py
@@ -41,9 +41,9 @@
                 self.assertEqual(b"".join(encode_frame(one) for one in FrameDecoder().feed(data)), data)
 
     def test_tags_and_the_order_of_fields(self) -> None:
-        for name, told in MESSAGES.items():
+        for name, messages in MESSAGES.items():
             data = (DATA / "messages" / f"{name}.frames").read_bytes()
-            for _ in told:
+            for _ in messages:
                 size = int.from_bytes(data[:4], "big")
                 tag, *fields = msgspec.msgpack.decode(data[4 : 4 + size])
                 data = data[4 + size :]
@@ -53,6 +53,8 @@
     def test_fields_left_out_by_an_older_process_have_their_defaults(self) -> None:
         for name in ("ask", "follow"):
             data = (DATA / "messages" / f"{name}.frames").read_bytes()
-            whole = msgspec.msgpack.decode(data[4 : 4 + int.from_bytes(data[:4], "big")])
-            short = msgspec.msgpack.encode(whole[:-2] if name == "ask" else whole[:-1])
-            self.assertEqual(FrameDecoder().feed(len(short).to_bytes(4, "big") + short), MESSAGES[name][:1])
+            fields = msgspec.msgpack.decode(data[4 : 4 + int.from_bytes(data[:4], "big")])
+            shortened = msgspec.msgpack.encode(fields[:-2] if name == "ask" else fields[:-1])
+            self.assertEqual(
+                FrameDecoder().feed(len(shortened).to_bytes(4, "big") + shortened), MESSAGES[name][:1]
+            )
--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -17,7 +17,7 @@
 from tests.scene import TraceTestCase
 from tests.stored_forms import (
     HISTORY,
-    PLACE,
+    LOCATION,
     WORKS,
     WORKS_1,
     WORKS_2,
@@ -116,7 +116,7 @@
                 worked=False,
                 earlier_jobs=["disks"],
                 started_at=77,
-                placement=Placement(*PLACE),
+                placement=Placement(*LOCATION),
                 unhealthy=False,
                 reason="free r1",
             ),
@@ -131,7 +131,7 @@
                 worked=False,
                 earlier_jobs=[],
                 started_at=79,
-                placement=Placement(*PLACE),
+                placement=Placement(*LOCATION),
                 unhealthy=True,
                 reason="back r3",
             ),
@@ -161,7 +161,7 @@
 )
 
 
-class KeptDocuments(TraceTestCase):
+class StoredDocumentsTest(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.state = (OF_DOCUMENTS / "state.msgpack").read_bytes()
@@ -246,9 +246,9 @@
 
     def test_works(self) -> None:
         data = (OF_DOCUMENTS / "works.json").read_bytes()
-        works = parse_jobs(msgspec.json.decode(data))
-        self.assertEqual(works, WORKS)
-        self.assertEqual(msgspec.json.encode({"works": works}), data)
+        jobs = parse_jobs(msgspec.json.decode(data))
+        self.assertEqual(jobs, WORKS)
+        self.assertEqual(msgspec.json.encode({"works": jobs}), data)
         self.assertEqual(
             parse_jobs(WORKS_2),
             {
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -23,20 +23,20 @@
 
 
 def messages(folder: Path) -> None:
-    for name, told in stored_forms.MESSAGES.items():
-        (folder / f"{name}.frames").write_bytes(b"".join(encode_frame(one) for one in told))
+    for name, sent in stored_forms.MESSAGES.items():
+        (folder / f"{name}.frames").write_bytes(b"".join(encode_frame(one) for one in sent))
 
 
 def voters(folder: Path) -> None:
     for name, batches in (("grown", stored_forms.GROWN), ("compacted", stored_forms.COMPACTED)):
-        of_voter = folder / name
-        of_voter.mkdir(parents=True)
-        (of_voter / "identity").write_text("n0 0123456789abcdef\n")
-        store = RaftStorage(of_voter, "n0")
+        voter_folder = folder / name
+        voter_folder.mkdir(parents=True)
+        (voter_folder / "identity").write_text("n0 0123456789abcdef\n")
+        store = RaftStorage(voter_folder, "n0")
         for batch in batches:
             store.save(batch)
         store.close()
-        (of_voter / "lock").unlink()
+        (voter_folder / "lock").unlink()
 
 
 def documents(folder: Path) -> None:
@@ -57,22 +57,24 @@
         await self.prepare(folder, msgspec.json.encode(stored_forms.BANS))
         await self.serve()
         await self.serving()
-        file = folder / handover_scene.ban_file(self.listen)
+        file = folder / handover_scene.drains_file(self.listen)
         file.unlink()
         self.assertEqual(await self.call(self.admin_port, "runners/a/offline"), "200 offline")
         (DATA / "handover" / "bans.json").write_bytes(file.read_bytes())
 
     async def test_predecessor(self) -> None:
         await self.prepare(self.scratch(), msgspec.json.encode(stored_forms.BANS))
-        said = await self.as_predecessor([handover_scene.HELLO, handover_scene.TAKE, *handover_scene.ASKS])
-        (DATA / "handover" / "predecessor.lines").write_bytes(b"".join(said))
+        received = await self.as_predecessor(
+            [handover_scene.HELLO, handover_scene.TAKEOVER_REQUEST, *handover_scene.QUERIES]
+        )
+        (DATA / "handover" / "predecessor.lines").write_bytes(b"".join(received))
 
     async def test_successor(self) -> None:
         await self.prepare(self.scratch(), msgspec.json.encode({"of": "n0", "bans": {}, "assumed": {}}))
         lines = (DATA / "handover" / "predecessor.lines").read_bytes().splitlines(True)
-        told = [line for line in lines if line.startswith((b'{"welcome"', b'{"yours"', b'{"holds"'))]
-        said = await self.as_successor([*told, *handover_scene.ASKS])
-        (DATA / "handover" / "successor.lines").write_bytes(b"".join(said))
+        sent = [line for line in lines if line.startswith((b'{"welcome"', b'{"yours"', b'{"holds"'))]
+        received = await self.as_successor([*sent, *handover_scene.QUERIES])
+        (DATA / "handover" / "successor.lines").write_bytes(b"".join(received))
 
 
 def handovers() -> bool:
--- a/tests/fault_injection/test_trials.py
+++ b/tests/fault_injection/test_trials.py
@@ -55,10 +55,10 @@
                     stderr=asyncio.subprocess.STDOUT,
                     cwd=TRIALS.parent,
                 )
-                told, _ = await running.communicate()
-                return "" if running.returncode == 0 else f"{plan.name}: {told.decode()}"
+                output, _ = await running.communicate()
+                return "" if running.returncode == 0 else f"{plan.name}: {output.decode()}"
 
-        broken = [told for told in await asyncio.gather(*map(play, plans)) if told]
+        broken = [output for output in await asyncio.gather(*map(play, plans)) if output]
         self.assertEqual(broken, [], "\n".join(broken))
 
 
@@ -81,12 +81,12 @@
     return record
 
 
-def act(at: int, newest: int, counts: int, unit: str = "u") -> ActionRecord:
+def act(at: int, newest: int, counts: int, request_id: str = "u") -> ActionRecord:
     record = parse_record(
         {
             "at": at * MILLISECOND,
             "what": "take",
-            "unit": unit,
+            "unit": request_id,
             "where": "g",
             "versions": {"settings": [counts, newest], "runners-out": [counts, newest]},
         }
@@ -138,10 +138,12 @@
         ],
     }
     seen = Observations()
-    for n, unit in enumerate(("n0-1", "n0-2", "n0-3", "n1-1", "n1-2")):
-        seen.requests[unit] = SubmittedRequest(n * MILLISECOND, unit[:2], "g")
-        seen.received_requests.append(ReceivedRequest((20 + 100 * n) * MILLISECOND, "r0", unit))
-        seen.answers.append(ClientAnswer((60 + 100 * n) * MILLISECOND, unit, unit[:2], "200 done"))
+    for n, request_id in enumerate(("n0-1", "n0-2", "n0-3", "n1-1", "n1-2")):
+        seen.requests[request_id] = SubmittedRequest(n * MILLISECOND, request_id[:2], "g")
+        seen.received_requests.append(ReceivedRequest((20 + 100 * n) * MILLISECOND, "r0", request_id))
+        seen.answers.append(
+            ClientAnswer((60 + 100 * n) * MILLISECOND, request_id, request_id[:2], "200 done")
+        )
     docs = {
         "settings": {1: version(1, "begin"), 2: version(2, "call1")},
         "runners-out": {1: version(1, "begin"), 2: version(2, "call2", "r1")},
--- a/tests/handover_scene.py
+++ b/tests/handover_scene.py
@@ -1,7 +1,7 @@
-"""A dispatcher's process, and this test in the place of the process that it follows or is followed by.
+"""A dispatcher's process, with the test in the place of its predecessor or its successor.
 
-All is said and heard as bytes on the Unix socket. Ports differ from run to run; in what is kept they read
-18080 (the dispatcher's) and 19001 (the runner's).
+Messages are compared as bytes on the Unix socket. Ports differ from run to run; in the fixtures they are
+18080 (the dispatcher's) and 19001 (the backend's).
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from tests.loopback import DispatcherTestCase
 from tests.scene import read_request
 
-LISTEN, RUNNER = 18080, 19001
+DISPATCHER_PORT, BACKEND_PORT = 18080, 19001
 EVENT = {"id": "u7", "from": "a", "state": "done", "result": "x"}
 
 
@@ -25,40 +25,40 @@
         pass
 
 
-class Kin:
-    """The other process, as bytes."""
+class OtherProcess:
+    """The other end of the handover channel, as bytes."""
 
-    def __init__(self, sock: socket.socket, here: int, runner: int) -> None:
-        self.sock, self.here, self.runner = sock, here, runner
-        self.rest = b""
+    def __init__(self, sock: socket.socket, dispatcher_port: int, backend_port: int) -> None:
+        self.sock, self.dispatcher_port, self.backend_port = sock, dispatcher_port, backend_port
+        self.unread = b""
 
-    async def said(self) -> bytes:
-        """The next line, with its ports as they are kept; what is in hand is told again and again."""
+    async def read_line(self) -> bytes:
+        """The next line with the ports of the fixtures; usage reports, which are repeated, are left out."""
         loop = asyncio.get_running_loop()
         while True:
-            while b"\n" not in self.rest:
+            while b"\n" not in self.unread:
                 data = await loop.sock_recv(self.sock, 65536)
                 if not data:
                     return b""
-                self.rest += data
-            line, _, self.rest = self.rest.partition(b"\n")
+                self.unread += data
+            line, _, self.unread = self.unread.partition(b"\n")
             if not line.startswith(b'{"holds"'):
-                return self.kept(line + b"\n")
+                return self.with_fixed_ports(line + b"\n")
 
-    def kept(self, line: bytes) -> bytes:
-        line = line.replace(b'["127.0.0.1",%d]' % self.here, b'["127.0.0.1",%d]' % LISTEN)
-        return line.replace(b"127.0.0.1:%d" % self.runner, b"127.0.0.1:%d" % RUNNER)
+    def with_fixed_ports(self, line: bytes) -> bytes:
+        line = line.replace(b'["127.0.0.1",%d]' % self.dispatcher_port, b'["127.0.0.1",%d]' % DISPATCHER_PORT)
+        return line.replace(b"127.0.0.1:%d" % self.backend_port, b"127.0.0.1:%d" % BACKEND_PORT)
 
-    async def say(self, line: bytes) -> None:
-        line = line.replace(b'["127.0.0.1",%d]' % LISTEN, b'["127.0.0.1",%d]' % self.here)
-        line = line.replace(b"127.0.0.1:%d" % RUNNER, b"127.0.0.1:%d" % self.runner)
+    async def send_line(self, line: bytes) -> None:
+        line = line.replace(b'["127.0.0.1",%d]' % DISPATCHER_PORT, b'["127.0.0.1",%d]' % self.dispatcher_port)
+        line = line.replace(b"127.0.0.1:%d" % BACKEND_PORT, b"127.0.0.1:%d" % self.backend_port)
         await asyncio.get_running_loop().sock_sendall(self.sock, line)
 
-    async def first_byte(self) -> bytes:
+    async def read_byte(self) -> bytes:
         return await asyncio.get_running_loop().sock_recv(self.sock, 1)
 
 
-def ban_file(listen: int) -> str:
+def drains_file(listen: int) -> str:
     return f"{socket_name(listen)}.bans"
 
 
@@ -67,13 +67,13 @@
 
 
 class HandoverScene(DispatcherTestCase):
-    """`n0` with three runners: `a` out by hand, `b` draining, with a start taken for granted, `c` serving."""
+    """`n0` with three backends: `a` drained manually, `b` draining, with an assumed start, `c` ready."""
 
-    async def prepare(self, folder: Path, bans: bytes) -> None:
+    async def prepare(self, folder: Path, manual_drains: bytes) -> None:
         self.folder = folder
         self.sent = asyncio.Event()
 
-        async def runner(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             self.sent.set()
@@ -83,7 +83,7 @@
             await gone(reader)
 
         await self.begin(
-            runner,
+            backend,
             report={"names": ["queue", "x0"], "via": "inline"},
             zones=["north", "south"],
             kinds=["big"],
@@ -100,20 +100,20 @@
                 "all": True,
                 "targets": [
                     {
-                        "uid": uid,
+                        "uid": backend_id,
                         "endpoint": f"127.0.0.1:{self.backend_port}",
-                        "state": "terminating" if uid == "b" else "in_service",
-                        "az": "south" if uid == "b" else "north",
+                        "state": "terminating" if backend_id == "b" else "in_service",
+                        "az": "south" if backend_id == "b" else "north",
                         "model": "big",
                         "pod_group": n,
                         "boot_ms": 20 + n,
                         "capacity_hint": 1.0 + n,
                     }
-                    for n, uid in enumerate("abc")
+                    for n, backend_id in enumerate("abc")
                 ],
             },
         }
-        (folder / ban_file(self.listen)).write_bytes(bans)
+        (folder / drains_file(self.listen)).write_bytes(manual_drains)
 
     async def serve(self) -> "asyncio.Task[None]":
         self.application = Application(self.config, lambda: self.config, str(self.folder))
@@ -135,98 +135,100 @@
         )
         self.port, self.admin_port = self.application.listener.port(), self.application.admin_server.port()
 
-    async def successor(self) -> Kin:
-        """Another process that wants to follow, up to the passing of the listening socket."""
+    async def successor(self) -> OtherProcess:
+        """Connects as a process that wants to take over."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         self.addCleanup(sock.close)
         await asyncio.get_running_loop().sock_connect(sock, str(self.folder / socket_name(self.listen)))
-        return Kin(sock, self.listen, self.backend_port)
+        return OtherProcess(sock, self.listen, self.backend_port)
 
-    async def as_predecessor(self, told: list[bytes]) -> list[bytes]:
-        """What it says that serves, to two that want to follow; `told` is what the first of them says."""
+    async def as_predecessor(self, received: list[bytes]) -> list[bytes]:
+        """The lines of a serving dispatcher to two successors; `received` are the lines of the first."""
         await self.serve()
         await self.serving()
         self.application.request_handler.load_reports.store(2, (3.0, 2.5))
-        held = asyncio.create_task(self.send_request("held1", wait=2.9))
+        pending = asyncio.create_task(self.send_request("held1", wait=2.9))
         await self.sent.wait()
-        first, late = await self.successor(), await self.successor()
-        hello, take, *asks = told
-        heard = []
-        for kin in (first, late):
-            await kin.say(hello)
-            self.assertEqual(await kin.first_byte(), b"!")
-            heard.append(await kin.said())
-        self.assertEqual(heard[0], heard[1])
-        await first.say(take)
-        heard[1] = await first.said()
-        await late.say(take)
-        heard.append(await late.said())
-        self.assertEqual(await late.said(), b"")  # and it is parted from
-        for ask in asks:
-            await first.say(ask)
-            heard.append(await first.said())
-        calling = asyncio.create_task(self.call(self.admin_port, "runners/c/offline"))
-        heard.append(await first.said())
-        await first.say(b'{"re":1,"yes":false}\n')
-        self.assertEqual(await calling, "200 offline")
+        first, second = await self.successor(), await self.successor()
+        hello, takeover_request, *queries = received
+        lines = []
+        for process in (first, second):
+            await process.send_line(hello)
+            self.assertEqual(await process.read_byte(), b"!")
+            lines.append(await process.read_line())
+        self.assertEqual(lines[0], lines[1])
+        await first.send_line(takeover_request)
+        lines[1] = await first.read_line()
+        await second.send_line(takeover_request)
+        lines.append(await second.read_line())
+        self.assertEqual(await second.read_line(), b"")  # its connection is closed
+        for query in queries:
+            await first.send_line(query)
+            lines.append(await first.read_line())
+        call = asyncio.create_task(self.call(self.admin_port, "runners/c/offline"))
+        lines.append(await first.read_line())
+        await first.send_line(b'{"re":1,"yes":false}\n')
+        self.assertEqual(await call, "200 offline")
         loop = asyncio.get_running_loop()
-        while not (line := first.rest.partition(b"\n")[0]).startswith(b'{"holds"'):
-            first.rest += await loop.sock_recv(first.sock, 65536)  # what it still holds, told now and then
-        heard.append(line + b"\n")
-        await first.say(ENDS)
-        heard.append(await first.said())
-        self.assertEqual((await held)[1], b"x")
-        return heard
-
-    async def as_successor(self, told: list[bytes]) -> list[bytes]:
-        """What it says that follows; `told` is what its predecessor says."""
+        while not (line := first.unread.partition(b"\n")[0]).startswith(b'{"holds"'):
+            first.unread += await loop.sock_recv(first.sock, 65536)  # its usage, reported at intervals
+        lines.append(line + b"\n")
+        await first.send_line(CALLBACK_QUERY)
+        lines.append(await first.read_line())
+        self.assertEqual((await pending)[1], b"x")
+        return lines
+
+    async def as_successor(self, received: list[bytes]) -> list[bytes]:
+        """The lines of a dispatcher that takes over; `received` are the lines of its predecessor."""
         loop = asyncio.get_running_loop()
         listening = socket.create_server(("127.0.0.1", self.listen))
-        way = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        channel = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.addCleanup(listening.close)
-        self.addCleanup(way.close)
-        way.bind(str(self.folder / socket_name(self.listen)))
-        way.listen()
-        way.setblocking(False)
-        welcome, yours, holds, *asks = told
+        self.addCleanup(channel.close)
+        channel.bind(str(self.folder / socket_name(self.listen)))
+        channel.listen()
+        channel.setblocking(False)
+        welcome, yours, holds, *queries = received
         await self.serve()
-        sock, _ = await loop.sock_accept(way)
+        sock, _ = await loop.sock_accept(channel)
         self.addCleanup(sock.close)
-        kin = Kin(sock, self.listen, self.backend_port)
-        heard = [await kin.said()]
+        process = OtherProcess(sock, self.listen, self.backend_port)
+        lines = [await process.read_line()]
         socket.send_fds(sock, [b"!"], [listening.fileno()])
-        await kin.say(welcome)
-        heard.append(await kin.said())
-        await kin.say(yours)
+        await process.send_line(welcome)
+        lines.append(await process.read_line())
+        await process.send_line(yours)
         await self.serving()
-        await kin.say(holds)
-        for ask in asks:
-            await kin.say(ask)
-            heard.append(await kin.said())
-        calling = asyncio.create_task(self.call(self.admin_port, "runners/b/offline"))
-        heard.append(await kin.said())
-        await kin.say(b'{"re":1,"yes":false}\n')
-        self.assertEqual(await calling, "200 offline")
+        await process.send_line(holds)
+        for query in queries:
+            await process.send_line(query)
+            lines.append(await process.read_line())
+        call = asyncio.create_task(self.call(self.admin_port, "runners/b/offline"))
+        lines.append(await process.read_line())
+        await process.send_line(b'{"re":1,"yes":false}\n')
+        self.assertEqual(await call, "200 offline")
         event = asyncio.create_task(self.send_callback(**EVENT))
-        heard.append(await kin.said())
-        await kin.say(b'{"re":2,"yes":true}\n')
+        lines.append(await process.read_line())
+        await process.send_line(b'{"re":2,"yes":true}\n')
         await event
-        return heard
+        return lines
 
 
-def said(**told: Any) -> bytes:
-    return orjson.dumps(told) + b"\n"
+def encode_line(**fields: Any) -> bytes:
+    return orjson.dumps(fields) + b"\n"
 
 
-# What the process that follows asks of the one before it, and what that one asks; and both answer.
-ASKS = [
-    said(ask=1, what="out", uid="c"),
-    said(ask=2, what="back", uid="c"),
-    said(ask=3, what="event", body=orjson.dumps(EVENT).decode()),
-    said(ask=4, what="sing"),
+# Queries that a successor sends to its predecessor and the other way round; both answer them.
+QUERIES = [
+    encode_line(ask=1, what="out", uid="c"),
+    encode_line(ask=2, what="back", uid="c"),
+    encode_line(ask=3, what="event", body=orjson.dumps(EVENT).decode()),
+    encode_line(ask=4, what="sing"),
 ]
-HELLO = said(hello=1, at=["127.0.0.1", LISTEN], of="n0")
-TAKE = said(take=True)
-# And that the unit in hand at the one before it is done.
-ENDS = said(ask=5, what="event", body=orjson.dumps({**EVENT, "id": "held1", "from": "c"}).decode())
+HELLO = encode_line(hello=1, at=["127.0.0.1", DISPATCHER_PORT], of="n0")
+TAKEOVER_REQUEST = encode_line(take=True)
+# The callback of the request that is in flight at the predecessor.
+CALLBACK_QUERY = encode_line(
+    ask=5, what="event", body=orjson.dumps({**EVENT, "id": "held1", "from": "c"}).decode()
+)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from tests.scene import TraceTestCase, read_request
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-UNIT = (
+REQUEST = (
     b"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: u1\r\nX-Priority-Class: g\r\n"
     b"X-Timeout: 1\r\nContent-Length: 2\r\n\r\nhi"
 )
@@ -55,10 +55,10 @@
         self.addCleanup(server.close)
         return int(server.sockets[0].getsockname()[1])
 
-    async def call(self, port: int, what: str, method: str = "POST") -> str:
+    async def call(self, port: int, path: str, method: str = "POST") -> str:
         """An operator's call; the answer's status and text."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(f"{method} /control/{what} HTTP/1.1\r\nHost: b\r\n\r\n".encode())
+        writer.write(f"{method} /control/{path} HTTP/1.1\r\nHost: b\r\n\r\n".encode())
         async with asyncio.timeout(5):
             head, body = await read_request(reader)
             self.assertEqual(await reader.read(), b"")  # one call a connection
@@ -133,29 +133,29 @@
 
         self.addAsyncCleanup(end)
 
-    async def send_request(self, ident: str, heads: str = "", wait: float = 2.5) -> tuple[str, bytes]:
+    async def send_request(self, request_id: str, headers: str = "", wait: float = 2.5) -> tuple[str, bytes]:
         """A client's request; the status line and body of its response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(
-            f"POST /api?x=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: {ident}\r\nX-Priority-Class: g\r\n"
-            f"X-Timeout: {wait}\r\nContent-Length: 2\r\n{heads}\r\nhi".encode()
+            f"POST /api?x=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request_id}\r\nX-Priority-Class: g\r\n"
+            f"X-Timeout: {wait}\r\nContent-Length: 2\r\n{headers}\r\nhi".encode()
         )
         try:
             async with asyncio.timeout(5):
-                head, answer = await read_request(reader)
+                head, body = await read_request(reader)
         finally:
             writer.close()
-        return head.split("\r\n")[0], answer
+        return head.split("\r\n")[0], body
 
-    async def send_callback(self, **told: Any) -> None:
+    async def send_callback(self, **fields: Any) -> None:
         """A backend's callback, with the status that answers it in the trace."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        body = orjson.dumps(told)
+        body = orjson.dumps(fields)
         writer.write(
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
         head, _ = await read_request(reader)
-        self.say(f"  {told} {head.split()[1]}")
+        self.say(f"  {fields} {head.split()[1]}")
         writer.close()
 
     async def start_process(self, command: list[str], folder: str = "") -> asyncio.Task[str]:
--- a/tests/maintenance/test_coordinator.py
+++ b/tests/maintenance/test_coordinator.py
@@ -92,8 +92,8 @@
 
     def test_a_job_stopped_halfway_brings_back_what_is_not_begun_and_finishes_the_rest(self) -> None:
         view, coordinator = self.view(max_out=2), Coordinator("n0")
-        held = {"m01"}
-        view.blocking_holders = lambda uid, _index: "1 units there" if uid in held else ""
+        on_hold = {"m01"}
+        view.blocking_holders = lambda uid, _index: "1 units there" if uid in on_hold else ""
         for second in range(3):
             view.now = 10_000 * second
             self.look(view, coordinator)
--- a/tests/maintenance/test_specification.py
+++ b/tests/maintenance/test_specification.py
@@ -22,6 +22,6 @@
             self.say(validation_error({"works": jobs}, {}, MACHINES) or "fits")
         # Handed in once, a job may be held though its machines are gone by now.
         gone = {"works": {"w": {**fine, "machines": ["m99"]}}}
-        held = {"works": {"w": {**fine, "machines": ["m99"], "state": "hold", "called": 1}}}
-        self.say(validation_error(held, gone, MACHINES) or "fits")
+        on_hold = {"works": {"w": {**fine, "machines": ["m99"], "state": "hold", "called": 1}}}
+        self.say(validation_error(on_hold, gone, MACHINES) or "fits")
         self.close("works-forms")
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -40,71 +40,73 @@
 
 class Calls(Loopback):
     async def test_calls_whole_and_cut_at_every_byte(self) -> None:
-        for what, call in CALLS.items():
-            whole = await self.answered([call])
-            self.say(f"{what}: {whole}")
-            for cut in range(1, min(len(call), 400)):
-                self.assertEqual(await self.answered([call[:cut], call[cut:]]), whole, f"{what} at {cut}")
+        for what, request in CALLS.items():
+            response = await self.responses([request])
+            self.say(f"{what}: {response}")
+            for cut in range(1, min(len(request), 400)):
+                self.assertEqual(
+                    await self.responses([request[:cut], request[cut:]]), response, f"{what} at {cut}"
+                )
         self.close("operators-calls")
 
-    async def answered(self, pieces: list[bytes]) -> str:
-        told: list[str] = []
+    async def responses(self, pieces: list[bytes]) -> str:
+        calls: list[str] = []
 
-        def heard(what: str, yes: bool) -> bool:
-            told.append(what)
+        def record(what: str, yes: bool) -> bool:
+            calls.append(what)
             return yes
 
-        operated = Mock(
-            is_ready=lambda: heard("ready?", False),
-            leave_service=lambda: heard("leave", True),
-            drain_backend=AsyncMock(side_effect=lambda uid: heard(f"out {uid!r}", uid != "nobody")),
-            restore_backend=AsyncMock(side_effect=lambda uid: heard(f"back {uid!r}", True)),
-            enter_service=lambda: heard("enter", True),
+        operations = Mock(
+            is_ready=lambda: record("ready?", False),
+            leave_service=lambda: record("leave", True),
+            drain_backend=AsyncMock(side_effect=lambda uid: record(f"out {uid!r}", uid != "nobody")),
+            restore_backend=AsyncMock(side_effect=lambda uid: record(f"back {uid!r}", True)),
+            enter_service=lambda: record("enter", True),
         )
-        side = AdminConnection()
+        connection = AdminConnection()
         for piece in pieces:
-            side.receive_data(piece)
-        if side.command:
-            await execute(side, operated)
-        head, _, body = b"".join(side.outgoing).partition(b"\r\n\r\n")
+            connection.receive_data(piece)
+        if connection.command:
+            await execute(connection, operations)
+        head, _, body = b"".join(connection.outgoing).partition(b"\r\n\r\n")
         self.assertIn(b"Connection: close", head)
-        return f"{', '.join(told) or '-'}: {head.split()[1].decode()} {body.decode().strip()}"
+        return f"{', '.join(calls) or '-'}: {head.split()[1].decode()} {body.decode().strip()}"
 
     async def test_silent_callers_by_hundreds_keep_nobody_out(self) -> None:
-        tally = Metrics()
-        door = AdminServer(Mock(is_ready=lambda: True), tally)
-        door.open("127.0.0.1", 0)
-        self.addAsyncCleanup(door.close)
+        metrics = Metrics()
+        admin_server = AdminServer(Mock(is_ready=lambda: True), metrics)
+        admin_server.open("127.0.0.1", 0)
+        self.addAsyncCleanup(admin_server.close)
         silent = []
         for n in range(120):
-            reader, writer = await asyncio.open_connection("127.0.0.1", door.port())
+            reader, writer = await asyncio.open_connection("127.0.0.1", admin_server.port())
             self.addCleanup(writer.close)
             writer.write(b"" if n % 2 else b"GET /control/re")
             silent.append(reader)
-            self.assertLessEqual(len(door.connections), MAX_CALLERS)
+            self.assertLessEqual(len(admin_server.connections), MAX_CALLERS)
         began = time.monotonic()
-        self.assertEqual(await self.call(door.port(), "ready", "GET"), "200 ready")
+        self.assertEqual(await self.call(admin_server.port(), "ready", "GET"), "200 ready")
         self.assertLess(time.monotonic() - began, 0.5)
         with contextlib.suppress(ConnectionError):
             self.assertEqual(await silent[0].read(), b"")  # the first to come went for the last
         async with asyncio.timeout(5):  # and who stays without a call is told so
             self.assertIn(b" 408 ", await silent[-1].readline())
-        await self.until(lambda: not door.connections)
+        await self.until(lambda: not admin_server.connections)
 
     async def test_who_waits_for_a_decision_is_not_sent_away_for_who_says_nothing(self) -> None:
         decided = asyncio.Event()
 
-        async def out(_uid: str) -> bool:
+        async def drain_backend(_uid: str) -> bool:
             await decided.wait()
             return True
 
-        door = AdminServer(Mock(drain_backend=out), Metrics())
-        door.open("127.0.0.1", 0)
-        self.addAsyncCleanup(door.close)
-        waiting = asyncio.create_task(self.call(door.port(), "runners/a/offline"))
-        await self.until(lambda: any(side.command for side in door.connections))
+        admin_server = AdminServer(Mock(drain_backend=drain_backend), Metrics())
+        admin_server.open("127.0.0.1", 0)
+        self.addAsyncCleanup(admin_server.close)
+        waiting = asyncio.create_task(self.call(admin_server.port(), "runners/a/offline"))
+        await self.until(lambda: any(connection.command for connection in admin_server.connections))
         for _ in range(2 * MAX_CALLERS):
-            _, writer = await asyncio.open_connection("127.0.0.1", door.port())
+            _, writer = await asyncio.open_connection("127.0.0.1", admin_server.port())
             self.addCleanup(writer.close)
         await asyncio.sleep(0.05)
         decided.set()
@@ -114,28 +116,28 @@
 class AtTheLimit(Loopback):
     async def test_clients_that_use_up_their_places_leave_the_operators_theirs(self) -> None:
         given: dict[str, Any] = {"limits": {"sockets": 120}}
-        with_door, without = divide_socket_limit(given, True)[1], divide_socket_limit(given, False)[1]
-        self.assertGreaterEqual(without - with_door, MAX_CALLERS)
-        tally = Metrics()
-        listener = Listener(Mock(is_serving=lambda: True), tally, (), with_door)
+        with_admin_server, without = divide_socket_limit(given, True)[1], divide_socket_limit(given, False)[1]
+        self.assertGreaterEqual(without - with_admin_server, MAX_CALLERS)
+        metrics = Metrics()
+        listener = Listener(Mock(is_serving=lambda: True), metrics, (), with_admin_server)
         listener.open("127.0.0.1", 0)
         self.addAsyncCleanup(listener.close)
-        door = AdminServer(Mock(is_ready=lambda: True), tally)
-        door.open("127.0.0.1", 0)
-        self.addAsyncCleanup(door.close)
+        admin_server = AdminServer(Mock(is_ready=lambda: True), metrics)
+        admin_server.open("127.0.0.1", 0)
+        self.addAsyncCleanup(admin_server.close)
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
         rush = [socket.socket() for _ in range(400)]
         try:
-            for one in rush:
-                one.connect(("127.0.0.1", listener.port()))  # the system takes them; nobody here yet
+            for client in rush:
+                client.connect(("127.0.0.1", listener.port()))  # the system takes them; nobody here yet
             inside = len(os.listdir("/proc/self/fd"))
             resource.setrlimit(resource.RLIMIT_NOFILE, (inside + 120, limits[1]))
             for _ in range(20):
                 began = time.monotonic()
-                self.assertEqual(await self.call(door.port(), "ready", "GET"), "200 ready")
+                self.assertEqual(await self.call(admin_server.port(), "ready", "GET"), "200 ready")
                 self.assertLess(time.monotonic() - began, 0.9)
-            self.assertLessEqual(len(listener.connections), with_door)
+            self.assertLessEqual(len(listener.connections), with_admin_server)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-            for one in rush:
-                one.close()
+            for client in rush:
+                client.close()
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -12,9 +12,11 @@
 
 
 class ConnectionPoolTest(Loopback):
-    def pool(self, port: int, room: bool = True) -> ConnectionPool:
+    def pool(self, port: int, has_room: bool = True) -> ConnectionPool:
         self.metrics = Metrics()
-        return ConnectionPool("127.0.0.1", port, ConnectionLimiter(9 if room else 0, 0.25, 5.0, self.metrics))
+        return ConnectionPool(
+            "127.0.0.1", port, ConnectionLimiter(9 if has_room else 0, 0.25, 5.0, self.metrics)
+        )
 
     async def run_exchange(
         self, pool: ConnectionPool, label: str, body: bytes = b"x", may_send: bool = True
@@ -61,15 +63,15 @@
         opened = self.metrics.counters["backend-connections-opened"]
         self.say(f"  opened {opened} for 4, as the runner closes after three")
         await self.run_exchange(self.pool(await self.stand_in(hang_up)), "closed before the answer")
-        kept = self.pool(await self.stand_in(close_at_the_second))
-        await self.run_exchange(kept, "taken")
-        await self.run_exchange(kept, "closed before the answer, on a kept connection")
+        reused = self.pool(await self.stand_in(close_at_the_second))
+        await self.run_exchange(reused, "taken")
+        await self.run_exchange(reused, "closed before the answer, on a kept connection")
         await self.run_exchange(self.pool(await self.stand_in(babble)), "garbage")
         twice = self.pool(await self.stand_in(speak_first))
         await self.run_exchange(twice, "answered twice")
         self.say(f"  kept {len(twice.idle_connections)}")
         port = await self.stand_in(accept)
-        await self.run_exchange(self.pool(port, room=False), "no socket left")
+        await self.run_exchange(self.pool(port, has_room=False), "no socket left")
         drained = self.pool(port)
         await self.run_exchange(drained, "drained while connecting", may_send=False)
         self.say(f"  kept {len(drained.idle_connections)}")
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -18,13 +18,13 @@
         self.ends: list[str] = []
         self.links: list[asyncio.StreamWriter] = []
 
-        async def kept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def keep_alive(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.links.append(writer)
             await handler(reader, writer)
 
         self.metrics = Metrics()
         self.pool = ConnectionPool(
-            "127.0.0.1", await self.stand_in(kept), ConnectionLimiter(9, 0.25, 5.0, self.metrics)
+            "127.0.0.1", await self.stand_in(keep_alive), ConnectionLimiter(9, 0.25, 5.0, self.metrics)
         )
         self.addCleanup(self.pool.close)
 
@@ -71,31 +71,31 @@
         self.assertEqual(self.ends, ["answered 202"] * 2)
 
     async def test_a_second_response_some_milliseconds_late_answers_nothing(self) -> None:
-        asked: list[int] = []
-        told_twice = asyncio.Event()
+        requests: list[int] = []
+        second_response_due = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             n = len(self.links)
             while True:
                 await read_request(reader)
-                asked.append(n)
-                if len(asked) == 2:
+                requests.append(n)
+                if len(requests) == 2:
                     self.links[0].write(NEVER_RAN)  # of the first, while the second is being worked on
-                    await told_twice.wait()
+                    await second_response_due.wait()
                 writer.write(OK)
 
         await self.begin(backend)
         self.send()
         await self.until(lambda: len(self.ends) == 1)
         self.send()  # at once: the connection has hardly come to rest
-        await self.until(lambda: len(asked) == 2)
+        await self.until(lambda: len(requests) == 2)
         await self.until(lambda: self.metrics.counters["backend-unsolicited-data"] == 1)
-        told_twice.set()
+        second_response_due.set()
         await self.until(lambda: len(self.ends) == 2)
-        self.assertEqual((asked, self.ends), ([1, 2], ["answered 202"] * 2))
+        self.assertEqual((requests, self.ends), ([1, 2], ["answered 202"] * 2))
         self.send(needs_cooldown=False)  # what carries no unit waits for nothing
         await self.until(lambda: len(self.ends) == 3)
-        self.assertEqual(asked, [1, 2, 2])
+        self.assertEqual(requests, [1, 2, 2])
 
     async def test_a_response_that_breaks_off_says_only_that_the_request_was_accepted(self) -> None:
         answers: list[tuple[bytes, str]] = [
--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -209,13 +209,13 @@
 
     async def test_a_watch_that_falls_silent_for_good_has_another_call_beside_it(self) -> None:
         silent = asyncio.Event()
-        kept: list[bytes] = []
+        sent: list[bytes] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.say((await read_request(reader))[0].splitlines()[0])
-            if not kept:
-                kept.append(CHANGES % 6)
-                writer.write(kept[0])
+            if not sent:
+                sent.append(CHANGES % 6)
+                writer.write(sent[0])
                 self.say((await read_request(reader))[0].splitlines()[0])
                 silent.set()
                 await reader.read()  # says nothing any more and stays open
--- a/tests/network/test_handover_channel.py
+++ b/tests/network/test_handover_channel.py
@@ -24,27 +24,27 @@
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         folder /= "deep" * 40  # too long for the path of a socket
         folder.mkdir()
-        said: list[str] = []
+        categories: list[str] = []
         logged = patch.object(
             logging.getLogger("crankfold.network.handover_channel"),
             "handle",
-            lambda record: said.append(record.category),
+            lambda record: categories.append(record.category),
         )
         self.enterContext(logged)
-        passage = HandoverChannel(str(folder), "p", Mock())
-        self.assertIsNone(await passage.connect(HELLO))
-        self.assertEqual(said, [])  # the usual start
+        channel = HandoverChannel(str(folder), "p", Mock())
+        self.assertIsNone(await channel.connect(HELLO))
+        self.assertEqual(categories, [])  # the usual start
         (folder / "p").write_text("no socket")
         (folder / "p.bans").write_text('{"bans": {"a"')
-        self.assertIsNone(await passage.connect(HELLO))
-        self.assertEqual((passage.load_record(), said), (None, ["predecessor", "records"]))
+        self.assertIsNone(await channel.connect(HELLO))
+        self.assertEqual((channel.load_record(), categories), (None, ["predecessor", "records"]))
         record = ManualDrainRecord("n0", ManualDrainState({"a": 5}, {"b": (6, 7)}))
-        passage.save_record(record)
-        self.assertEqual(passage.load_record(), record)
-        await passage.open()
+        channel.save_record(record)
+        self.assertEqual(channel.load_record(), record)
+        await channel.open()
         left = sorted(path.name for path in folder.iterdir())
         self.assertEqual(left, ["p", "p.bans"])  # nothing half written
-        passage.server.close()  # type: ignore[union-attr]  # killed: the name stays
+        channel.server.close()  # type: ignore[union-attr]  # killed: the name stays
         self.assertIsNone(await HandoverChannel(str(folder), "p", Mock()).connect(HELLO))
 
         async def foreign(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -54,14 +54,14 @@
             writer.close()
 
         os.unlink(folder / "p")
-        with passage._short_path("p") as path:
+        with channel._short_path("p") as path:
             server = await asyncio.start_unix_server(foreign, path)
         self.addCleanup(server.close)
-        self.assertIsNone(await passage.connect(HELLO))
-        await passage.open()  # takes the name all the same
+        self.assertIsNone(await channel.connect(HELLO))
+        await channel.open()  # takes the name all the same
         newer = HandoverChannel(str(folder), "p", Mock())
         await newer.open()
-        passage.close()
+        channel.close()
         self.assertTrue((folder / "p").exists())  # no longer its own
         newer.close()
         self.assertFalse((folder / "p").exists())
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -10,7 +10,7 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES, NEW_CONNECTION_GRACE
 from crankfold.network.listener import UNCOUNTED_SOCKETS, Listener
 from crankfold.network.metrics import Metrics
-from tests.loopback import CALLBACK, HEALTH_CHECK, UNIT, Loopback
+from tests.loopback import CALLBACK, HEALTH_CHECK, REQUEST, Loopback
 from tests.scene import read_request
 
 
@@ -71,19 +71,19 @@
         self,
     ) -> None:
         await self.begin(max_connections=5)
-        runner, _ = await self.connect(CALLBACK)
-        await read_request(runner)
-        identified, _ = await self.connect(UNIT)
+        backend, _ = await self.connect(CALLBACK)
+        await read_request(backend)
+        identified, _ = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         self.handler.submit.call_args[0][0].respond(200)
         await read_request(identified)
         silent, _ = await self.connect()
-        asked, _ = await self.connect(HEALTH_CHECK)
-        await read_request(asked)
+        health_checker, _ = await self.connect(HEALTH_CHECK)
+        await read_request(health_checker)
         await asyncio.sleep(NEW_CONNECTION_GRACE)
         young, writer = await self.connect()
-        for gone in (silent, asked, identified, runner):
-            await self.connect(UNIT)
+        for gone in (silent, health_checker, identified, backend):
+            await self.connect(REQUEST)
             await self.ended(gone)
         await self.until(lambda: self.handler.submit.call_count == 5)
         writer.write(HEALTH_CHECK)
@@ -118,7 +118,7 @@
 
     async def test_one_rejected_request_ends_the_connection_whatever_is_pipelined_behind(self) -> None:
         await self.begin()
-        reader, _ = await self.connect(UNIT.replace(b"Timeout: 1", b"Timeout: soon") * 200 + UNIT)
+        reader, _ = await self.connect(REQUEST.replace(b"Timeout: 1", b"Timeout: soon") * 200 + REQUEST)
         self.assertIn(b" 400 ", (await reader.readuntil(b"\r\n\r\n")))
         await self.ended(reader)
         self.assertEqual(self.metrics.counters["clients-rejected-400"], 1)
@@ -126,14 +126,14 @@
 
     async def test_at_the_limit_idle_connections_go_and_a_request_in_hand_stays(self) -> None:
         await self.begin(max_connections=2)
-        reader, _writer = await self.connect(UNIT)
+        reader, _writer = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         idle, _ = await self.connect()
         self.assertFalse(self.listener.is_over_limit())
-        await self.connect(UNIT)
+        await self.connect(REQUEST)
         self.assertEqual(await idle.read(), b"")
         await self.until(lambda: self.handler.submit.call_count == 2)
-        await self.connect(UNIT)
+        await self.connect(REQUEST)
         self.assertTrue(self.listener.is_over_limit())  # the handler sheds what comes now
         self.assertEqual(self.metrics.counters["connections-over-limit"], 1)
         self.handler.submit.call_args_list[0][0][0].respond(200, [], b"done")
@@ -142,7 +142,7 @@
     async def test_the_response_to_a_body_too_large_arrives_while_it_is_still_sent(self) -> None:
         await self.begin()
         reader, _writer = await self.connect(
-            UNIT.replace(b"Length: 2", b"Length: 9000000") + b"x" * 5_000_000
+            REQUEST.replace(b"Length: 2", b"Length: 9000000") + b"x" * 5_000_000
         )
         self.assertIn(b" 413 ", await reader.readline())
         self.assertFalse(self.handler.submit.called)
@@ -165,7 +165,7 @@
 
     async def test_a_client_that_disconnects_and_one_that_pipelines_without_end(self) -> None:
         await self.begin()
-        reader, _writer = await self.connect(UNIT + UNIT * 2000)
+        reader, _writer = await self.connect(REQUEST + REQUEST * 2000)
         await self.until(lambda: self.handler.submit.called)
         client = self.handler.submit.call_args[0][0]
         await self.until(lambda: client.unread_bytes > MAX_UNREAD_BYTES)
@@ -173,7 +173,7 @@
         client.respond(200)
         await read_request(reader)
         await self.until(lambda: self.handler.submit.call_count == 2)
-        _, leaving = await self.connect(UNIT)
+        _, leaving = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.call_count == 3)
         leaving.close()
         await self.until(lambda: self.handler.client_disconnected.called)
--- a/tests/network/test_listener_races.py
+++ b/tests/network/test_listener_races.py
@@ -7,7 +7,7 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
-from tests.loopback import UNIT, Loopback
+from tests.loopback import REQUEST, Loopback
 from tests.scene import read_request
 
 
@@ -21,7 +21,7 @@
 
     async def test_a_client_that_floods_or_sends_a_large_request_and_disconnects_is_noticed(self) -> None:
         await self.begin()
-        large = UNIT.replace(b"Length: 2", b"Length: 60000") + b"x" * 59_998
+        large = REQUEST.replace(b"Length: 2", b"Length: 60000") + b"x" * 59_998
         for number, behind in enumerate((b"", b"y" * 400_000), 1):
             _reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
             writer.write(large + behind)
@@ -35,7 +35,7 @@
     async def test_a_client_that_floods_behind_a_request_has_its_response_whole(self) -> None:
         await self.begin()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
-        writer.write(UNIT)
+        writer.write(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         client = self.handler.submit.call_args[0][0]
         writer.write(b"y" * 9 * MAX_UNREAD_BYTES)
@@ -47,12 +47,12 @@
     async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(self) -> None:
         await self.begin()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
-        writer.write(UNIT)
+        writer.write(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         client = self.handler.submit.call_args[0][0]
         client.respond(200, [], b"done")
         await asyncio.sleep(0.01)
-        writer.write(UNIT.replace(b"u1", b"u2"))  # with the system by now, read by nobody
+        writer.write(REQUEST.replace(b"u1", b"u2"))  # with the system by now, read by nobody
         client.close()
         self.assertEqual((await read_request(reader))[1], b"done")  # no reset overtakes it
         self.assertEqual(await reader.read(), b"")
--- a/tests/planted_maintenance.py
+++ b/tests/planted_maintenance.py
@@ -26,9 +26,9 @@
     """As soon as the leader itself holds nothing there."""
 
     def cluster_report(self, now: int) -> ClusterReport:
-        whole = super().cluster_report(now)
+        report = super().cluster_report(now)
         of_itself = ClusterReport([self.subtree_report(now)], earlier_leases_may_run=False)
-        of_itself.combined = whole.combined
+        of_itself.combined = report.combined
         return of_itself
 
 
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -10,7 +10,7 @@
 from tests.scene import TraceTestCase
 
 HEAD = b"POST /api?k=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: u1\r\nX-Priority-Class: g\r\nX-Timeout: 0.48\r\n"
-UNIT = (
+REQUEST = (
     HEAD
     + b"Idempotency-Key: t\r\nX-Cost: 12001\r\nX-Attrs: slots=2,memory=0.5\r\nContent-Length: 2\r\n\r\nhi"
 )
@@ -67,14 +67,14 @@
             connection.outgoing.clear()
 
     def test_requests_whole_in_pieces_and_pipelined(self) -> None:
-        whole, pieces = self.connect(), self.connect()
-        whole.receive_data(UNIT + UNIT.replace(b"u1", b"u2"))
+        at_once, pieces = self.connect(), self.connect()
+        at_once.receive_data(REQUEST + REQUEST.replace(b"u1", b"u2"))
         self.say("nothing of the second is read before the first is answered")
-        whole.respond(200, [], b"done")
-        whole.process_buffered()
-        self.say_written(whole)
-        for at in range(len(UNIT)):
-            pieces.receive_data(UNIT[at : at + 1])
+        at_once.respond(200, [], b"done")
+        at_once.process_buffered()
+        self.say_written(at_once)
+        for at in range(len(REQUEST)):
+            pieces.receive_data(REQUEST[at : at + 1])
         pieces.close_after_response = True
         pieces.respond(503, [(b"Retry-After", b"0.500")])
         self.say_written(pieces)
@@ -87,7 +87,7 @@
         self.say_written(waiting)
         waiting.receive_data(b"hi")
         old = self.connect()
-        old.receive_data(UNIT.replace(b"HTTP/1.1\r\nHost: b", b"HTTP/1.0"))
+        old.receive_data(REQUEST.replace(b"HTTP/1.1\r\nHost: b", b"HTTP/1.0"))
         old.respond(200)
         self.say_written(old)
         self.close("units")
@@ -96,13 +96,13 @@
         callback = b'{"id":"u1","from":"a","state":"done","result":"r","load":{"queue":1,"x0":2}}'
         unrouted = b"GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         for data in (
-            UNIT,
+            REQUEST,
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nhi\r\n0\r\nX: y\r\n\r\n",
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(callback)
             + callback,
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: 30\r\n\r\n" + callback[:30],
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: 18\r\n\r\n" + b'{"id":"elsewhere"}',
-            UNIT.replace(b"Class: g", b"Class: h") + UNIT,
+            REQUEST.replace(b"Class: g", b"Class: h") + REQUEST,
             unrouted,
         ):
             seen = []
@@ -127,21 +127,21 @@
             "large head": HEAD + b"X: " + b"a" * 20_000,
             "large body": HEAD + b"Content-Length: 70000\r\n\r\n",
             "large chunks": HEAD + chunks + b"11000\r\n" + b"a" * 0x11000 + b"\r\n",
-            "no time-out": UNIT.replace(b"X-Timeout: 0.48\r\n", b""),
-            "no id": UNIT.replace(b"X-Request-ID: u1\r\n", b""),
-            "time-out nan": UNIT.replace(b"0.48", b"nan"),
-            "time-out negative": UNIT.replace(b"0.48", b"-1"),
-            "time-out absurd": UNIT.replace(b"0.48", b"1e9"),
-            "time-out 1_0": UNIT.replace(b"0.48", b"1_0"),
-            "grade": UNIT.replace(b"Class: g", b"Class: h"),
-            "cost": UNIT.replace(b"12001", b"much"),
-            "attributes": UNIT.replace(b"slots=2", b"slots=x"),
-            "attribute without value": UNIT.replace(b"=0.5", b""),
-            "two ids": UNIT.replace(b"X-Cost", b"X-Request-ID: u3\r\nX-Cost"),
-            "id too long": UNIT.replace(b"u1", b"u" * 300),
-            "id no text": UNIT.replace(b"u1", b"\xff\xfe"),
-            "path": UNIT.replace(b"/api", b"/apis"),
-            "method": UNIT.replace(b"POST", b"PUT"),
+            "no time-out": REQUEST.replace(b"X-Timeout: 0.48\r\n", b""),
+            "no id": REQUEST.replace(b"X-Request-ID: u1\r\n", b""),
+            "time-out nan": REQUEST.replace(b"0.48", b"nan"),
+            "time-out negative": REQUEST.replace(b"0.48", b"-1"),
+            "time-out absurd": REQUEST.replace(b"0.48", b"1e9"),
+            "time-out 1_0": REQUEST.replace(b"0.48", b"1_0"),
+            "grade": REQUEST.replace(b"Class: g", b"Class: h"),
+            "cost": REQUEST.replace(b"12001", b"much"),
+            "attributes": REQUEST.replace(b"slots=2", b"slots=x"),
+            "attribute without value": REQUEST.replace(b"=0.5", b""),
+            "two ids": REQUEST.replace(b"X-Cost", b"X-Request-ID: u3\r\nX-Cost"),
+            "id too long": REQUEST.replace(b"u1", b"u" * 300),
+            "id no text": REQUEST.replace(b"u1", b"\xff\xfe"),
+            "path": REQUEST.replace(b"/api", b"/apis"),
+            "method": REQUEST.replace(b"POST", b"PUT"),
             "method on health": b"POST /healthz HTTP/1.1\r\nHost: b\r\nContent-Length: 0\r\n\r\n",
             "method on call-backs": b"GET /v1/job-events HTTP/1.1\r\nHost: b\r\n\r\n",
             "health": b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -35,8 +35,8 @@
             b"7",
             one + b"," + one.replace(b'"state"', b'"stat"'),
         ):
-            for whole in (b"true", b"false"):
-                self.decode(b'{"rev":4,"all":' + whole + b',"targets":[' + entries + b"]}")
+            for is_snapshot in (b"true", b"false"):
+                self.decode(b'{"rev":4,"all":' + is_snapshot + b',"targets":[' + entries + b"]}")
         for broken in (
             b"{",
             b"[]",
--- a/tests/routing/test_rules_admission.py
+++ b/tests/routing/test_rules_admission.py
@@ -8,19 +8,19 @@
 
 
 class WorkHintRules(RuleScene):
-    def open_strict(self) -> None:
+    def open_without_late_value(self) -> None:
         """An answer is worth something within 100 ms only; the class is taken to run for 500 ms."""
         self.open_with(
             ready(0), request_classes=[request_class(latency_objective=100 * MS, objective_per_work=0.0)]
         )
 
     def test_request_whose_hinted_work_cannot_end_in_time_is_shed_at_once(self) -> None:
-        self.open_strict()
+        self.open_without_late_value()
         self.receive_request(0, work=500)
         self.assertEqual((self.sent, self.shed_requests), ([], [0]))
 
     def test_request_without_a_hint_is_not_shed_for_the_typical_work_of_its_class(self) -> None:
-        self.open_strict()
+        self.open_without_late_value()
         self.receive_request(0, work=0)
         self.assertEqual((self.sent, self.shed_requests), ([(0, 0)], []))
 
--- a/tests/routing/test_rules_hedging.py
+++ b/tests/routing/test_rules_hedging.py
@@ -63,14 +63,14 @@
 class HedgeTimeRules(RuleScene):
     def test_hedge_is_sent_only_while_half_of_the_work_can_be_done_in_time(self) -> None:
         # On time within 4300 ms, half of the work takes 1000 ms.
-        for place_at, attempts in ((2900, 2), (3500, 1)):
+        for free_slot_at, attempts in ((2900, 2), (3500, 1)):
             self.open_with(ready(0))
             self.send(0, work=2000)
-            self.elapse(place_at)
+            self.elapse(free_slot_at)
             self.change(ready(1))
             self.report(1, 4.0)
             self.elapse(1000)
-            self.assertEqual(len(self.backends_of(0)), attempts, f"a place {place_at} ms after the send")
+            self.assertEqual(len(self.backends_of(0)), attempts, f"a place {free_slot_at} ms after the send")
 
     def test_in_a_small_subset_a_hedge_waits_for_a_third_of_the_spare_time(self) -> None:
         fleet = [
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -7,7 +7,7 @@
 
 
 class Moved(RouterTestCase):
-    def listed(self, *weights: float) -> None:
+    def change_weights(self, *weights: float) -> None:
         self.change_endpoints(
             [
                 Endpoint(r, EndpointState.READY, weight, 0, 0, 0, 0, r / len(weights))
@@ -17,27 +17,27 @@
 
     def test_load_in_a_weight_is_not_size(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True)
-        self.listed(4.0, 4.0)
-        self.listed(4.0, 1.0)
+        self.change_weights(4.0, 4.0)
+        self.change_weights(4.0, 1.0)
         sizes = " ".join(f"{backend.weight:.1f}" for backend in self.backends)
         self.say(f"sizes {sizes}, held for each core {self.backends[1].utilization:.1f}")
-        self.listed(2.0, 4.0)
+        self.change_weights(2.0, 4.0)
         sizes = " ".join(f"{backend.weight:.1f}" for backend in self.backends)
         self.say(f"sizes {sizes}, held for each core {self.backends[0].utilization:.1f}")
         self.close("move-sizes")
 
     def test_in_sparse_sight_a_long_listed_queue_is_left_out(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
-        self.listed(*[4.0] * 30)
-        kept = self.members[0]
-        self.listed(*[4.0 if r == kept or r not in self.members else 1.0 for r in range(30)])
+        self.change_weights(*[4.0] * 30)
+        member = self.members[0]
+        self.change_weights(*[4.0 if r == member or r not in self.members else 1.0 for r in range(30)])
         for n in range(4):
             self.receive_request(n)
-        self.say(f"all to {kept}: {all(line.endswith(f'runner {kept}') for line in self.lines[1::2])}")
+        self.say(f"all to {member}: {all(line.endswith(f'runner {member}') for line in self.lines[1::2])}")
         self.close("move-long")
 
     def test_a_key_has_the_same_homes_at_every_dispatcher(self) -> None:
-        homes = set()
+        preferred = set()
         for seed in range(20):
             self.open(
                 backend_count=0,
@@ -48,16 +48,18 @@
                 seed=seed,
                 instance_count=20,
             )
-            self.listed(*[4.0] * 12)
+            self.change_weights(*[4.0] * 12)
             self.receive_request(0, work=0, key=77)
-            homes.add(self.lines[-1].split()[-1])
+            preferred.add(self.lines[-1].split()[-1])
         self.lines = []
-        self.say(f"homes at twenty dispatchers: {len(homes)}")
+        self.say(f"homes at twenty dispatchers: {len(preferred)}")
         for r in range(12):
             self.router.probe_ended(self.now, r, True, (0.0, 4.0))
-        self.listed(*[1.0 if str(r) in homes else 4.0 for r in range(12)])  # three held for each core there
+        self.change_weights(
+            *[1.0 if str(r) in preferred else 4.0 for r in range(12)]
+        )  # three held for each core there
         self.receive_request(1, work=0, key=77)
-        self.say(f"another where that is full: {self.lines[-1].split()[-1] not in homes}")
+        self.say(f"another where that is full: {self.lines[-1].split()[-1] not in preferred}")
         for n in range(2, 22):
             self.receive_request(n, work=0, key=1000 + n)
         self.say(f"homes of 20 keys: {len({line.split()[-1] for line in self.lines if '->' in line}) > 5}")
@@ -66,20 +68,20 @@
 
     def test_keys_tell_nothing_where_nothing_is_kept(self) -> None:
         self.open(backend_count=0, free_slots=0, key_affinity=False, start_notifications=False)
-        self.listed(4.0, 4.0)
+        self.change_weights(4.0, 4.0)
         for n in range(4):
             self.receive_request(n, key=77)
         self.close("move-no-keys")
 
     def test_the_limit_follows_the_list_where_weights_move(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, start_notifications=False)
-        self.listed(4.0, 4.0)
+        self.change_weights(4.0, 4.0)
         for r in range(2):
             self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         for n in range(3):
             self.receive_request(n, work=0)
         self.advance_to(600)
-        self.listed(0.8, 0.8)  # four held for each core
+        self.change_weights(0.8, 0.8)  # four held for each core
         for n in range(3, 8):
             self.receive_request(n, work=0)
         self.say(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
@@ -93,12 +95,12 @@
             start_notifications=False,
             request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * MS)],
         )
-        self.listed(4.0, 4.0)
+        self.change_weights(4.0, 4.0)
         for n in range(3):
             self.receive_request(n, work=0)
         for at, weight in ((600, 1.6667), (1200, 0.8)):  # 1.4 held for each core, then four
             self.advance_to(at)
-            self.listed(weight, weight)
+            self.change_weights(weight, weight)
             self.say(f"listed at {weight:.1f}: limit {self.router.limit.limit:.1f}")
         self.close("move-wait")
 
@@ -121,7 +123,7 @@
             self.backends[r].slow_start_next = 1  # saved up long since
         for n in range(20):
             self.receive_request(n, work=20)
-        met = {int(line.split()[-1]) for line in self.lines if "->" in line}
-        self.say(f"cold ones met outside the circle: {len(met - set(self.members))}")
+        used = {int(line.split()[-1]) for line in self.lines if "->" in line}
+        self.say(f"cold ones met outside the circle: {len(used - set(self.members))}")
         self.lines = self.lines[-1:]
         self.close("move-cold")
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -11,7 +11,7 @@
 import orjson
 
 from crankfold.service.application import Application
-from tests.loopback import OK, UNIT, DispatcherTestCase
+from tests.loopback import OK, REQUEST, DispatcherTestCase
 from tests.scene import read_request
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
@@ -23,31 +23,31 @@
     async def start(self) -> None:
         self.sent: list[str] = []
 
-        async def runner(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
                 writer.write(OK)
                 if head.startswith("DELETE"):
                     continue
-                ident = head.lower().partition("x-request-id: ")[2].split()[0]
-                self.sent.append(ident)
-                if not ident.startswith("held"):
-                    await self.send_callback(id=ident, **{"from": "a"}, state="done", result="done")
+                request_id = head.lower().partition("x-request-id: ")[2].split()[0]
+                self.sent.append(request_id)
+                if not request_id.startswith("held"):
+                    await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
 
-        await self.begin(runner)
+        await self.begin(backend)
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.config["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
         self.config["admin_addr"] = "127.0.0.1:0"
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
-    async def held(self, *idents: str) -> list[asyncio.Task[tuple[str, bytes]]]:
-        asked = [asyncio.create_task(self.send_request(ident)) for ident in idents]
-        await self.until(lambda: set(idents) <= set(self.sent))
-        return asked
+    async def send_pending(self, *request_ids: str) -> list[asyncio.Task[tuple[str, bytes]]]:
+        pending = [asyncio.create_task(self.send_request(request_id)) for request_id in request_ids]
+        await self.until(lambda: set(request_ids) <= set(self.sent))
+        return pending
 
-    async def finish(self, *idents: str) -> None:
-        for ident in idents:
-            await self.send_callback(id=ident, **{"from": "a"}, state="done", result=ident)
+    async def finish(self, *request_ids: str) -> None:
+        for request_id in request_ids:
+            await self.send_callback(id=request_id, **{"from": "a"}, state="done", result=request_id)
 
     async def load(self, until: asyncio.Event) -> list[str]:
         """Clients that keep their connections and use them until an answer is the last."""
@@ -60,7 +60,7 @@
                 last = False
                 while not last and not until.is_set():
                     n += 1
-                    writer.write(UNIT.replace(b"u1", f"l{name}-{n}".encode()))
+                    writer.write(REQUEST.replace(b"u1", f"l{name}-{n}".encode()))
                     try:
                         async with asyncio.timeout(5):
                             head, body = await read_request(reader)
@@ -102,27 +102,27 @@
     async def test_replaced_twice_under_load_nothing_is_lost(self) -> None:
         await self.start()
         ends = await self.start_process(SERVE, self.folder)
-        first, first_door = self.process, self.admin_port
+        first, first_admin_port = self.process, self.admin_port
         over = asyncio.Event()
         load = asyncio.create_task(self.load(over))
-        held = await self.held("held1", "held2", "held3")
+        pending = await self.send_pending("held1", "held2", "held3")
         printed = []
         for _ in range(2):
             old, old_ends = self.process, ends
             ends = await self.start_process(SERVE, self.folder)
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
             if old is first:
-                self.assertEqual(await self.call(first_door, "ready", "GET"), "503 not ready")
+                self.assertEqual(await self.call(first_admin_port, "ready", "GET"), "503 not ready")
                 self.assertEqual(
                     (await self.send_request("held2"))[0].split()[1], "409"
                 )  # in hand at the old one
                 await self.finish("held1")  # reaches the new one, which does not hold it
-                self.assertEqual((await held[0])[1], b"held1")
+                self.assertEqual((await pending[0])[1], b"held1")
             old.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
             if old is first:
                 await self.finish("held2", "held3")
-                self.assertEqual([(await one)[1] for one in held[1:]], [b"held2", b"held3"])
+                self.assertEqual([(await one)[1] for one in pending[1:]], [b"held2", b"held3"])
             printed.append(await old_ends)
             self.assertEqual(old.returncode, 0, printed[-1])
             self.assertIn("open-requests=0", printed[-1])
@@ -141,14 +141,14 @@
         await self.start()
         before = await self.start_process(SERVE, self.folder)
         await self.call(self.admin_port, "runners/a/offline")
-        old, door = self.process, self.admin_port
+        old, old_admin_port = self.process, self.admin_port
         after = await self.start_process(SERVE, self.folder)
         self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
         # Called at either, it binds both.
-        for here, there in ((door, self.admin_port), (self.admin_port, door)):
-            self.assertEqual(await self.call(here, "runners/a/online"), "200 online")
+        for port, other_port in ((old_admin_port, self.admin_port), (self.admin_port, old_admin_port)):
+            self.assertEqual(await self.call(port, "runners/a/online"), "200 online")
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
-            self.assertEqual(await self.call(there, "runners/a/offline"), "200 offline")
+            self.assertEqual(await self.call(other_port, "runners/a/offline"), "200 offline")
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
         old.kill()
         await before
@@ -162,16 +162,16 @@
     async def test_the_new_one_is_killed_and_the_old_one_goes_on(self) -> None:
         await self.start()
         await self.start_process(SERVE, self.folder)
-        old, old_door = self.process, self.admin_port
-        held = await self.held("held1")
-        asked = asyncio.Event()
+        old, old_admin_port = self.process, self.admin_port
+        pending = await self.send_pending("held1")
+        polled = asyncio.Event()
 
-        async def mute(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            asked.set()
+        async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+            polled.set()
             await reader.read()
 
         usual = self.config["discovery"]
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(mute)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(silent)}"
         self.config_file.write_bytes(orjson.dumps(self.config))
         self.config["discovery"] = usual
         early = await asyncio.create_subprocess_exec(
@@ -181,7 +181,7 @@
             env={**os.environ, "GW_CONFIG": str(self.config_file), "TMPDIR": self.folder},
         )
         async with asyncio.timeout(5):
-            await asked.wait()  # it has met the old one, and waits for a list
+            await polled.wait()  # it has met the old one, and waits for a list
         early.kill()
         await early.wait()
         self.assertEqual((await self.send_request("u0"))[1], b"done")
@@ -194,8 +194,8 @@
                     if (await self.send_request(f"u{len(self.sent)}"))[1] == b"done":
                         break
         await self.finish("held1")
-        self.assertEqual((await held[0])[1], b"held1")
-        self.assertEqual(await self.call(old_door, "ready", "GET"), "200 ready")
+        self.assertEqual((await pending[0])[1], b"held1")
+        self.assertEqual(await self.call(old_admin_port, "ready", "GET"), "200 ready")
         ends = await self.start_process(SERVE, self.folder)  # and it can be replaced again
         old.terminate()
         await old.wait()
@@ -205,11 +205,11 @@
         await self.start()
         await self.start_process(SERVE, self.folder)
         old = self.process
-        held = await self.held("held1")
+        pending = await self.send_pending("held1")
         await self.start_process(SERVE, self.folder)
         old.kill()
         with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
-            await held[0]
+            await pending[0]
         await self.finish("held1")  # answered, though nobody holds it
         self.assertTrue(self.lines[-1].endswith(" 204"))
         self.assertEqual((await self.send_request("u1"))[1], b"done")
--- a/tests/service/handover/test_stored_lines.py
+++ b/tests/service/handover/test_stored_lines.py
@@ -8,7 +8,15 @@
 from crankfold.protocol.discovery import encode_entry
 from crankfold.protocol.handover_messages import HandoverDecoder, Hello, Welcome, encode_message
 from tests.data.write_fixtures import DATA
-from tests.handover_scene import ASKS, ENDS, EVENT, HELLO, TAKE, HandoverScene, ban_file
+from tests.handover_scene import (
+    CALLBACK_QUERY,
+    EVENT,
+    HELLO,
+    QUERIES,
+    TAKEOVER_REQUEST,
+    HandoverScene,
+    drains_file,
+)
 from tests.stored_forms import (
     BANS,
 )
@@ -25,43 +33,43 @@
     def test_lines_are_read_and_written_as_they_were(self) -> None:
         for name in ("predecessor", "successor"):
             data = (HANDOVER / f"{name}.lines").read_bytes()
-            told = HandoverDecoder().receive_data(data)
-            self.assertEqual(b"".join(encode_message(one) for one in told), data)
+            messages = HandoverDecoder().receive_data(data)
+            self.assertEqual(b"".join(encode_message(one) for one in messages), data)
             if name == "predecessor":
-                assert isinstance(told[0], Welcome)
-                state = told[0].state
+                assert isinstance(messages[0], Welcome)
+                state = messages[0].state
                 self.assertEqual((state.format_version, state.dispatcher_name), (1, "n0"))
             else:
-                self.assertEqual(told[0], Hello(1, ("127.0.0.1", 18080), "n0"))
+                self.assertEqual(messages[0], Hello(1, ("127.0.0.1", 18080), "n0"))
 
     async def test_it_says_what_a_predecessor_said(self) -> None:
         await self.prepare(self.scratch(), (HANDOVER / "bans.json").read_bytes())
-        said = await self.as_predecessor([HELLO, TAKE, *ASKS])
-        self.assertEqual(said, (HANDOVER / "predecessor.lines").read_bytes().splitlines(True))
-        self.assertEqual((EVENT["id"], ENDS[:9]), ("u7", b'{"ask":5,'))
+        lines = await self.as_predecessor([HELLO, TAKEOVER_REQUEST, *QUERIES])
+        self.assertEqual(lines, (HANDOVER / "predecessor.lines").read_bytes().splitlines(True))
+        self.assertEqual((EVENT["id"], CALLBACK_QUERY[:9]), ("u7", b'{"ask":5,'))
 
     async def test_it_follows_a_predecessor_and_says_what_a_successor_said(self) -> None:
         await self.prepare(self.scratch(), b'{"of":"n0","bans":{},"assumed":{}}')
         self.config["known"] = None  # the list comes from the predecessor alone
         lines = (HANDOVER / "predecessor.lines").read_bytes().splitlines(True)
-        told = [one for one in lines if one.startswith((b'{"welcome"', b'{"yours"', b'{"holds"'))]
-        self.assertEqual(len(told), 3)
-        said = await self.as_successor([*told, *ASKS])
-        self.assertEqual(said, (HANDOVER / "successor.lines").read_bytes().splitlines(True))
+        messages = [one for one in lines if one.startswith((b'{"welcome"', b'{"yours"', b'{"holds"'))]
+        self.assertEqual(len(messages), 3)
+        lines = await self.as_successor([*messages, *QUERIES])
+        self.assertEqual(lines, (HANDOVER / "successor.lines").read_bytes().splitlines(True))
         self.assertEqual(
             (await self.send_request("held1"))[0].split()[1], "409"
         )  # in hand at the one before it
-        fleet, desk = self.application.backend_registry, self.application.request_handler
+        registry, request_handler = self.application.backend_registry, self.application.request_handler
         self.assertEqual(
-            {uid: fleet.manual_drains.drained_since[uid] for uid in ("a", "gone")},
+            {uid: registry.manual_drains.drained_since[uid] for uid in ("a", "gone")},
             {"a": 1234567, "gone": 2345678},
         )
-        self.assertEqual(fleet.known_ids, {"a", "b", "c", "gone"})
+        self.assertEqual(registry.known_ids, {"a", "b", "c", "gone"})
         self.assertEqual(
-            tuple(desk.routing.state.table.backends[2].report), (3.0, 2.5)
+            tuple(request_handler.routing.state.table.backends[2].report), (3.0, 2.5)
         )  # by its last report to the one before
         self.assertEqual(
-            [encode_entry(fleet.discovery_entry(n)) for n in range(3)],
+            [encode_entry(registry.discovery_entry(n)) for n in range(3)],
             [
                 {
                     "uid": uid,
@@ -89,13 +97,13 @@
         await self.prepare(folder, data)
         await self.serve()
         await self.serving()
-        bans = self.application.backend_registry.manual_drains
+        manual_drains = self.application.backend_registry.manual_drains
         self.assertEqual(
-            (bans.drained_since, bans.assumed_starts),
+            (manual_drains.drained_since, manual_drains.assumed_starts),
             ({"a": 1234567, "gone": 2345678}, {"b": (3456789, 4567890)}),
         )
         self.assertEqual(orjson.loads(data), BANS)
-        file = folder / ban_file(self.listen)
+        file = folder / drains_file(self.listen)
         file.unlink()
         self.assertEqual(await self.call(self.admin_port, "runners/a/offline"), "200 offline")  # once more
         self.assertEqual(file.read_bytes(), data)
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -30,7 +30,7 @@
 class Carried(TraceTestCase):
     def test_only_what_means_the_same(self) -> None:
         self.lines = []
-        for name, told, live in (
+        for name, state, weights_follow_load in (
             ("alike", welcome(), True),
             ("back to sizes", welcome(), False),
             ("from one that tells no meaning", welcome(weights=STATIC_WEIGHTS), True),
@@ -38,11 +38,11 @@
             ("no targets", welcome(known={}), False),
             ("other fields", welcome(fields=["qps", "queue"]), True),
         ):
-            known = transferred_state.inherited_endpoints(told, live)
+            known = transferred_state.inherited_endpoints(state, weights_follow_load)
             hints = [entry["capacity_hint"] for entry in known["targets"]] if known else known
             self.say(
                 f"{name}: weights {hints}, "
-                f"reports of {sorted(transferred_state.inherited_reports(told, FIELDS))}"
+                f"reports of {sorted(transferred_state.inherited_reports(state, FIELDS))}"
             )
         self.close("carry")
 
@@ -74,15 +74,15 @@
             hedging_allowed=False,
             instance_count=4,
         )
-        cold = self.now - 1000 * MS
+        slow_start_since = self.now - 1000 * MS
         self.change_endpoints(
-            [Endpoint(r, EndpointState.READY, 0.0, 0, 0, cold if r == 2 else 0) for r in range(3)]
+            [Endpoint(r, EndpointState.READY, 0.0, 0, 0, slow_start_since if r == 2 else 0) for r in range(3)]
         )
         for n in range(4):  # before any list of its own: sizes not known, the cold one not pushed
             self.receive_request(n, work=0)
         self.change_endpoints(
             [
-                Endpoint(r, EndpointState.READY, w, 0, 0, cold if r == 2 else 0)
+                Endpoint(r, EndpointState.READY, w, 0, 0, slow_start_since if r == 2 else 0)
                 for r, w in enumerate((4.0, 1.0, 4.0))
             ]
         )
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -11,27 +11,27 @@
 
 
 class InService(DispatcherTestCase):
-    """A dispatcher with its door, between stand-ins."""
+    """A dispatcher with an admin server, between stand-ins."""
 
-    async def with_door(self, **entry: object) -> None:  # noqa: ARG002 - as the base names it
+    async def start_with_admin_server(self, **entry: object) -> None:  # noqa: ARG002 - as the base names it
         self.reads = 0
 
-        async def runner(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
                 self.reads += 1
                 writer.write(OK)
-                ident = head.lower().partition("x-request-id: ")[2].split()[0]
-                if not ident.startswith("held"):
-                    await self.send_callback(id=ident, **{"from": "a"}, state="done", result="done")
+                request_id = head.lower().partition("x-request-id: ")[2].split()[0]
+                if not request_id.startswith("held"):
+                    await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
 
-        await self.begin(runner, rules={"cold-from": 0.2, "warm-after": 10_000_000})
+        await self.begin(backend, rules={"cold-from": 0.2, "warm-after": 10_000_000})
         self.config["admin_addr"] = "127.0.0.1:0"
         await self.start_in_process()
         self.admin_port = self.application.admin_server.port()
 
     async def test_out_by_hand_until_the_call_back_whatever_lists_say(self) -> None:
-        await self.with_door()
+        await self.start_with_admin_server()
         self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
         self.assertEqual((await self.send_request("u1"))[1], b"done")
         self.assertEqual(
@@ -54,7 +54,7 @@
         )  # its kept connection shows it never restarted
 
     async def test_back_after_a_restart_that_the_list_does_not_show_it_is_cold(self) -> None:
-        await self.with_door()
+        await self.start_with_admin_server()
         self.assertEqual((await self.send_request("u1"))[1], b"done")
         await self.call(self.admin_port, "runners/a/offline")
         for link in list(self.application.backend_registry.records[0].pool.idle_connections):
@@ -68,7 +68,7 @@
         )
 
     async def test_a_ban_called_while_the_connection_comes_up_holds_the_unit_back(self) -> None:
-        await self.with_door()
+        await self.start_with_admin_server()
         pool = self.application.backend_registry.records[0].pool
         opening = pool._connect
 
@@ -81,7 +81,7 @@
         self.assertEqual((self.reads, self.application.metrics.counters["attempts-ended-not-sent"]), (0, 1))
 
     async def test_a_drain_serves_what_comes_closes_what_rests_and_returns(self) -> None:
-        await self.with_door()
+        await self.start_with_admin_server()
         resting, keep = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(keep.close)
         keep.write(
@@ -91,13 +91,13 @@
         await read_request(resting)
         used, use = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(use.close)
-        unit = (
+        request = (
             b"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Priority-Class: g\r\n"
             b"X-Timeout: 2\r\nContent-Length: 0\r\n\r\n"
         )
-        use.write(unit % b"u1")
+        use.write(request % b"u1")
         self.assertNotIn("close", (await read_request(used))[0])
-        held = asyncio.create_task(self.send_request("held"))
+        pending = asyncio.create_task(self.send_request("held"))
         await self.until(lambda: self.reads == 2)
         with patch("crankfold.service.lifecycle.CLIENT_MIGRATION_PERIOD", 0.3):
             for _ in range(2):
@@ -105,28 +105,28 @@
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
             self.assertEqual(await self.health(), "503")
             self.assertEqual((await self.send_request("new"))[1], b"done")  # the front still brings some
-            use.write(unit % b"u2")
+            use.write(request % b"u2")
             head, body = await read_request(used)
             self.assertEqual((body, "Connection: close" in head, await used.read()), (b"done", True, b""))
             idle, rest = await asyncio.open_connection("127.0.0.1", self.port)
             self.addCleanup(rest.close)
             async with asyncio.timeout(2):
                 self.assertEqual(await idle.read(), b"")
-            self.assertFalse(held.done())
+            self.assertFalse(pending.done())
             await self.send_callback(id="held", **{"from": "a"}, state="done", result="held")
-            self.assertEqual((await held)[1], b"held")
+            self.assertEqual((await pending)[1], b"held")
             await self.until(lambda: self.application.lifecycle.state.value == "out of service")
         self.assertFalse(resting.at_eof())  # a runner's
         self.assertEqual(await self.call(self.admin_port, "in-service"), "200 in service")
         self.assertEqual(await self.health(), "200")
         self.assertEqual((await self.send_request("later"))[1], b"done")
         # Drained once more, and called back in its last moment: as the last connection goes.
-        last = asyncio.create_task(self.send_request("held2"))
+        last_request = asyncio.create_task(self.send_request("held2"))
         await self.until(lambda: "held2" in self.application.request_handler.request_table.by_request_id)
         with patch("crankfold.service.lifecycle.CLIENT_MIGRATION_PERIOD", 0.0):
             await self.call(self.admin_port, "out-of-service")
             await self.send_callback(id="held2", **{"from": "a"}, state="done", result="held2")
-            self.assertEqual((await last)[1], b"held2")
+            self.assertEqual((await last_request)[1], b"held2")
             self.assertEqual(await self.call(self.admin_port, "in-service"), "200 in service")
         await asyncio.sleep(0.1)
         self.assertEqual((self.application.lifecycle.state.value, await self.health()), ("in service", "200"))
@@ -136,7 +136,7 @@
         self.addCleanup(use.close)
         await self.call(self.admin_port, "out-of-service")
         await self.call(self.admin_port, "in-service")
-        use.write(unit % b"u3")
+        use.write(request % b"u3")
         self.assertNotIn("close", (await read_request(used))[0])
         await self.call(self.admin_port, "out-of-service")
         self.application.shutdown_requested.set()  # SIGTERM, in the middle of a drain by call
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -12,13 +12,13 @@
 import orjson
 
 from crankfold.network.exchange import Exchange
-from tests.loopback import OK, UNIT, DispatcherTestCase
+from tests.loopback import OK, REQUEST, DispatcherTestCase
 from tests.scene import read_request
 
 
 class ApplicationTest(DispatcherTestCase):
     async def test_a_request_from_client_to_backend_and_back(self) -> None:
-        told = asyncio.Event()
+        accepted = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -32,13 +32,13 @@
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="again")
                 await self.send_callback(id="u0", **{"from": "a"}, state="lost")
                 writer.write(OK)
-                told.set()
+                accepted.set()
 
         await self.begin(backend)
         await self.start_in_process()
         answer = await self.send_request("u1", "Idempotency-Key: t\r\nX-Cost: 20\r\n")
         async with asyncio.timeout(5):
-            await told.wait()
+            await accepted.wait()
         await self.until(
             lambda: (
                 not self.application.request_handler.request_table.requests
@@ -90,12 +90,12 @@
 
     async def test_a_backend_that_vanished_holds_no_request_past_its_deadline(self) -> None:
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            heads.append((await reader.read(1 << 16)).split()[0])
-            heads.append(await reader.read())
+            received.append((await reader.read(1 << 16)).split()[0])
+            received.append(await reader.read())
 
-        heads: list[bytes] = []
-        once_only = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
-        await self.begin(silent, **{"service-grades": once_only})
+        received: list[bytes] = []
+        non_idempotent = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
+        await self.begin(silent, **{"service-grades": non_idempotent})
         await self.start_in_process()
         began = asyncio.get_running_loop().time()
         self.assertEqual((await self.send_request("u1", wait=0.2))[0].split()[1], "504")
@@ -106,8 +106,8 @@
                 and not self.application.connection_limiter.open_count
             )
         )
-        await self.until(lambda: len(heads) == 2)
-        self.assertEqual(heads, [b"POST", b""])  # before the 202 a dispatch is called off by closing
+        await self.until(lambda: len(received) == 2)
+        self.assertEqual(received, [b"POST", b""])  # before the 202 a dispatch is called off by closing
 
     async def test_an_error_of_a_backend_is_not_passed_through(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -115,8 +115,8 @@
                 await read_request(reader)
                 writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")  # it may have run
 
-        once_only = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
-        await self.begin(backend, **{"service-grades": once_only})
+        non_idempotent = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
+        await self.begin(backend, **{"service-grades": non_idempotent})
         await self.start_in_process()
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "504")
         self.assertEqual(self.application.metrics.counters["requests-failed"], 1)
@@ -179,26 +179,26 @@
         self.assertEqual((await self.send_request("u3"))[1], b"moved")
 
     async def test_a_client_that_disconnects_is_forgotten_and_its_attempt_cancelled(self) -> None:
-        called_off = asyncio.Event()
-        taken = asyncio.Event()
+        cancelled = asyncio.Event()
+        accepted = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
                 writer.write(OK)
-                (called_off if head.startswith("DELETE /jobs/u1 ") else taken).set()
+                (cancelled if head.startswith("DELETE /jobs/u1 ") else accepted).set()
 
         await self.begin(backend)
         await self.start_in_process()
         pending_response = asyncio.create_task(self.send_request("u1"))
         async with asyncio.timeout(5):
-            await taken.wait()
-            units = self.application.request_handler.request_table.requests
+            await accepted.wait()
+            requests = self.application.request_handler.request_table.requests
             await self.until(
-                lambda: any(attempt.accepted for request in units.values() for attempt in request.attempts)
+                lambda: any(attempt.accepted for request in requests.values() for attempt in request.attempts)
             )
             pending_response.cancel()
-            await called_off.wait()
+            await cancelled.wait()
         await self.until(
             lambda: (
                 not self.application.request_handler.request_table.requests
@@ -213,15 +213,15 @@
         await self.begin(backend)
         await self.start_in_process()
         pool = self.application.backend_registry.records[0].pool
-        opening = pool._connect
+        connect = pool._connect
 
-        async def told_meanwhile(exchange: Exchange) -> None:
+        async def connect_after_drain(exchange: Exchange) -> None:
             self.backend_state = "terminating"
             self.endpoints_changed.set()
             await self.until(lambda: self.application.metrics.counters["discovery-snapshots"] == 2)
-            await opening(exchange)
+            await connect(exchange)
 
-        pool._connect = told_meanwhile  # type: ignore[method-assign]
+        pool._connect = connect_after_drain  # type: ignore[method-assign]
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")
         self.assertEqual((self.lines, self.application.metrics.counters["attempts-ended-not-sent"]), ([], 1))
 
@@ -245,29 +245,29 @@
         self.assertEqual(self.process.returncode, 0, printed)
 
     async def test_sigterm_with_requests_in_hand(self) -> None:
-        taken = asyncio.Queue[str]()
+        accepted = asyncio.Queue[str]()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
                 writer.write(OK)
-                await taken.put(head.split("\r\n")[0])
+                await accepted.put(head.split("\r\n")[0])
 
         await self.begin(backend)
         self.config["settings"]["service-grades"] = [{"name": "g", "effect": "safe", "cut-off": 1_000_000}]
         lines = await self.start_process(["-O", "-m", "crankfold", "serve"])
-        held = asyncio.create_task(self.send_request("u1"))
+        pending = asyncio.create_task(self.send_request("u1"))
         never = asyncio.create_task(self.send_request("u2", wait=9))  # the drain ends before its time is up
         for _ in range(2):
-            await taken.get()
+            await accepted.get()
         self.process.send_signal(signal.SIGTERM)
         self.process.send_signal(signal.SIGTERM)
         late = asyncio.create_task(self.send_request("u3"))  # connections still come for a moment
-        await taken.get()
+        await accepted.get()
         await self.send_callback(id="u3", **{"from": "a"}, state="done", result="3")
         await asyncio.sleep(0.6)  # past the moment: call-backs are received all the same
         await self.send_callback(id="u1", **{"from": "a"}, state="done", result="1")
-        for asked in (held, late, never):
+        for asked in (pending, late, never):
             head, body = await asked
             self.say(f"{head} {body.decode()}")
         printed = await lines
@@ -308,7 +308,7 @@
         await self.begin(partial(backend, name="a"))
         ports = {name: await self.stand_in(partial(backend, name=name)) for name in "bc"}
         lines = await self.start_process(["-O", "-m", "crankfold", "serve"])
-        held = asyncio.create_task(self.send_request("held"))
+        pending = asyncio.create_task(self.send_request("held"))
         async with asyncio.timeout(5):
             await sent.wait()
         for name in "bc":
@@ -325,7 +325,7 @@
             await self.until(lambda name=name: any(f"{name} /v1/servers?" in a for a in asked))  # type: ignore[misc]
             self.assertEqual((await self.send_request(f"u{name}"))[1].decode(), name)
         await self.send_callback(id="held", **{"from": "a"}, state="done", result="held")
-        self.assertEqual((await held)[1], b"held")  # a unit in hand outlives it, though its runner is gone
+        self.assertEqual((await pending)[1], b"held")  # a unit in hand outlives it, though its runner is gone
         self.process.terminate()
         self.process.send_signal(signal.SIGHUP)
         printed = await lines
@@ -346,7 +346,7 @@
         await asyncio.sleep(0.2)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for pause in (1.0, 0.0):  # the second when others would have closed long since
-            writer.write(UNIT.replace(b"Timeout: 1", b"Timeout: 2"))
+            writer.write(REQUEST.replace(b"Timeout: 1", b"Timeout: 2"))
             head, body = await read_request(reader)
             self.assertEqual((head.split()[1], body, "Connection: close" in head), ("200", b"result", False))
             await asyncio.sleep(pause)
@@ -358,8 +358,8 @@
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        once_only = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
-        await self.begin(silent, **{"service-grades": once_only})
+        non_idempotent = [{"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}]
+        await self.begin(silent, **{"service-grades": non_idempotent})
         await self.start_in_process()
         asked = [asyncio.create_task(self.send_request("sent"))]
         await self.until(lambda: self.application.metrics.counters["attempts"] == 1)
--- a/tests/service/test_lifecycle.py
+++ b/tests/service/test_lifecycle.py
@@ -6,33 +6,34 @@
 
 class Decided(TraceTestCase):
     def test_duty_from_start_to_end(self) -> None:
-        duty = Lifecycle()
+        lifecycle = Lifecycle()
 
-        def shown(at: float, what: str, yes: bool | None = None) -> None:
+        def record(at: float, what: str, yes: bool | None = None) -> None:
             self.say(
-                f"{at:3} {what}{'' if yes is None else ' yes' if yes else ' no'}: {duty.state.value}"
-                f"{', healthy' if duty.is_serving() else ''}{', last answers' if duty.is_leaving() else ''}"
-                f"{', closes idle' if duty.closes_idle_connections(at) else ''}"
+                f"{at:3} {what}{'' if yes is None else ' yes' if yes else ' no'}: {lifecycle.state.value}"
+                f"{', healthy' if lifecycle.is_serving() else ''}"
+                f"{', last answers' if lifecycle.is_leaving() else ''}"
+                f"{', closes idle' if lifecycle.closes_idle_connections(at) else ''}"
             )
 
-        shown(0.0, "made")
-        duty.start_serving(0.1)
-        shown(0.1, "begun")
-        shown(1.0, "leave", duty.start_drain(1.0))
-        shown(1.2, "empty already", duty.finish_drain(1.2, True))
-        shown(2.0, "leave again", duty.start_drain(2.0))
-        shown(2.6, "somebody left", duty.finish_drain(2.6, False))
-        shown(2.7, "back in the middle", duty.resume_serving(2.7))
-        shown(2.8, "nobody left, but in service", duty.finish_drain(2.8, True))
-        shown(3.0, "leave", duty.start_drain(3.0))
-        shown(5.0, "nobody left", duty.finish_drain(5.0, True))
-        shown(5.1, "leave again", duty.start_drain(5.1))
-        shown(6.0, "back", duty.resume_serving(6.0))
-        shown(6.1, "back again", duty.resume_serving(6.1))
-        duty.start_shutdown(7.0)
-        shown(7.0, "ended")
-        shown(7.1, "leave", duty.start_drain(7.1))
-        shown(7.2, "back", duty.resume_serving(7.2))
+        record(0.0, "made")
+        lifecycle.start_serving(0.1)
+        record(0.1, "begun")
+        record(1.0, "leave", lifecycle.start_drain(1.0))
+        record(1.2, "empty already", lifecycle.finish_drain(1.2, True))
+        record(2.0, "leave again", lifecycle.start_drain(2.0))
+        record(2.6, "somebody left", lifecycle.finish_drain(2.6, False))
+        record(2.7, "back in the middle", lifecycle.resume_serving(2.7))
+        record(2.8, "nobody left, but in service", lifecycle.finish_drain(2.8, True))
+        record(3.0, "leave", lifecycle.start_drain(3.0))
+        record(5.0, "nobody left", lifecycle.finish_drain(5.0, True))
+        record(5.1, "leave again", lifecycle.start_drain(5.1))
+        record(6.0, "back", lifecycle.resume_serving(6.0))
+        record(6.1, "back again", lifecycle.resume_serving(6.1))
+        lifecycle.start_shutdown(7.0)
+        record(7.0, "ended")
+        record(7.1, "leave", lifecycle.start_drain(7.1))
+        record(7.2, "back", lifecycle.resume_serving(7.2))
         early = Lifecycle()
         early.start_drain(0.0)
         early.start_serving(0.1)
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -11,7 +11,7 @@
 from crankfold.network.accepted_connection import NEW_CONNECTION_GRACE
 from crankfold.network.exchange import Exchange
 from crankfold.service.application import Application
-from tests.loopback import OK, UNIT, DispatcherTestCase, Handler
+from tests.loopback import OK, REQUEST, DispatcherTestCase, Handler
 from tests.scene import read_request
 
 
@@ -27,7 +27,7 @@
         await self.begin(backend)
         await self.start_in_process()
         client = socket.create_connection(("127.0.0.1", self.port))
-        client.sendall(UNIT)
+        client.sendall(REQUEST)
         client.close()  # all in one turn: nobody accepted it so far
         await self.until(lambda: self.application.metrics.counters["clients-closed-before-read"] == 1)
         await self.until(lambda: not self.application.listener.connections)
@@ -72,7 +72,7 @@
             await may_finish.wait()
 
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(UNIT[:-1])  # its last byte is still under way
+        writer.write(REQUEST[:-1])  # its last byte is still under way
         await self.until(
             lambda: any(client.protocol.is_mid_request() for client in self.application.listener.connections)
         )
@@ -83,7 +83,7 @@
         ):
             self.application.shutdown_requested.set()
             await ended.wait()
-            writer.write(UNIT[-1:])
+            writer.write(REQUEST[-1:])
             head, _ = await read_request(reader)
             may_finish.set()
         self.assertEqual((head.split()[1], self.lines), ("503", []))
@@ -91,12 +91,12 @@
         writer.close()
 
     async def test_a_backends_connection_stays_through_a_drain_until_its_request_has_ended(self) -> None:
-        taken = asyncio.Event()
+        sent = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(OK)
-            taken.set()
+            sent.set()
             await reader.read()
 
         async def back(state: str, **more: str) -> str:
@@ -108,7 +108,7 @@
         await self.begin(backend)
         await self.start_in_process()
         pending_response = asyncio.create_task(self.send_request("u1"))
-        await taken.wait()
+        await sent.wait()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.assertEqual(await back("started"), "204")
         with (
@@ -150,7 +150,7 @@
             patch.object(
                 routing.selection.candidates, "_available", lambda *_: routing.state.table.backends[:1]
             ),
-            patch("crankfold.service.requests.table.Attempt.was_sent", lambda _trip: False),
+            patch("crankfold.service.requests.table.Attempt.was_sent", lambda _attempt: False),
         ):
             answer = await self.send_request("u1")
         self.assertEqual((answer[0].split()[1], opened, len(self.lines)), ("504", 2, 1))
@@ -168,13 +168,13 @@
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")  # known not to have run
         self.assertEqual(self.lines.count("sent"), 1)
 
-    async def beside(self, told_first: bool) -> str:
+    async def beside(self, callback_first: bool) -> str:
         """A once-only unit whose dispatch breaks, and the call-back of its end; how it was answered."""
         broken = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
-            if told_first:
+            if callback_first:
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="ran")
             writer.transport.abort()
             broken.set()
@@ -183,7 +183,7 @@
         await self.start_in_process()
         pending_response = asyncio.create_task(self.send_request("u1"))
         await broken.wait()
-        if not told_first:
+        if not callback_first:
             await self.until(lambda: self.application.metrics.counters["requests-failed"] == 1)
             await self.send_callback(id="u1", **{"from": "a"}, state="done", result="ran")
         answer = await pending_response
@@ -313,7 +313,10 @@
 
         await self.begin(backend)
         await self.start_in_process()
-        grade = {"name": "h", "effect": "safe", "cut-off": 500_000, "expected-time": 100_000}
-        self.config = {**self.config, "settings": {**self.config["settings"], "service-grades": [grade]}}
+        request_class = {"name": "h", "effect": "safe", "cut-off": 500_000, "expected-time": 100_000}
+        self.config = {
+            **self.config,
+            "settings": {**self.config["settings"], "service-grades": [request_class]},
+        }
         self.application.reloader.reload()
         self.assertEqual(self.application.config_applier.longest_deadline, 0.5)
--- a/tests/service/test_socket_budget.py
+++ b/tests/service/test_socket_budget.py
@@ -14,16 +14,22 @@
 
     def test_descriptors_of_both_stay_under_the_limit(self) -> None:
         given: dict[str, Any] = {"limits": {"sockets": 384}}
-        to_runners, others = divide_socket_limit(given, True)
-        for held in (0, 100, others):
-            node, old = (SocketBudget(SocketLimits(to_runners, others), Mock(), Mock()) for _ in "no")
+        backend_connections, others = divide_socket_limit(given, True)
+        for open_connections in (0, 100, others):
+            node, old = (
+                SocketBudget(SocketLimits(backend_connections, others), Mock(), Mock()) for _ in "no"
+            )
             old.yield_to_successor()
-            node.reserve(held, old.connection_limiter.max_connections)
-            self.assertLessEqual(node.listener.max_connections + held + to_runners + 2 * MAX_CALLERS, 384)
+            node.reserve(open_connections, old.connection_limiter.max_connections)
+            self.assertLessEqual(
+                node.listener.max_connections + open_connections + backend_connections + 2 * MAX_CALLERS, 384
+            )
             self.assertLessEqual(
-                node.connection_limiter.max_connections + old.connection_limiter.max_connections, to_runners
+                node.connection_limiter.max_connections + old.connection_limiter.max_connections,
+                backend_connections,
             )
             node.reserve(0, 0)  # the old one has left
             self.assertEqual(
-                (node.connection_limiter.max_connections, node.listener.max_connections), (to_runners, others)
+                (node.connection_limiter.max_connections, node.listener.max_connections),
+                (backend_connections, others),
             )
--- a/tests/simulation/traffic/test_comparison.py
+++ b/tests/simulation/traffic/test_comparison.py
@@ -29,7 +29,7 @@
 class Studies(TraceTestCase):
     def test_all_policies_keep_the_rules_whatever_the_grade(self) -> None:
         for effect in Idempotency:
-            grade = replace(
+            request_class = replace(
                 comparison.DEFAULT_CLASS,
                 idempotency=effect,
                 deduplication_scope=DeduplicationScope.ZONE,
@@ -37,7 +37,7 @@
             )
             for name, make in comparison.POLICIES.items():
                 world = SimulatedFleet(
-                    SMALL, replace(comparison.DEFAULT_CONFIG, request_classes=[grade]), make
+                    SMALL, replace(comparison.DEFAULT_CONFIG, request_classes=[request_class]), make
                 )
                 world.change_state(20_000, 0, EndpointState.DRAINING)
                 world.change_state(25_000, 1, EndpointState.REMOVED)
--- a/tests/simulation/traffic/test_experiment.py
+++ b/tests/simulation/traffic/test_experiment.py
@@ -42,23 +42,23 @@
         return result.exit_code, result.output.replace(str(self.folder), "HERE")
 
     def test_the_same_file_gives_the_same_bytes_whoever_plays(self) -> None:
-        kept = []
+        written = []
         for workers in ("1", "3"):
             out = self.folder / f"by {workers}"
             code, output = self.made(PLAN, "--out", str(out), "--workers", workers)
             self.assertEqual(code, 0, output)
-            kept.append([(out / f"small.{kind}").read_bytes() for kind in ("csv", "txt", "svg")])
-        self.assertEqual(kept[0], kept[1])
-        self.assertEqual(kept[0][0].count(b"\n"), 1 + 2 * 3 * 2)
-        self.assertIn(b"more, a runner hangs: crankfold", kept[0][1])
+            written.append([(out / f"small.{kind}").read_bytes() for kind in ("csv", "txt", "svg")])
+        self.assertEqual(written[0], written[1])
+        self.assertEqual(written[0][0].count(b"\n"), 1 + 2 * 3 * 2)
+        self.assertIn(b"more, a runner hangs: crankfold", written[0][1])
 
     def test_without_the_library_for_charts_the_rest_is_kept_and_a_line_says_what_is_missing(self) -> None:
         with patch.dict(sys.modules, {"matplotlib": None}):
             code, output = self.made(PLAN, "--out", str(self.folder / "bare"), "--workers", "1")
         self.assertEqual(code, 0, output)
         self.assertIn("no chart: matplotlib is not installed\n", output)
-        kept = sorted(path.name for path in (self.folder / "bare").iterdir())
-        self.assertEqual(kept, ["small.csv", "small.txt"])
+        written = sorted(path.name for path in (self.folder / "bare").iterdir())
+        self.assertEqual(written, ["small.csv", "small.txt"])
 
     def test_what_can_not_be_played_is_said_in_a_line(self) -> None:
         for what, plan in {
--- a/tests/simulation/traffic/test_faults.py
+++ b/tests/simulation/traffic/test_faults.py
@@ -56,7 +56,7 @@
         world, _ = self.play(Fault(FaultKind.ZONE_LOSS, 2.0, 4.0, zone=1))
         self.assertEqual([r.index for r in world.backends if r.ready_since], [1, 4, 7])
         world, _ = self.play(Fault(FaultKind.DISPATCHERS_KILLED, 2.0, 4.0, 0.5))
-        self.assertEqual(sum(post.alive for post in world.dispatchers), 6)
+        self.assertEqual(sum(dispatcher.alive for dispatcher in world.dispatchers), 6)
         before, after = (
             self.play(Fault(FaultKind.BURST, 2.0, 4.0, factor=f))[0].request_count for f in (1.0, 3.0)
         )
--- a/tests/simulator_adapter/test_host.py
+++ b/tests/simulator_adapter/test_host.py
@@ -19,7 +19,7 @@
 report.via=inline
 tick=2000
 a.setting.not.known=1"""
-RUNNER = b"\x0a\x12\x4a\x07\xc3\x2b"
+BACKEND = b"\x0a\x12\x4a\x07\xc3\x2b"
 
 
 def frame(*records: bytes) -> bytes:
@@ -28,7 +28,7 @@
 
 TO = struct.pack("<HH", 13, 3)
 INIT = struct.pack("<HQI", 1, 9, len(PARAMS)) + PARAMS
-CENSUS = struct.pack("<HII", 11, 0, 1) + struct.pack("<BBfH6sBQ", 0, 1, 0.0, 0, RUNNER, 0, 0)
+CENSUS = struct.pack("<HII", 11, 0, 1) + struct.pack("<BBfH6sBQ", 0, 1, 0.0, 0, BACKEND, 0, 0)
 MEMBERS = struct.pack("<HBQI", 2, 4, 41, 0)
 QUERY = struct.pack("<HIHHQQIffB", 3, 77, 0, 0, 0, 6_000_000, 12_000, 1.0, 0.0, 1)
 
@@ -38,8 +38,8 @@
         host = SimulatorHost()
         host.handle_frame(frame(CENSUS, TO, INIT, MEMBERS))
         reply = host.handle_frame(frame(TO, QUERY))
-        self.assertIn(struct.pack("<HIi6s", 1, 77, 0, RUNNER), reply)
-        verdict = struct.pack("<HIB6sBIBIB", 5, 77, 0, RUNNER, 99, 10, 0, 0, 0)
+        self.assertIn(struct.pack("<HIi6s", 1, 77, 0, BACKEND), reply)
+        verdict = struct.pack("<HIB6sBIBIB", 5, 77, 0, BACKEND, 99, 10, 0, 0, 0)
         host.handle_frame(frame(TO, verdict))
         self.assertTrue(host.instances[3].router.state.requests[0].attempts[0].may_have_executed)
 
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -38,12 +38,12 @@
     WorkMethod,
 )
 
-KEPT = Snapshot(index=41, term=6, voters={"n0": "h0:7000", "n1": "h1:7000"}, state=b"\x00state\xff")
+SNAPSHOT = Snapshot(index=41, term=6, voters={"n0": "h0:7000", "n1": "h1:7000"}, state=b"\x00state\xff")
 ENTRIES = [
     LogEntry(term=6, kind="begin", data={"by": "n0"}),
     LogEntry(term=7, kind="count", data={"doc": "settings", "number": 3}),
 ]
-TELL = MaintenanceReport(
+MAINTENANCE_REPORT = MaintenanceReport(
     in_flight={"r1": 2, "r2": 300},
     unresolved={"r1": ["u1", "u2"]},
     response_counts={"r3": (70000, 4)},
@@ -93,7 +93,7 @@
         AppendEntriesResponse(term=7, success=True, match_index=42, round_number=13),
         AppendEntriesResponse(term=7, success=False, match_index=17, round_number=14),
     ],
-    "install": [InstallSnapshot(term=7, snapshot=KEPT, round_number=15)],
+    "install": [InstallSnapshot(term=7, snapshot=SNAPSHOT, round_number=15)],
     "ask": [
         LeaseRequest(
             term=7,
@@ -111,7 +111,7 @@
             lowest_applied_index=41,
             quiesced_index=39,
             drained_index=37,
-            maintenance_report=TELL,
+            maintenance_report=MAINTENANCE_REPORT,
         ),
     ],
     "grant": [LeaseGrant(term=7, request_sent_at=123456789, lease_duration=16000, required_index=41)],
@@ -132,7 +132,7 @@
             last_applied=41,
             quiesced_index=37,
             quota_usage={},
-            maintenance_report=TELL,
+            maintenance_report=MAINTENANCE_REPORT,
         ),
     ],
     "news": [
@@ -149,7 +149,7 @@
             request_sent_at=5000000001,
             lease_duration=0,
             prev_log_index=41,
-            snapshot=KEPT,
+            snapshot=SNAPSHOT,
             entries=[],
             voter_last_applied=43,
             cluster_applied_index=39,
@@ -273,7 +273,7 @@
 
 
 def _step(uid: str, step: str, work: str, last: int | None = None, call: str = "", **more: Any) -> LogEntry:
-    told: dict[str, Any] = {
+    data: dict[str, Any] = {
         "uid": uid,
         "step": step,
         "work": work,
@@ -283,28 +283,28 @@
         **more,
     }
     if last is not None:
-        told["last"] = last
-    return LogEntry(term=2, kind="step", data={"steps": [told], **({"call": call} if call else {})})
+        data["last"] = last
+    return LogEntry(term=2, kind="step", data={"steps": [data], **({"call": call} if call else {})})
 
 
-def _settings(effect: str, cutoff: int, dispatches: int) -> dict[str, Any]:
+def _settings(effect: str, deadline: int, attempts: int) -> dict[str, Any]:
     return {
         "service-grades": [
             {
                 "name": "g",
                 "effect": effect,
-                "cut-off": cutoff,
+                "cut-off": deadline,
                 "expected-time": 500_000,
                 "group": "zone",
                 "repeat-window": 1_000_000,
                 "revenue": 1.5,
             }
         ],
-        "allowed": {"most-dispatches": dispatches, "second-copies": True, "cancel": False},
+        "allowed": {"most-dispatches": attempts, "second-copies": True, "cancel": False},
     }
 
 
-PLACE = ("north", "big", "c1", 2.0)
+LOCATION = ("north", "big", "c1", 2.0)
 WORKS_1 = {"works": {"disks": {"why": "new disks", "zones": ["north"], "at-once": 4}}}
 WORKS_2 = {"works": {**WORKS_1["works"], "bios": {"machines": ["r1"], "way": "list", "takes": 60.0}}}
 
@@ -330,15 +330,15 @@
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 1}),
     _publish("c9", "works", 1, WORKS_2),
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 2}),
-    _step("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(PLACE)),  # 21
+    _step("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(LOCATION)),  # 21
     _step("r1", "free", "disks", 21),
     _step("r1", "work", "disks", 22, number=22, life=2**45),
     _step("r1", "ended", "disks", 23, number=22),
     _step("r1", "free", "bios", 24),  # another work's turn while it is out
-    _step("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(PLACE)),  # 26
+    _step("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(LOCATION)),  # 26
     _step("r2", "back", "disks", 26),
     _step("r2", "well", "disks", 27),
-    _step("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(PLACE)),  # 29
+    _step("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(LOCATION)),  # 29
     _step("r3", "free", "disks", 29),
     _step("r3", "unwell", "disks", 30),
     _step("r4", "out", "disks", made_from=0, plan=2),  # 32: void, decided before the last change
--- a/tests/terms/test_clocks.py
+++ b/tests/terms/test_clocks.py
@@ -82,26 +82,26 @@
         await asyncio.sleep(number * 0.03)
         await self.send_request(f"u{number}")
 
-    async def listed_later(self, *, ahead_ms: int = 0, boot_error_ms: int = 0) -> int:
+    async def age_of_a_start_listed_later(self, *, ahead_ms: int = 0, boot_error_ms: int = 0) -> int:
         await self.begin_with(dispatcher_ahead_ms=ahead_ms)
         await self.start_with_wrong_clock()
         self.list_other(self.right_ms() + boot_error_ms)
         return await self.assumed_age()
 
     async def test_a_start_listed_later_is_new_where_the_own_clock_is_an_hour_ahead(self) -> None:
-        self.assertLess(await self.listed_later(ahead_ms=HOUR_MS), MAX_ASSUMED_AGE)
+        self.assertLess(await self.age_of_a_start_listed_later(ahead_ms=HOUR_MS), MAX_ASSUMED_AGE)
 
     async def test_a_start_listed_later_is_new_where_the_own_clock_is_seconds_ahead(self) -> None:
-        self.assertLess(await self.listed_later(ahead_ms=8_000), MAX_ASSUMED_AGE)
+        self.assertLess(await self.age_of_a_start_listed_later(ahead_ms=8_000), MAX_ASSUMED_AGE)
 
     async def test_a_start_listed_later_is_new_where_the_backends_clock_is_an_hour_behind(self) -> None:
-        self.assertLess(await self.listed_later(boot_error_ms=-HOUR_MS), MAX_ASSUMED_AGE)
+        self.assertLess(await self.age_of_a_start_listed_later(boot_error_ms=-HOUR_MS), MAX_ASSUMED_AGE)
 
     async def test_a_start_in_the_future_is_cold_no_longer_than_any_other(self) -> None:
-        self.assertGreaterEqual(await self.listed_later(ahead_ms=-HOUR_MS), 0)
+        self.assertGreaterEqual(await self.age_of_a_start_listed_later(ahead_ms=-HOUR_MS), 0)
 
     async def test_a_start_in_the_future_by_the_backends_clock_is_cold_no_longer_either(self) -> None:
-        self.assertGreaterEqual(await self.listed_later(boot_error_ms=HOUR_MS), 0)
+        self.assertGreaterEqual(await self.age_of_a_start_listed_later(boot_error_ms=HOUR_MS), 0)
 
     async def test_right_clocks_cost_nothing(self) -> None:
         """What started long ago is warm in the first list, and stays as it was seen when listed again."""
--- a/tests/terms/test_discovery.py
+++ b/tests/terms/test_discovery.py
@@ -22,24 +22,24 @@
         await agent.open()
         self.addCleanup(agent.end)
         loop = asyncio.get_running_loop()
-        heard: list[float] = []
+        changed_at: list[float] = []
         watcher = DiscoveryWatcher(
             HOST,
             agent.port,
             lambda entry: entry.state,  # type: ignore[arg-type, return-value]
-            on_endpoints=lambda _endpoints, _snapshot: heard.append(loop.time()),
+            on_endpoints=lambda _endpoints, _snapshot: changed_at.append(loop.time()),
             on_failure=Mock(),
             metrics=Metrics(),
         )
         watcher.start(True)
         self.addCleanup(watcher.stop)
-        await self.until(lambda: len(heard) == 1)
+        await self.until(lambda: len(changed_at) == 1)
         await asyncio.sleep(0.5)
         agent.silent = True
-        await asyncio.sleep(heard[0] + LONG_POLL_MS / 1000 + 0.06 - loop.time())
+        await asyncio.sleep(changed_at[0] + LONG_POLL_MS / 1000 + 0.06 - loop.time())
         agent.silent = False
         entries[0]["state"] = "terminating"
         agent.change()
-        told_at = loop.time()
-        await self.until(lambda: len(heard) == 2)
-        self.assertLess(heard[1] - told_at, DRAIN_GRACE)
+        drained_at = loop.time()
+        await self.until(lambda: len(changed_at) == 2)
+        self.assertLess(changed_at[1] - drained_at, DRAIN_GRACE)
--- a/tests/terms/test_handed_over_times.py
+++ b/tests/terms/test_handed_over_times.py
@@ -29,8 +29,8 @@
         now = old.timers.clock.now()
         old.backends.manual_drains.assumed_starts["a"] = AssumedStart(now, now)
         stepped = self.right_ns + step_ns
-        told_at = self.right_ns if from_file else stepped
-        with patch("crankfold.network.timers.time.time_ns", lambda: told_at):
+        received_at = self.right_ns if from_file else stepped
+        with patch("crankfold.network.timers.time.time_ns", lambda: received_at):
             state = manual_drain_state(old)
         new = self.process(step_ns)
         adopt_manual_drains(new, state, times_known=not from_file)
--- a/tests/terms/test_requests.py
+++ b/tests/terms/test_requests.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
-from tests.loopback import NEVER_RAN, UNIT, DispatcherTestCase, accepting
+from tests.loopback import NEVER_RAN, REQUEST, DispatcherTestCase, accepting
 from tests.scene import read_request
 
 
@@ -28,7 +28,7 @@
         await self.start_in_process()
         with patch("crankfold.network.accepted_connection.THROTTLE_DELAY", 2.0):  # as hundreds that flood
             _, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            writer.write(UNIT + b"x" * (4 * MAX_UNREAD_BYTES))
+            writer.write(REQUEST + b"x" * (4 * MAX_UNREAD_BYTES))
             await self.until(lambda: len(sent) == 1 and bool(self.application.listener.flooding_connections))
             writer.close()
             client_gone.set()
--- a/tests/terms/test_stalled_clients.py
+++ b/tests/terms/test_stalled_clients.py
@@ -28,17 +28,17 @@
         await self.start_in_process()
 
     async def connect(
-        self, *, served_before: bool, ident: str
+        self, *, served_before: bool, request_id: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(writer.close)
         if served_before:
-            writer.write(HEADER % ident.encode() + b"hello!")
+            writer.write(HEADER % request_id.encode() + b"hello!")
             await read_request(reader)
         return reader, writer
 
-    async def seconds_until_ended(self, part: bytes, *, served_before: bool, ident: str) -> float:
-        reader, writer = await self.connect(served_before=served_before, ident=ident)
+    async def seconds_until_ended(self, part: bytes, *, served_before: bool, request_id: str) -> float:
+        reader, writer = await self.connect(served_before=served_before, request_id=request_id)
         begin = asyncio.get_running_loop().time()
         writer.write(part)
         async with asyncio.timeout(2 * BAD_CLIENT_SECONDS):
@@ -52,7 +52,7 @@
         parts = (header[:1], header[:50], header, header + b"h", header + b"hello", b"\r\n")
         ended = await asyncio.gather(
             *(
-                self.seconds_until_ended(part, served_before=before, ident=f"{number}-{before}")
+                self.seconds_until_ended(part, served_before=before, request_id=f"{number}-{before}")
                 for number, part in enumerate(parts)
                 for before in (False, True)
             )
@@ -60,11 +60,11 @@
         self.assertLessEqual(max(ended), BAD_CLIENT_SECONDS, ended)
 
     async def test_a_client_that_stops_in_what_it_sent_behind_a_request_is_ended(self) -> None:
-        async def held(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        async def hold_request(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()  # until the request's time is over
 
-        await self.serve(held)
-        reader, writer = await self.connect(served_before=False, ident="")
+        await self.serve(hold_request)
+        reader, writer = await self.connect(served_before=False, request_id="")
         writer.write(HEADER % b"first" + b"hello!" + (HEADER % b"second")[:30])
         await read_request(reader)
         begin = asyncio.get_running_loop().time()
@@ -76,9 +76,9 @@
     async def test_a_slow_writer_that_goes_on_is_served(self) -> None:
         await self.serve()
 
-        async def write_slowly(*, served_before: bool, ident: str) -> str:
-            reader, writer = await self.connect(served_before=served_before, ident=ident)
-            data = HEADER % (ident + "-slow").encode() + b"hello!"
+        async def write_slowly(*, served_before: bool, request_id: str) -> str:
+            reader, writer = await self.connect(served_before=served_before, request_id=request_id)
+            data = HEADER % (request_id + "-slow").encode() + b"hello!"
             pieces = [data[:20], data[20:-6], b"h", b"el", b"lo", b"!"]
             for piece in pieces:
                 writer.write(piece)
@@ -86,6 +86,7 @@
             return (await read_request(reader))[0].split()[1]
 
         statuses = await asyncio.gather(
-            write_slowly(served_before=False, ident="new"), write_slowly(served_before=True, ident="kept")
+            write_slowly(served_before=False, request_id="new"),
+            write_slowly(served_before=True, request_id="kept"),
         )
         self.assertEqual(statuses, ["503", "503"])  # that of the backend's error, where a retry is harmless
