--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -43,20 +43,20 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Any) -> None:
-        """Runs a coroutine beside."""
+        """Runs a coroutine as a task that ends with the server."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def end(self) -> None:
-        """Ends all at once."""
+        """Closes all connections and cancels all tasks."""
         self.abort()
         for task in self.tasks:
             task.cancel()
 
 
 class Backend(Server):
-    """Runs requests and tells their dispatcher, in the ways that the pages allow."""
+    """Runs requests and sends callbacks, in the ways that the pages allow."""
 
     def __init__(
         self, name: str, zone: str, seen: Observations, ports: dict[str, int], rng: random.Random
@@ -93,17 +93,17 @@
             if head.startswith("DELETE"):
                 request_id = head.split()[1].rpartition("/")[2]
                 if request_id in self.running:
-                    self.running[request_id].given_up_at = time.monotonic()
+                    self.running[request_id].cancelled_at = time.monotonic()
                 writer.write(OK)
                 continue
-            heads = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
+            headers = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
             attempt = SeenAttempt(
-                heads["x-request-id"],
+                headers["x-request-id"],
                 self.name,
                 self.zone,
                 begun_at,
                 time.monotonic(),
-                float(heads.get("x-timeout", "0")),
+                float(headers.get("x-timeout", "0")),
             )
             self.seen.attempts.append(attempt)
             self.running[attempt.request_id] = attempt
@@ -131,8 +131,8 @@
             writer.transport.abort()
             return False
         if how == "hang":
-            await reader.read(1)  # until the dispatcher gives it up
-            attempt.given_up_at = time.monotonic()
+            await reader.read(1)  # until the dispatcher closes the connection
+            attempt.cancelled_at = time.monotonic()
             return False
         state = {"returned": "returned", "failed": "failed"}.get(how, "done")
         self.spawn(self._run(attempt, state))
@@ -158,10 +158,10 @@
         await asyncio.sleep(self.rng.expovariate(1 / RUN_SECONDS))
         ends = {"done": AttemptEnd.DONE, "returned": AttemptEnd.NEVER_RAN, "failed": AttemptEnd.MAY_HAVE_RUN}
         self._end(attempt, ends[state])
-        told = {"id": attempt.request_id, "from": self.name, "state": state}
+        fields = {"id": attempt.request_id, "from": self.name, "state": state}
         if state == "done":
-            told["result"] = attempt.request_id
-        body = json.dumps(told).encode()
+            fields["result"] = attempt.request_id
+        body = json.dumps(fields).encode()
         port = self.ports[attempt.request_id.partition("-")[0]]
         for _ in range(CALLBACK_TRIES):
             try:
@@ -191,7 +191,7 @@
         self.in_pieces = False
 
     def change(self) -> None:
-        """The list is another one; what the agent has counts as told."""
+        """Changes the revision and answers the watches that wait for it."""
         self.revision += 1
         self.changed.set()
         self.changed = asyncio.Event()
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -12,11 +12,11 @@
 PAUSE = 0.05  # seconds between the requests of one client, in the mean
 LEAVE_SHARE = 0.08  # of requests whose client closes its connection before the answer
 STALLED_FOR = 4.5  # seconds that a client that stopped stays
-PATIENCE = 1.5  # seconds beyond a request's time until a client gives up the connection
+RESPONSE_GRACE = 1.5  # seconds after a request's deadline until its client closes the connection
 
 
 class Front:
-    """Deals out new connections among the dispatchers that are in service."""
+    """Distributes new connections over the dispatchers that are in service."""
 
     def __init__(self, ports: dict[str, int], rng: random.Random) -> None:
         self.ports = ports
@@ -103,16 +103,16 @@
         if self.rng.random() < self.leave_share:
             await self._leave(request)
         else:
-            await self._hear(request, self.reader)
+            await self._receive(request, self.reader)
 
     async def _leave(self, request: SeenRequest) -> None:
         await asyncio.sleep(self.rng.choice([0.0, 0.001, 0.01, 0.05, 0.2]))
         self._forget()
         request.left_at = time.monotonic()
 
-    async def _hear(self, request: SeenRequest, reader: asyncio.StreamReader) -> None:
+    async def _receive(self, request: SeenRequest, reader: asyncio.StreamReader) -> None:
         try:
-            async with asyncio.timeout(request.request_class.timeout + PATIENCE):
+            async with asyncio.timeout(request.request_class.timeout + RESPONSE_GRACE):
                 head, body = await read_request(reader)
         except TimeoutError:
             self._forget()
--- /dev/null
+++ b/tests/soak/dispatcher.py
@@ -0,0 +1,110 @@
+"""The processes of the program that a soak starts and ends."""
+
+import asyncio
+import json
+import os
+import random
+import signal
+import subprocess
+import sys
+import tempfile
+import time
+from dataclasses import asdict
+from pathlib import Path
+
+from crankfold.fault_injection.http_client import HOST
+from tests.scene import read_request
+from tests.soak.faulty_process import ProcessFaults
+from tests.soak.observations import Observations
+
+ROOT = Path(__file__).parents[2]
+READY_TIMEOUT = 15.0  # seconds
+# Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
+# the schema, holds it up for 0.1 s of processor time in place of 15 ms.
+COMPILED_CODE = {
+    "PYTHONPYCACHEPREFIX": str(Path(tempfile.gettempdir()) / "crankfold-soak-bytecode"),
+    "PYTHONDONTWRITEBYTECODE": "",
+}
+
+
+def compile_program() -> None:
+    """Compiles the program for the processes that are started."""
+    subprocess.run(
+        [sys.executable, "-O", "-m", "compileall", "-q", "crankfold"],
+        env={**os.environ, **COMPILED_CODE},
+        cwd=ROOT,
+        check=True,
+    )
+
+
+class Dispatcher:
+    """One process of the program, restarted under the same name and address."""
+
+    def __init__(self, name: str, port: int, folder: Path, faults: ProcessFaults) -> None:
+        self.name = name
+        self.port = port
+        self.config = folder / f"{name}.json"
+        self.log = folder / f"{name}.log"
+        self.faults = faults
+        self.process: asyncio.subprocess.Process | None = None
+
+    async def start(self, seen: Observations, *, early_signal: bool = False) -> None:
+        """Starts it and waits until it says that it serves."""
+        begin = time.monotonic()
+        if early_signal:
+            process = await self._spawn()
+            await asyncio.sleep(0.15)
+            process.send_signal(signal.SIGTERM)  # before it is ready, and twice
+            process.send_signal(signal.SIGTERM)
+            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+        self.process = await self._spawn()
+        while not await self._is_ready():
+            if time.monotonic() - begin > READY_TIMEOUT or self.process.returncode is not None:
+                seen.exits.append(f"{self.name} did not start: {self.process.returncode}")
+                return
+            await asyncio.sleep(0.02)
+        seen.slowest_start = max(seen.slowest_start, time.monotonic() - begin)
+        seen.starts.append((self.name, begin, time.monotonic()))
+
+    async def _spawn(self) -> asyncio.subprocess.Process:
+        with self.log.open("ab") as log:
+            return await asyncio.create_subprocess_exec(
+                *(sys.executable, "-O", "-m", "tests.soak.faulty_process"),
+                stdout=log,
+                stderr=log,
+                cwd=ROOT,
+                env={
+                    **os.environ,
+                    **COMPILED_CODE,
+                    "GW_CONFIG": str(self.config),
+                    "SOAK_FAULTS": json.dumps(asdict(self.faults)),
+                },
+            )
+
+    async def _is_ready(self) -> bool:
+        try:
+            reader, writer = await asyncio.open_connection(HOST, self.port)
+            writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
+            head, _ = await read_request(reader)
+            writer.close()
+        except (OSError, asyncio.IncompleteReadError):
+            return False
+        return head.split()[1] == "200"
+
+    async def end(self, kill_after: float, rng: random.Random, seen: Observations) -> None:
+        """SIGTERM, other signals that cross it, and SIGKILL at the earliest moment."""
+        assert self.process
+        if self.process.returncode is not None:
+            seen.exits.append(f"{self.name} ended by itself: {self.process.returncode}")
+            return
+        for number in rng.sample([signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM], 3):
+            self.process.send_signal(number)
+        self.process.send_signal(signal.SIGTERM)
+        begin = time.monotonic()
+        while self.process.returncode is None and time.monotonic() - begin < kill_after:
+            await asyncio.sleep(0.05)
+            if self.process.returncode is None:
+                self.process.send_signal(rng.choice([signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM]))
+        if self.process.returncode is None:
+            self.process.kill()
+        await self.process.wait()
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -101,7 +101,7 @@
 def _judge_pair(
     name: str, request_class: RequestClass, earlier: SeenAttempt, later: SeenAttempt
 ) -> list[str]:
-    over = min(earlier.ended_at, earlier.given_up_at)
+    over = min(earlier.ended_at, earlier.cancelled_at)
     if earlier.backend == later.backend and over > later.begun_at + SOCKET_SLACK:
         return [f"duplicate: {name} twice at once at {later.backend}"]
     if earlier.end is AttemptEnd.NEVER_RAN and earlier.ended_at <= later.begun_at + SOCKET_SLACK:
@@ -122,9 +122,9 @@
         request = seen.requests.get(attempt.request_id)
         if request is None:
             continue
-        told = seen.told_to_drain.get((request.dispatcher, attempt.backend), float("inf"))
-        delay = seen.delay_between(told, attempt.begun_at)
-        late = attempt.begun_at - told
+        announced_at = seen.drain_announced_at.get((request.dispatcher, attempt.backend), float("inf"))
+        delay = seen.delay_between(announced_at, attempt.begun_at)
+        late = attempt.begun_at - announced_at
         if late > grace + SOCKET_SLACK + delay:
             broken.append(
                 f"drain: {attempt.request_id} to {attempt.backend} {late:.2f} s after it was told, "
@@ -135,13 +135,15 @@
 
 def _judge_slow_start(seen: Observations) -> list[str]:
     broken = []
-    for backend, told in seen.told_of_start.items():
+    for backend, announced_at in seen.start_announced_at.items():
         times = sorted(
-            one.whole_at for one in seen.attempts if one.backend == backend and one.whole_at > told
+            one.received_at
+            for one in seen.attempts
+            if one.backend == backend and one.received_at > announced_at
         )
         for first, begin in enumerate(times):
             within = [at for at in times[first:] if at - begin < ColdStart.span]
-            age = within[-1] - told
+            age = within[-1] - announced_at
             if age > ColdStart.warm_up:
                 break
             share = ColdStart.initial_capacity + (1 - ColdStart.initial_capacity) * age / ColdStart.warm_up
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -7,7 +7,7 @@
 
 
 class AttemptEnd(Enum):
-    """What a backend let its dispatcher know of an attempt."""
+    """The outcome of an attempt as its backend reported it."""
 
     NOTHING = "nothing"
     DONE = "done"
@@ -27,17 +27,17 @@
 
 @dataclass
 class SeenAttempt:
-    """A request that came whole at a backend."""
+    """A request that a backend received completely."""
 
     request_id: str
     backend: str
     zone: str
     begun_at: float  # its first byte
-    whole_at: float
-    timeout: float  # as its X-Timeout tells
+    received_at: float
+    timeout: float  # of its X-Timeout
     end: AttemptEnd = AttemptEnd.NOTHING
     ended_at: float = float("inf")
-    given_up_at: float = float("inf")
+    cancelled_at: float = float("inf")
 
 
 @dataclass
@@ -66,14 +66,16 @@
 
 @dataclass
 class Observations:
-    """All that was seen in one run."""
+    """Everything that the stand-ins of one run recorded."""
 
     requests: dict[str, SeenRequest] = field(default_factory=dict)
     attempts: list[SeenAttempt] = field(default_factory=list)
     stalled: list[StalledClient] = field(default_factory=list)
-    told_to_drain: dict[tuple[str, str], float] = field(default_factory=dict)  # by dispatcher and backend
-    told_of_start: dict[str, float] = field(default_factory=dict)  # by backend
-    exits: list[str] = field(default_factory=list)  # of processes that ended otherwise than they were told
+    drain_announced_at: dict[tuple[str, str], float] = field(
+        default_factory=dict
+    )  # by dispatcher and backend
+    start_announced_at: dict[str, float] = field(default_factory=dict)  # by backend
+    exits: list[str] = field(default_factory=list)  # of processes that ended without being asked to
     slowest_start: float = 0.0
     starts: list[tuple[str, float, float]] = field(default_factory=list)  # dispatcher, begun, ready
     crowded: bool = False  # new connections may be shut unread
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,168 +1,35 @@
-"""One seeded run: dispatchers as processes, stand-ins round them, faults and signals, and the verdict."""
+"""One seeded run: dispatchers as processes between stand-ins, with faults and signals, and its verdict."""
 
 import asyncio
 import json
-import os
 import random
-import signal
-import subprocess
-import sys
 import tempfile
 import time
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import asdict, dataclass
 from multiprocessing import get_context
 from pathlib import Path
 from typing import Any
 
 from crankfold.fault_injection.http_client import HOST, find_free_port
-from tests.scene import read_request
 from tests.soak.backends import ALWAYS_RUN, OFTEN_REFUSED_LATE, Backend, Discovery
 from tests.soak.clients import LEAVE_SHARE, Client, Front, crowd, stall
-from tests.soak.faulty_process import ProcessFaults
-from tests.soak.judge import ColdStart, judge
-from tests.soak.observations import Observations, RequestClass
+from tests.soak.configuration import DISPATCHERS, dispatcher_configuration
+from tests.soak.dispatcher import Dispatcher, compile_program
+from tests.soak.judge import judge
+from tests.soak.observations import Observations
+from tests.soak.plan import RunPlan
 
-ROOT = Path(__file__).parents[2]
 LOAD_SECONDS = 5.0
-DISPATCHERS = ("d0", "d1")
 KILL_MARGIN = 0.7  # seconds from the longest deadline, 3 s at most, to SIGKILL
 FRONT_DELAY = 0.3  # seconds in which new connections go on coming after SIGTERM
-READY_TIMEOUT = 15.0  # seconds
 RUN_TIMEOUT = 60.0  # seconds
-# Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
-# the schema, holds it up for 0.1 s of processor time in place of 15 ms.
-COMPILED_CODE = {
-    "PYTHONPYCACHEPREFIX": str(Path(tempfile.gettempdir()) / "crankfold-soak-bytecode"),
-    "PYTHONDONTWRITEBYTECODE": "",
-}
 CROWD_SIZE = 120
 AT_ONCE = 3  # runs side by side: each has three busy processes
 STALL_CHECK_INTERVAL = 0.01  # seconds
 
 
-@dataclass(frozen=True)
-class RunPlan:
-    """What a seed draws."""
-
-    seed: int
-    classes: tuple[RequestClass, ...]
-    clients: int
-    backends: int
-    faults: ProcessFaults
-    crowd: bool
-    discovery: str
-    hang_in_shutdown: bool
-    early_signal: bool
-
-    @classmethod
-    def draw(cls, seed: int, plant: str = "") -> "RunPlan":
-        """The plan of a seed."""
-        rng = random.Random(seed)
-        short = rng.choice([0.25, 0.5, 1.0])
-        classes = (
-            RequestClass("safe", "safe", short),
-            RequestClass("keyed", "keyed", 2 * short, window=short),
-            RequestClass("unsafe", "unsafe", 2 * short),
-        )
-        alone = plant == "slow start"  # one backend and a new one: else its share is under the budget anyway
-        return cls(
-            seed=seed,
-            classes=classes,
-            clients=30 if alone else rng.choice([6, 10, 14]),
-            backends=1 if alone else rng.randint(4, 6),
-            faults=ProcessFaults(
-                seed=seed,
-                accept=rng.choice([0.0, 0.1, 0.4]),
-                connect=rng.choice([0.0, 0.05]),
-                short=rng.choice([0.0, 0.1, 0.3]),
-                broken=rng.choice([0.0, 0.002]),
-                clock_seconds=rng.choice([0.0, 5.0, -5.0, 3600.0, -3600.0]),
-                step_after=rng.choice([0.0, 2.0]),
-                plant=plant,
-            ),
-            crowd=not plant and rng.random() < 0.25,
-            discovery=rng.choice(["well", "silent", "pieces"]),
-            hang_in_shutdown=rng.random() < 0.4,
-            early_signal=rng.random() < 0.3,
-        )
-
-
-class Dispatcher:
-    """One process of the program, started anew under its name and address."""
-
-    def __init__(self, name: str, port: int, folder: Path, faults: ProcessFaults) -> None:
-        self.name = name
-        self.port = port
-        self.config = folder / f"{name}.json"
-        self.log = folder / f"{name}.log"
-        self.faults = faults
-        self.process: asyncio.subprocess.Process | None = None
-
-    async def start(self, seen: Observations, *, early_signal: bool = False) -> None:
-        """Starts it and waits until it says that it serves."""
-        begin = time.monotonic()
-        if early_signal:
-            process = await self._spawn()
-            await asyncio.sleep(0.15)
-            process.send_signal(signal.SIGTERM)  # before it is ready, and twice
-            process.send_signal(signal.SIGTERM)
-            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
-        self.process = await self._spawn()
-        while not await self._is_ready():
-            if time.monotonic() - begin > READY_TIMEOUT or self.process.returncode is not None:
-                seen.exits.append(f"{self.name} did not start: {self.process.returncode}")
-                return
-            await asyncio.sleep(0.02)
-        seen.slowest_start = max(seen.slowest_start, time.monotonic() - begin)
-        seen.starts.append((self.name, begin, time.monotonic()))
-
-    async def _spawn(self) -> asyncio.subprocess.Process:
-        with self.log.open("ab") as log:
-            return await asyncio.create_subprocess_exec(
-                *(sys.executable, "-O", "-m", "tests.soak.faulty_process"),
-                stdout=log,
-                stderr=log,
-                cwd=ROOT,
-                env={
-                    **os.environ,
-                    **COMPILED_CODE,
-                    "GW_CONFIG": str(self.config),
-                    "SOAK_FAULTS": json.dumps(asdict(self.faults)),
-                },
-            )
-
-    async def _is_ready(self) -> bool:
-        try:
-            reader, writer = await asyncio.open_connection(HOST, self.port)
-            writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
-            head, _ = await read_request(reader)
-            writer.close()
-        except (OSError, asyncio.IncompleteReadError):
-            return False
-        return head.split()[1] == "200"
-
-    async def end(self, kill_after: float, rng: random.Random, seen: Observations) -> None:
-        """SIGTERM, other signals that cross it, and SIGKILL at the earliest moment."""
-        assert self.process
-        if self.process.returncode is not None:
-            seen.exits.append(f"{self.name} ended by itself: {self.process.returncode}")
-            return
-        for number in rng.sample([signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM], 3):
-            self.process.send_signal(number)
-        self.process.send_signal(signal.SIGTERM)
-        begin = time.monotonic()
-        while self.process.returncode is None and time.monotonic() - begin < kill_after:
-            await asyncio.sleep(0.05)
-            if self.process.returncode is None:
-                self.process.send_signal(rng.choice([signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM]))
-        if self.process.returncode is None:
-            self.process.kill()
-        await self.process.wait()
-
-
 class SoakRun:
-    """Everything of one run."""
+    """Plays a plan: starts all processes, sends the load, changes the fleet, and restarts dispatchers."""
 
     def __init__(self, plan: RunPlan, folder: Path) -> None:
         self.plan = plan
@@ -187,7 +54,7 @@
         return backend
 
     async def play(self) -> list[str]:
-        """Plays the run; gives what was broken."""
+        """Plays the run; returns the clauses that were broken."""
         for backend in self.backends:
             await backend.open()
         try:
@@ -207,7 +74,14 @@
         await discovery.open()
         self.discoveries[name] = discovery
         dispatcher = Dispatcher(name, self.ports[name], self.folder, self.plan.faults)
-        dispatcher.config.write_text(json.dumps(self._configuration(name, discovery.port)))
+        configuration = dispatcher_configuration(
+            self.plan,
+            name,
+            listen_port=self.ports[name],
+            discovery_port=discovery.port,
+            endpoints=self._entries(),
+        )
+        dispatcher.config.write_text(json.dumps(configuration))
         self.dispatchers[name] = dispatcher
         await dispatcher.start(self.seen, early_signal=self.plan.early_signal)
 
@@ -218,47 +92,6 @@
         ]
         return [backend.entry() for backend in self.backends] + gone
 
-    def _configuration(self, name: str, discovery_port: int) -> dict[str, Any]:
-        return {
-            "name": name,
-            "listen": f"{HOST}:{self.ports[name]}",
-            "discovery": f"{HOST}:{discovery_port}",
-            "seed": "1f",
-            "limits": {"sockets": 128 if self.plan.crowd else 512},
-            "known": {"rev": 0, "all": True, "targets": self._entries()},
-            "settings": {
-                "allowed": {
-                    "most-dispatches": 3,
-                    "cancel": True,
-                    "second-copies": True,
-                    "conn-idle": 4_000_000,
-                    "connect-timeout": 250_000,
-                },
-                "tick": 2000,
-                "balancers": len(DISPATCHERS),
-                "me": DISPATCHERS.index(name),
-                "zones": ["x", "y"],
-                "service-grades": [
-                    {
-                        "name": one.name,
-                        "effect": one.effect,
-                        "group": "zone",
-                        "repeat-window": int(one.window * 1e6),
-                        "cut-off": int(one.timeout * 1e6),
-                        "expected-time": int(one.timeout * 1e6 * 0.9),
-                    }
-                    for one in self.plan.classes
-                ],
-                "rules": {
-                    "drain-grace": 300_000,
-                    "cold-from": ColdStart.initial_capacity,
-                    "warm-after": int(ColdStart.warm_up * 1e6),
-                    "overload-factor": ColdStart.factor,
-                    "overload-for": int(ColdStart.span * 1e6),
-                },
-            },
-        }
-
     async def _play_load(self) -> None:
         until = time.monotonic() + LOAD_SECONDS
         watching = asyncio.create_task(self._watch_stalls())
@@ -276,12 +109,12 @@
                 tasks.create_task(crowd(self.front, CROWD_SIZE, LOAD_SECONDS / 2))
             tasks.create_task(self._change_fleet())
             if not self.plan.faults.plant:
-                tasks.create_task(self._restart_in_turn())
+                tasks.create_task(self._restart_one_by_one())
         watching.cancel()
 
     async def _watch_stalls(self) -> None:
-        """Records when the soak's own process, or a dispatcher, got no processor: others may use them all."""
-        waited: dict[int, float] = {}
+        """Records when the soak's own process, or a dispatcher, got no processor time."""
+        waited: dict[int, float] = {}  # seconds, by process id
         while True:
             begin = time.monotonic()
             await asyncio.sleep(STALL_CHECK_INTERVAL)
@@ -305,8 +138,8 @@
         await fresh.open()
         fresh.boot_ms = time.time_ns() // 1_000_000
         self.backends.append(fresh)
-        self.seen.told_of_start["new"] = time.monotonic()
-        self._tell()
+        self.seen.start_announced_at["new"] = time.monotonic()
+        self._announce_change()
         if self.plan.discovery == "silent":
             await asyncio.sleep(0.4)
             for discovery in self.discoveries.values():
@@ -317,30 +150,30 @@
             for name, discovery in self.discoveries.items():
                 discovery.silent = False
                 discovery.change()
-                self.seen.told_to_drain[name, drained.name] = time.monotonic()
-            self._tell_those_started_in_silence()
+                self.seen.drain_announced_at[name, drained.name] = time.monotonic()
+            self._announce_drains_to_those_started_in_silence()
         elif self.plan.backends > 1:
             await asyncio.sleep(0.6)
             self._drain(self.backends[1])
 
-    def _tell_those_started_in_silence(self) -> None:
-        """A new process could not be told before the agent spoke again, within the 6 s allowed."""
-        for name, backend in [*self.seen.told_to_drain]:
+    def _announce_drains_to_those_started_in_silence(self) -> None:
+        """Counts drains from now for processes started while their discovery was silent, for up to 6 s."""
+        for name, backend in [*self.seen.drain_announced_at]:
             if name in self.started_in_silence:
-                self.seen.told_to_drain[name, backend] = time.monotonic()
+                self.seen.drain_announced_at[name, backend] = time.monotonic()
         self.started_in_silence.clear()
 
     def _drain(self, backend: Backend) -> None:
         backend.state = "terminating"
-        self._tell()
+        self._announce_change()
         for name in DISPATCHERS:
-            self.seen.told_to_drain[name, backend.name] = time.monotonic()
+            self.seen.drain_announced_at[name, backend.name] = time.monotonic()
 
-    def _tell(self) -> None:
+    def _announce_change(self) -> None:
         for discovery in self.discoveries.values():
             discovery.change()
 
-    async def _restart_in_turn(self) -> None:
+    async def _restart_one_by_one(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.5, 1.5))
         for name in DISPATCHERS:
             if self.plan.hang_in_shutdown:
@@ -381,13 +214,8 @@
 
 
 def play(seed: int, plant: str = "") -> tuple[list[str], Observations]:
-    """Plays a seed in a folder of its own; what was broken, and what was seen."""
-    subprocess.run(
-        [sys.executable, "-O", "-m", "compileall", "-q", "crankfold"],
-        env={**os.environ, **COMPILED_CODE},
-        cwd=ROOT,
-        check=True,
-    )
+    """Plays a seed in a folder of its own; returns the broken clauses and the observations."""
+    compile_program()
     with tempfile.TemporaryDirectory(prefix="crankfold-soak-") as folder:
         run = SoakRun(RunPlan.draw(seed, plant), Path(folder))
         return asyncio.run(run.play()), run.seen
