--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -30,7 +30,7 @@
 class Carried(TraceTestCase):
     def test_only_what_means_the_same(self) -> None:
         self.lines = []
-        for name, told, live in (
+        for name, state, weights_follow_load in (
             ("alike", welcome(), True),
             ("back to sizes", welcome(), False),
             ("from one that tells no meaning", welcome(weights=STATIC_WEIGHTS), True),
@@ -38,18 +38,18 @@
             ("no targets", welcome(known={}), False),
             ("other fields", welcome(fields=["qps", "queue"]), True),
         ):
-            known = transferred_state.inherited_endpoints(told, live)
+            known = transferred_state.inherited_endpoints(state, weights_follow_load)
             hints = [entry["capacity_hint"] for entry in known["targets"]] if known else known
             self.say(
                 f"{name}: weights {hints}, "
-                f"reports of {sorted(transferred_state.inherited_reports(told, FIELDS))}"
+                f"reports of {sorted(transferred_state.inherited_reports(state, FIELDS))}"
             )
         self.close("carry")
 
     def test_settings_of_the_move_are_checked(self) -> None:
         self.lines = []
-        grade = {"name": "g", "effect": "safe", "cut-off": 5, "expected-time": 1}
-        settings = {"service-grades": [grade], "allowed": {"most-dispatches": 1}}
+        request_class = {"name": "g", "effect": "safe", "cut-off": 5, "expected-time": 1}
+        settings = {"service-grades": [request_class], "allowed": {"most-dispatches": 1}}
         for more in (
             {"weights": "live"},
             {"weights": "heavy"},
@@ -67,25 +67,27 @@
 class FirstSeconds(RouterTestCase):
     def test_after_the_switch_with_units_in_hand_and_cold_runners(self) -> None:
         self.open(
-            runners=0,
-            free=0,
+            backend_count=0,
+            free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
             hedging_allowed=False,
             instance_count=4,
         )
-        cold = self.now - 1000 * MS
-        self.list([Endpoint(r, EndpointState.READY, 0.0, 0, 0, cold if r == 2 else 0) for r in range(3)])
+        slow_start_since = self.now - 1000 * MS
+        self.change_endpoints(
+            [Endpoint(r, EndpointState.READY, 0.0, 0, 0, slow_start_since if r == 2 else 0) for r in range(3)]
+        )
         for n in range(4):  # before any list of its own: sizes not known, the cold one not pushed
-            self.take(n, work=0)
-        self.list(
+            self.receive_request(n, work=0)
+        self.change_endpoints(
             [
-                Endpoint(r, EndpointState.READY, w, 0, 0, cold if r == 2 else 0)
+                Endpoint(r, EndpointState.READY, w, 0, 0, slow_start_since if r == 2 else 0)
                 for r, w in enumerate((4.0, 1.0, 4.0))
             ]
         )
         sizes = [backend.weight for backend in self.backends]
         own_slots = sum(backend.own_slots for backend in self.backends)
         self.say(f"sizes {sizes}, own units still counted {own_slots:.0f}")
-        self.take(4, work=0)
+        self.receive_request(4, work=0)
         self.close("carry-first")
