--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -29,6 +29,7 @@
 KILL_MARGIN = 0.7  # seconds from the longest deadline, 3 s at most, to SIGKILL
 FRONT_DELAY = 0.3  # seconds in which new connections go on coming after SIGTERM
 READY_TIMEOUT = 15.0  # seconds
+EARLY_SIGNAL_DELAY = 0.15  # seconds from the start of a process that is ended before it is ready
 RUN_TIMEOUT = 60.0  # seconds
 # Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
 # the schema, holds it up for 0.1 s of processor time in place of 15 ms.
@@ -103,11 +104,7 @@
         """Starts it and waits until it says that it serves."""
         begin = time.monotonic()
         if early_signal:
-            process = await self._spawn()
-            await asyncio.sleep(0.15)
-            process.send_signal(signal.SIGTERM)  # before it is ready, and twice
-            process.send_signal(signal.SIGTERM)
-            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+            await self._end_before_ready(seen)
         self.process = await self._spawn()
         while not await self._is_ready():
             if time.monotonic() - begin > READY_TIMEOUT or self.process.returncode is not None:
@@ -117,6 +114,18 @@
         seen.slowest_start = max(seen.slowest_start, time.monotonic() - begin)
         seen.starts.append((self.name, begin, time.monotonic()))
 
+    async def _end_before_ready(self, seen: Observations) -> None:
+        process = await self._spawn()
+        await asyncio.sleep(EARLY_SIGNAL_DELAY)
+        process.send_signal(signal.SIGTERM)  # before it is ready, and twice
+        process.send_signal(signal.SIGTERM)
+        try:
+            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+        except TimeoutError:
+            seen.exits.append(f"{self.name} did not end by an early SIGTERM within {READY_TIMEOUT:.0f} s")
+            process.kill()
+            await process.wait()
+
     async def _spawn(self) -> asyncio.subprocess.Process:
         with self.log.open("ab") as log:
             return await asyncio.create_subprocess_exec(
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,9 +1,14 @@
 """The soak in short: some seeds hold, and each planted fault is found by the judge."""
 
+import asyncio
 import unittest
+from pathlib import Path
+from unittest.mock import patch
 
+from tests.soak.faulty_process import ProcessFaults
+from tests.soak.observations import Observations
 from tests.soak.planted import PLANTS
-from tests.soak.run import play, process_pool
+from tests.soak.run import Dispatcher, play, process_pool
 
 SEEDS = (101, 102, 103, 104, 105, 106)
 PLANT_SEED = 1
@@ -28,3 +33,21 @@
                 with self.subTest(plant):
                     clause = plant.partition(":")[0]
                     self.assertTrue(any(line.startswith(clause) for line in broken), broken[:3])
+
+
+class EarlySignal(unittest.IsolatedAsyncioTestCase):
+    async def test_a_process_that_outlives_early_signals_is_recorded_and_killed(self) -> None:
+        async def spawn_deaf(_dispatcher: Dispatcher) -> asyncio.subprocess.Process:
+            self.process = await asyncio.create_subprocess_exec(
+                *("sh", "-c", "trap '' TERM; echo deaf; exec sleep 60"), stdout=asyncio.subprocess.PIPE
+            )
+            assert self.process.stdout
+            await self.process.stdout.readline()
+            return self.process
+
+        seen = Observations()
+        dispatcher = Dispatcher("d0", 0, Path(), ProcessFaults())
+        with patch.object(Dispatcher, "_spawn", spawn_deaf), patch("tests.soak.run.READY_TIMEOUT", 0.1):
+            await dispatcher._end_before_ready(seen)
+        self.assertEqual(seen.exits, ["d0 did not end by an early SIGTERM within 0 s"])
+        self.assertIsNotNone(self.process.returncode)
