--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,6 +1,7 @@
 """One seeded run: dispatchers as processes, stand-ins round them, faults and signals, and the verdict."""
 
 import asyncio
+import inspect
 import json
 import os
 import random
@@ -200,16 +201,28 @@
         for backend in self.backends:
             await backend.open()
         try:
-            for name in DISPATCHERS:
-                await self._start_dispatcher(name)
-            async with asyncio.timeout(RUN_TIMEOUT):
-                await self._play_load()
-        except TimeoutError:
-            self.seen.exits.append(f"the run did not end within {RUN_TIMEOUT:.0f} s")
+            await self._play_within_timeout()
         finally:
             await self._close()
         return judge(self.seen)
 
+    async def _play_within_timeout(self) -> None:
+        """Plays all but the end; a run that takes too long is recorded with what it awaits."""
+        playing = asyncio.create_task(self._start_and_play_load())
+        _, pending = await asyncio.wait([playing], timeout=RUN_TIMEOUT)
+        if not pending:
+            playing.result()
+            return
+        awaited = "; ".join(_awaited_lines())
+        self.seen.exits.append(f"the run did not end within {RUN_TIMEOUT:.0f} s; awaited: {awaited}")
+        playing.cancel()
+        await asyncio.wait([playing])
+
+    async def _start_and_play_load(self) -> None:
+        for name in DISPATCHERS:
+            await self._start_dispatcher(name)
+        await self._play_load()
+
     async def _start_dispatcher(self, name: str) -> None:
         discovery = Discovery(self._entries, random.Random(f"{self.plan.seed} {name}"))
         discovery.in_pieces = self.plan.discovery == "pieces"
@@ -384,6 +397,19 @@
         return 0.0
 
 
+def _awaited_lines() -> list[str]:
+    """Where the tasks of the loop are suspended: the coroutines of each with their lines, outermost first."""
+    places = set()
+    for task in asyncio.all_tasks():
+        coroutines = []
+        awaited: Any = task.get_coro()
+        while inspect.iscoroutine(awaited) and awaited.cr_frame:
+            coroutines.append(f"{awaited.__qualname__}:{awaited.cr_frame.f_lineno}")
+            awaited = awaited.cr_await
+        places.add(" > ".join(coroutines))
+    return sorted(places)
+
+
 def process_pool() -> ProcessPoolExecutor:
     """Plays runs side by side, each process at a loopback address of its own."""
     return ProcessPoolExecutor(AT_ONCE, mp_context=get_context("spawn"))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,6 +1,7 @@
 """The soak in short: some seeds hold, and each planted fault is found by the judge."""
 
 import asyncio
+import tempfile
 import unittest
 from pathlib import Path
 from unittest.mock import patch
@@ -8,7 +9,7 @@
 from tests.soak.faulty_process import ProcessFaults
 from tests.soak.observations import Observations
 from tests.soak.planted import PLANTS
-from tests.soak.run import Dispatcher, play, process_pool
+from tests.soak.run import Dispatcher, RunPlan, SoakRun, play, process_pool
 
 SEEDS = (101, 102, 103, 104, 105, 106)
 PLANT_SEED = 1
@@ -51,3 +52,26 @@
             await dispatcher._end_before_ready(seen)
         self.assertEqual(seen.exits, ["d0 did not end by an early SIGTERM within 0 s"])
         self.assertIsNotNone(self.process.returncode)
+
+
+class RunTimeout(unittest.IsolatedAsyncioTestCase):
+    async def test_a_run_that_does_not_end_is_recorded_with_what_it_awaits(self) -> None:
+        async def hang(_run: SoakRun, _name: str) -> None:
+            await asyncio.Event().wait()
+
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            patch.object(SoakRun, "_start_dispatcher", hang),
+            patch("tests.soak.run.RUN_TIMEOUT", 0.1),
+        ):
+            broken = await SoakRun(RunPlan.draw(SEEDS[0]), Path(folder)).play()
+        self.assertEqual(len(broken), 1, broken)
+        self.assertRegex(broken[0], r"did not end within 0 s; awaited: .*hang:\d+ > Event\.wait:\d+")
+
+    async def test_a_failure_of_the_run_itself_is_raised(self) -> None:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            patch.object(SoakRun, "_start_dispatcher", side_effect=TimeoutError("of a part")),
+            self.assertRaisesRegex(TimeoutError, "of a part"),
+        ):
+            await SoakRun(RunPlan.draw(SEEDS[0]), Path(folder)).play()
