--- a/tests/soak/dispatcher.py
+++ b/tests/soak/dispatcher.py
@@ -19,6 +19,7 @@
 
 ROOT = Path(__file__).parents[2]
 READY_TIMEOUT = 15.0  # seconds
+EARLY_SIGNAL_DELAY = 0.15  # seconds from the start of a process that is ended before it is ready
 # Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
 # the schema, holds it up for 0.1 s of processor time in place of 15 ms.
 COMPILED_CODE = {
@@ -52,11 +53,7 @@
         """Starts it and waits until it says that it serves."""
         begin = time.monotonic()
         if early_signal:
-            process = await self._spawn()
-            await asyncio.sleep(0.15)
-            process.send_signal(signal.SIGTERM)  # before it is ready, and twice
-            process.send_signal(signal.SIGTERM)
-            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+            await self._end_before_ready(seen)
         self.process = await self._spawn()
         while not await self._is_ready():
             if time.monotonic() - begin > READY_TIMEOUT or self.process.returncode is not None:
@@ -66,6 +63,18 @@
         seen.slowest_start = max(seen.slowest_start, time.monotonic() - begin)
         seen.starts.append((self.name, begin, time.monotonic()))
 
+    async def _end_before_ready(self, seen: Observations) -> None:
+        process = await self._spawn()
+        await asyncio.sleep(EARLY_SIGNAL_DELAY)
+        process.send_signal(signal.SIGTERM)  # before it is ready, and twice
+        process.send_signal(signal.SIGTERM)
+        try:
+            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+        except TimeoutError:
+            seen.exits.append(f"{self.name} did not end by an early SIGTERM within {READY_TIMEOUT:.0f} s")
+            process.kill()
+            await process.wait()
+
     async def _spawn(self) -> asyncio.subprocess.Process:
         with self.log.open("ab") as log:
             return await asyncio.create_subprocess_exec(
