--- /dev/null
+++ b/tests/service/handover/test_takeover.py
@@ -0,0 +1,143 @@
+"""The start as a successor, with a channel in its place: which answer of a predecessor ends the wait."""
+
+import socket
+import unittest
+from typing import Any
+from unittest.mock import AsyncMock, Mock, patch
+
+from crankfold.network.handover_channel import PredecessorConnection
+from crankfold.protocol.handover_messages import (
+    FORMAT_VERSION,
+    STATIC_WEIGHTS,
+    Hello,
+    ManualDrainState,
+    ProcessState,
+    TakeoverGrant,
+    TakeoverRefusal,
+    TakeoverRequest,
+    Welcome,
+)
+from crankfold.service.handover.identity import DispatcherIdentity
+from crankfold.service.handover.state_machine import HandoverStateMachine
+from crankfold.service.handover.takeover import Takeover, TakeoverDecision
+
+ADDRESS = ("127.0.0.1", 18080)
+IDENTITY = DispatcherIdentity("n0", ADDRESS)
+STATE = ProcessState(
+    format_version=FORMAT_VERSION,
+    dispatcher_name="n0",
+    weight_semantics=STATIC_WEIGHTS,
+    report_fields=[],
+    manual_drains=ManualDrainState({}, {}),
+    known_ids=["a"],
+    endpoints=None,
+    load_reports={},
+)
+
+
+class DispatcherIdentityTest(unittest.TestCase):
+    def test_hello_and_socket_name_follow_from_name_and_address(self) -> None:
+        self.assertEqual(IDENTITY.hello(), Hello(FORMAT_VERSION, ADDRESS, "n0"))
+        other = DispatcherIdentity("n1", ADDRESS)
+        self.assertEqual(other.socket_name(), IDENTITY.socket_name())  # so names are compared as well
+        self.assertRegex(IDENTITY.socket_name(), "^crankfold-[0-9a-f]{8}$")
+
+    def test_only_a_welcome_of_the_same_dispatcher_has_a_state(self) -> None:
+        self.assertEqual(IDENTITY.state_in_welcome(Welcome(STATE), ADDRESS), STATE)
+        for message, address in (
+            (TakeoverRequest(), ADDRESS),
+            (Welcome(STATE._replace(format_version=FORMAT_VERSION + 1)), ADDRESS),
+            (Welcome(STATE._replace(dispatcher_name="n1")), ADDRESS),
+            (Welcome(STATE), ("127.0.0.1", 18081)),
+        ):
+            self.assertIsNone(IDENTITY.state_in_welcome(message, address))
+
+
+class TakeoverTest(unittest.IsolatedAsyncioTestCase):
+    async def asyncSetUp(self) -> None:
+        self.decision = TakeoverDecision()
+        self.actions = Mock()
+        self.actions.takeover_completed = self.decision.complete
+        self.actions.takeover_refused = self.decision.refuse
+        self.state_machine = HandoverStateMachine(self.actions)
+        self.listening_socket = Mock(spec=socket.socket)
+        self.listening_socket.getsockname.return_value = ADDRESS
+        self.channel = Mock()
+        self.process = 0
+
+        async def connect(_hello: Hello) -> PredecessorConnection:
+            self.process += 1
+            return PredecessorConnection(self.process, self.listening_socket, Welcome(STATE))
+
+        self.channel.connect = AsyncMock(side_effect=connect)
+        self.request_handler = Mock()
+        self.request_handler.config.report_fields = ()
+        self.request_handler.backends.known_ids = set()
+        self.request_handler.backends.manual_drains.drained_since = {}
+        self.request_handler.backends.timers.clock.now = lambda: 0
+        self.manual_drain_file = Mock()
+        self.takeover = Takeover(
+            identity=IDENTITY,
+            channel=self.channel,
+            state_machine=self.state_machine,
+            decision=self.decision,
+            manual_drain_file=self.manual_drain_file,
+            request_handler=self.request_handler,
+        )
+
+    def answer_requests(self, *answers: Any) -> None:
+        """Gives these answers to takeover requests, one to each."""
+        remaining = list(answers)
+
+        def send(process: int, message: Any) -> None:
+            self.assertEqual(message, TakeoverRequest())
+            if remaining:
+                self.state_machine.message_received(0.0, process, remaining.pop(0))
+
+        self.actions.send = send
+
+    async def test_without_a_predecessor_it_adopts_the_saved_drains_and_waits_for_nothing(self) -> None:
+        self.channel.connect = AsyncMock(return_value=None)
+        self.assertIsNone(await self.takeover.connect())
+        self.assertEqual(self.manual_drain_file.adopt.call_count, 1)
+        self.assertIsNone(await self.takeover.take_over())
+
+    async def test_a_process_of_another_dispatcher_is_disconnected_and_its_socket_closed(self) -> None:
+        self.listening_socket.getsockname.return_value = ("127.0.0.1", 18081)
+        with self.assertLogs("crankfold.service.handover.takeover", "WARNING"):
+            self.assertIsNone(await self.takeover.connect())
+        self.channel.disconnect.assert_called_once_with(1)
+        self.assertEqual(self.listening_socket.close.call_count, 1)
+        self.assertIsNone(self.takeover.listening_socket)
+        self.assertEqual(self.manual_drain_file.adopt.call_count, 1)
+
+    async def test_a_grant_ends_the_wait(self) -> None:
+        await self.takeover.connect()
+        self.answer_requests(TakeoverGrant(None))
+        self.assertIs(await self.takeover.take_over(), self.listening_socket)
+        self.assertEqual(self.request_handler.backends.known_ids, {"a"})
+        self.assertEqual(self.manual_drain_file.adopt.call_count, 0)
+
+    async def test_after_a_refusal_it_connects_again_and_requests_once_more(self) -> None:
+        await self.takeover.connect()
+        self.answer_requests(TakeoverRefusal(), TakeoverGrant(None))
+        with patch("crankfold.service.handover.takeover.TAKEOVER_RETRY_DELAY", 0.0):
+            self.assertIs(await self.takeover.take_over(), self.listening_socket)
+        self.assertEqual(self.channel.connect.call_count, 2)
+        self.assertEqual(self.state_machine.predecessor, 2)
+
+    async def test_without_an_answer_it_serves_beside_the_predecessor(self) -> None:
+        await self.takeover.connect()
+        self.answer_requests()
+        with (
+            patch("crankfold.service.handover.takeover.TAKEOVER_TIMEOUT", 0.01),
+            self.assertLogs("crankfold.service.handover.takeover", "WARNING") as logged,
+        ):
+            self.assertIs(await self.takeover.take_over(), self.listening_socket)
+        self.assertEqual(logged.records[0].getMessage(), "does not answer; serving beside it")
+        self.assertEqual(logged.records[0].category, "predecessor")  # type: ignore[attr-defined]
+
+    async def test_a_lost_predecessor_ends_the_wait(self) -> None:
+        await self.takeover.connect()
+        self.actions.send = lambda process, _message: self.state_machine.disconnected(0.0, process)
+        self.assertIs(await self.takeover.take_over(), self.listening_socket)
