--- a/crankfold/network/admin_server.py
+++ b/crankfold/network/admin_server.py
@@ -47,7 +47,7 @@
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.metrics.increment("admin-connections")
-        if not self._try_make_room():
+        if not self._try_admit():
             writer.transport.abort()
             return
         connection = AdminConnection()
@@ -78,8 +78,8 @@
             while await reader.read(READ_SIZE):
                 pass
 
-    def _try_make_room(self) -> bool:
-        """Makes room for one more connection: at MAX_CALLERS, closes the oldest ones without a call.
+    def _try_admit(self) -> bool:
+        """Admits one more connection: at MAX_CALLERS, closes the oldest ones without a call.
 
         A connection whose call was read is never closed: its effect could have begun.
 
--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -41,8 +41,8 @@
         self.open_count = 0
         self.idle_connections: dict[PooledConnection, None] = {}
 
-    def try_make_room(self) -> bool:
-        """Makes room for one more connection: at the limit, closes the one that is idle longest.
+    def try_admit(self) -> bool:
+        """Admits one more connection: at the limit, closes the one that is idle longest.
 
         Returns:
             Whether one more connection may be opened.
@@ -85,7 +85,7 @@
         if connection:
             self.metrics.increment("backend-connections-reused")
             connection.start(exchange)
-        elif self.closed or not self.limiter.try_make_room():
+        elif self.closed or not self.limiter.try_admit():
             self.metrics.increment("backend-connections-over-limit")
             self.loop.call_soon(exchange.finish, ExchangeResult.NOT_SENT, None)
         else:
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -129,7 +129,7 @@
 
 
 def encode_snapshot(entries: Sequence[DiscoveryEntry]) -> EndpointDocument:
-    """The whole endpoint list in the form of a response; its revision is 0."""
+    """A snapshot of the endpoint list in the form of a response; its revision is 0."""
     return {"rev": 0, "all": True, "targets": [encode_entry(entry) for entry in entries]}
 
 
