--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -7,6 +7,7 @@
 import socket
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import replace
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 import orjson
@@ -26,6 +27,7 @@
 from crankfold.service.backends.registry import BackendRegistry
 from crankfold.service.config_file import (
     ConfigDocument,
+    SocketLimits,
     connection_timeouts,
     divide_socket_limit,
     parse_address,
@@ -101,15 +103,7 @@
         )
         self.backend_registry = BackendRegistry(config, self.timers, self.connection_limiter)
         self.cluster = self._build_cluster(document)
-
-        def build_serving_parts(other_processes: OtherProcesses) -> ServingParts:
-            request_handler = self._build_request_handler(routing_config, config, seed, other_processes)
-            listener = Listener(
-                request_handler, self.metrics, config.report_fields, limits.accepted_connections
-            )
-            socket_budget = SocketBudget(limits, listener, self.connection_limiter)
-            return ServingParts(request_handler, listener, socket_budget)
-
+        build_serving_parts = partial(self._build_serving_parts, routing_config, config, seed, limits)
         self.handover = self._build_handover(document, handover_directory, build_serving_parts)
         self.other_processes: OtherProcesses = (
             self.handover.other_processes if self.handover else NoOtherProcess()
@@ -117,14 +111,15 @@
         parts = self.handover.serving_parts if self.handover else build_serving_parts(self.other_processes)
         self.request_handler, self.listener, self.socket_budget = parts
 
-    def _build_request_handler(
+    def _build_serving_parts(
         self,
         routing_config: RoutingConfig,
         config: ServiceConfig,
         seed: int,
+        limits: SocketLimits,
         other_processes: OtherProcesses,
-    ) -> RequestHandler:
-        return RequestHandler(
+    ) -> ServingParts:
+        request_handler = RequestHandler(
             routing_config,
             config,
             seed=seed,
@@ -136,6 +131,9 @@
             other_processes=other_processes,
             poll_endpoints=self._start_polling,
         )
+        listener = Listener(request_handler, self.metrics, config.report_fields, limits.accepted_connections)
+        socket_budget = SocketBudget(limits, listener, self.connection_limiter)
+        return ServingParts(request_handler, listener, socket_budget)
 
     def _build_handover(
         self,
