--- a/crankfold/cli/admin_client.py
+++ b/crankfold/cli/admin_client.py
@@ -12,7 +12,7 @@
 from crankfold.errors import CrankfoldError
 
 EXIT_DONE = 0
-EXIT_REFUSED = 1
+EXIT_REJECTED = 1
 EXIT_UNREACHABLE = 3
 EXIT_NOT_APPLIED = 4  # published, but not active at each dispatcher yet
 
@@ -39,10 +39,10 @@
     exit_code = EXIT_UNREACHABLE
 
 
-class RefusedError(CommandError):
+class CallRejectedError(CommandError):
     """The dispatcher has rejected the call."""
 
-    exit_code = EXIT_REFUSED
+    exit_code = EXIT_REJECTED
 
 
 @dataclass(frozen=True, slots=True)
--- a/crankfold/cli/fleet.py
+++ b/crankfold/cli/fleet.py
@@ -10,8 +10,8 @@
 from crankfold.cli.admin_client import (
     EXIT_UNREACHABLE,
     JSON_INDENT,
+    CallRejectedError,
     JsonObject,
-    RefusedError,
     call_admin,
     new_call_id,
 )
@@ -90,7 +90,7 @@
 def _request_voter_change(address: str, request: JsonObject) -> JsonObject:
     response = call_admin(address, "agreed/voters", request)
     if not response.content["well"]:
-        raise RefusedError(f"rejected: {response.reason}")
+        raise CallRejectedError(f"rejected: {response.reason}")
     return response.content
 
 
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -10,8 +10,8 @@
 
 from crankfold.cli.admin_client import (
     HTTP_OK,
+    CallRejectedError,
     JsonObject,
-    RefusedError,
     call_admin,
     format_json,
 )
@@ -114,7 +114,7 @@
 def _fetch_forecast(address: str, name: str, job: JsonObject) -> JsonObject:
     response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
     if response.status != HTTP_OK:
-        raise RefusedError(f"rejected: {response.content['text']}")
+        raise CallRejectedError(f"rejected: {response.content['text']}")
     return response.content
 
 
@@ -185,7 +185,7 @@
 
 def _require_job(jobs: dict[str, JsonObject], name: str) -> JsonObject:
     if name not in jobs:
-        raise RefusedError(f"no job {name!r}; jobs: {', '.join(jobs) or 'none'}")
+        raise CallRejectedError(f"no job {name!r}; jobs: {', '.join(jobs) or 'none'}")
     return jobs[name]
 
 
@@ -242,9 +242,9 @@
     newest = view.find(view.newest)
     jobs: dict[str, JsonObject] = newest.content["works"] if newest else {}
     if change.is_new and change.name in jobs:
-        raise RefusedError(f"rejected: the job {change.name!r} exists already")
+        raise CallRejectedError(f"rejected: the job {change.name!r} exists already")
     if not change.is_new and change.name not in jobs:
-        raise RefusedError(f"rejected: no job {change.name!r}; jobs: {', '.join(jobs) or 'none'}")
+        raise CallRejectedError(f"rejected: no job {change.name!r}; jobs: {', '.join(jobs) or 'none'}")
     if change.fields is None:
         del jobs[change.name]
     else:
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -9,11 +9,11 @@
 from msgspec import Struct, field
 
 from crankfold.cli.admin_client import (
-    EXIT_REFUSED,
+    EXIT_REJECTED,
     EXIT_UNREACHABLE,
     HTTP_NO_OUTCOME,
+    CallRejectedError,
     JsonObject,
-    RefusedError,
     UnreachableError,
     call_admin,
     format_json,
@@ -98,7 +98,7 @@
 
 def _describe_history(machine: str, steps: list[StepView]) -> list[str]:
     if not steps:
-        raise RefusedError(f"{machine} has no stored history")
+        raise CallRejectedError(f"{machine} has no stored history")
     lines = []
     previous_ms = 0
     for step in steps:
@@ -140,10 +140,10 @@
         if response.status == HTTP_NO_OUTCOME:
             sys.exit(EXIT_UNREACHABLE)
         if not content["well"]:
-            sys.exit(EXIT_REFUSED)
+            sys.exit(EXIT_REJECTED)
         return
     if response.status == HTTP_NO_OUTCOME:
         raise UnreachableError(f"{content['text']} (--call {call_id})")
     if not content["well"]:
-        raise RefusedError(f"rejected: {content['text']}")
+        raise CallRejectedError(f"rejected: {content['text']}")
     click.echo(f"{request['machine']}: {request['step']}")
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -12,7 +12,7 @@
 
 from crankfold.cli.admin_client import (
     EXIT_NOT_APPLIED,
-    EXIT_REFUSED,
+    EXIT_REJECTED,
     HTTP_NO_OUTCOME,
     JsonObject,
     UnreachableError,
@@ -70,7 +70,7 @@
     Attributes:
         document: Its name.
         content: Of the new version.
-        made_from: The version that the operator changed; another newest version refuses the publish.
+        made_from: The version that the operator changed; the publish is rejected if it is not the newest.
         reason: For the history.
         author: For the history.
         wait_seconds: How long to wait until the version is active at each dispatcher.
@@ -267,11 +267,11 @@
             raise UnreachableError(f"{response.reason} (--call {call_id})")
         return
     if not outcome.accepted:
-        _refuse(address, publication, outcome, as_json)
+        _exit_rejected(address, publication, outcome, as_json)
     _report_published(publication, outcome, as_json)
 
 
-def _refuse(address: str, publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
+def _exit_rejected(address: str, publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
     """Exits as rejected; if another version was published first, prints the differences to it."""
     if not as_json:
         click.echo(f"crankfold: rejected: {outcome.reason}", err=True)
@@ -281,7 +281,7 @@
             after = view.find(outcome.number)
             if before and after:
                 click.echo("\n".join(_diff_lines(before, after)), err=True)
-    sys.exit(EXIT_REFUSED)
+    sys.exit(EXIT_REJECTED)
 
 
 def _report_published(publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
