--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -75,12 +75,22 @@
         return text == "true" if text else default
 
     def integer(self, path: str, default: int) -> int:
+        """An integer.
+
+        Raises:
+            SettingsError: The text is no integer.
+        """
         try:
             return int(self.texts.get(path) or default)
         except ValueError as error:
             raise SettingsError(str(error)) from error
 
     def number(self, path: str, default: float) -> float:
+        """A number.
+
+        Raises:
+            SettingsError: The text is no number.
+        """
         return _parse_number(self.texts.get(path) or default)
 
     def upper_bound(self, path: str, default: int = 0) -> int:
