--- a/tests/service/handover/test_takeover.py
+++ b/tests/service/handover/test_takeover.py
@@ -1,5 +1,6 @@
 """The start as a successor, with a channel in its place: which answer of a predecessor ends the wait."""
 
+import asyncio
 import socket
 import unittest
 from typing import Any
@@ -122,7 +123,8 @@
         await self.takeover.connect()
         self.answer_requests(TakeoverRefusal(), TakeoverGrant(None))
         with patch("crankfold.service.handover.takeover.TAKEOVER_RETRY_DELAY", 0.0):
-            self.assertIs(await self.takeover.take_over(), self.listening_socket)
+            async with asyncio.timeout(5):
+                self.assertIs(await self.takeover.take_over(), self.listening_socket)
         self.assertEqual(self.channel.connect.call_count, 2)
         self.assertEqual(self.state_machine.predecessor, 2)
 
