--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -14,8 +14,8 @@
 from crankfold.time_units import TICKS_PER_SECOND
 
 REFRESH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_UNSENT_REQUESTS = 3  # queued requests without a backend in one drain; one more ends it
-IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; less time left: a client with a short deadline
+MAX_UNSENT_REQUESTS = 3  # that may find no backend in a drain of the queue; the next one ends the drain
+IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; a shorter one is the client's own
 MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
 
 
@@ -40,11 +40,11 @@
     return min(request.objective_at - int(min_time_left(request)), request.deadline)
 
 
-def is_worthless(now: int, request: PendingRequest, first_try: int) -> bool:
-    """Whether no response to a new request can still have a value.
+def is_too_late(now: int, request: PendingRequest, first_try: int) -> bool:
+    """Whether every response to a new request would come too late to have a value.
 
-    It has none where late responses count for nothing and the latest useful start is over. That start depends
-    on the expected work, so it counts only where the work is hinted, or the first try is long ago.
+    True if late responses have no value in its class, and its latest useful start has passed. As that start
+    depends on the expected work, it is relied on only if the work is hinted or the request is overdue.
 
     Args:
         now: Ticks.
@@ -53,12 +53,12 @@
     """
     settings = request.request_class.settings
     is_overdue = now - first_try > max(settings.latency_objective, MIN_OVERDUE_AGE_TICKS)
-    is_certain = request.work > 0 or is_overdue
-    return is_certain and settings.late_value == 0 and now >= latest_useful_start(request)
+    start_is_known = request.work > 0 or is_overdue
+    return start_is_known and settings.late_value == 0 and now >= latest_useful_start(request)
 
 
 class Admission:
-    """Decides what follows for a request: each gets one final answer, by its deadline."""
+    """Sends, queues, hedges, retries and answers requests; each gets one final answer, by its deadline."""
 
     def __init__(
         self,
@@ -91,10 +91,10 @@
         settings = self._state.classes[arrival.class_index].settings
         first_try = first_try_at(now, arrival, settings)
         request = self._state.add_request(arrival, first_try)
-        if now >= request.deadline or is_worthless(now, request, first_try):
+        if now >= request.deadline or is_too_late(now, request, first_try):
             self.completion.answer(request)
             return
-        warming_only = bool(self.queue) or self._limit.reached()  # queued requests go first
+        warming_only = bool(self.queue) or self._limit.reached()  # queued ones go first
         if not self._selection.try_send(now, request, warming_only):
             self._enqueue(now, request)
 
@@ -171,7 +171,7 @@
             if self._selection.try_send(now, request, self._limit.reached()):
                 self.queue.discard(request)
             else:
-                unsent += 1  # one may be bound to a full scope while the next is free to go elsewhere
+                unsent += 1  # the next may have a backend: this one may be bound to a full zone or cell
             if unsent > MAX_UNSENT_REQUESTS:
                 return
 
--- a/crankfold/routing/attempt_sender.py
+++ b/crankfold/routing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending an attempt, and what it is charged to: backend, slow-start budget, concurrency limit, hedges."""
+"""Sends attempts and charges them to the backend, the concurrency limit and the budgets."""
 
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
@@ -11,12 +11,12 @@
 
 
 def charged_work(request: PendingRequest) -> float:
-    """Returns the slot-ticks of work that an attempt of the request is charged as."""
+    """Returns the work, in slot-ticks, that is charged to the budgets for an attempt of the request."""
     return request.slots * (request.work or UNHINTED_WORK_FACTOR * request.request_class.typical_run)
 
 
 class AttemptSender:
-    """Sends attempts and charges them."""
+    """Sends attempts and charges each for its work."""
 
     def __init__(
         self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit, hedging: HedgingPolicy
@@ -32,8 +32,8 @@
         Args:
             now: Ticks.
             request: Gets one attempt more.
-            backend: Where the attempt goes; while it warms up, its slow-start budget is charged in place of
-                the concurrency limit.
+            backend: Where the attempt goes. In slow start, its budget is charged in place of the concurrency
+                limit.
         """
         work = charged_work(request)
         in_slow_start = backend.warm_from > now
--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -1,6 +1,6 @@
 """Averages that follow the traffic: running times, waits, arrivals, and medians over the backends.
 
-Times and work are ticks. The work of a request is its running time on a slot of a backend of usual speed.
+Times and work are ticks. The work of a request is its running time on a slot of a backend of typical speed.
 """
 
 from collections.abc import Sequence
@@ -12,13 +12,13 @@
 
 ARRIVAL_DECAY = 0.975  # factor on arrivals and values for each decay interval
 DECAY_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # counted at most, so that a pause does not empty the sums
+MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # longest interval that counts, so that a pause keeps the sums
 RUN_TIME_DECAY = 0.85  # factor on a backend's sums of running times for each run
 MEAN_RUN_WEIGHT = 0.1  # of the latest run in the mean running time
 RUN_PER_WORK_WEIGHT = 0.1  # of the latest run in the running time for each hinted work
 CLASS_RUN_WEIGHT = 0.05  # of the latest run in the typical running time of its class
 MEAN_WAIT_WEIGHT = 0.1  # of the latest start in the mean wait
-INITIAL_REQUESTS = 5  # for each class, that the work of short and of all requests starts from
+INITIAL_REQUESTS = 5  # of typical work, assumed for each class at the start
 MIN_MEDIAN_SLOWNESS = 0.01  # a divisor, and a request may start and end in one tick
 
 
@@ -30,7 +30,7 @@
 
         Args:
             typical_runs: Typical running times of the request classes, ticks.
-            short_share: Share of the work that is short requests'.
+            short_share: Share of short requests in the work.
         """
         self.arrivals = 0.0  # requests, decaying
         self.observed_time = 0.0  # ticks in which they arrived, decaying
@@ -43,7 +43,7 @@
         # Of attempts:
         self.mean_wait = 0.0
         self.mean_run = 1.0 * TICKS_PER_SECOND
-        self.run_per_work = 0.0  # run time for each hinted work on a slot of weight 1; 0 while not known
+        self.run_per_work = 0.0  # run ticks per tick of hinted work, on a slot of weight 1; 0 while unknown
         # Of the backends with a fresh report, as of the last refresh:
         self.mean_reported_queue = 0.0
         self.slots_per_weight = 1.0
@@ -96,7 +96,7 @@
             passed: Ticks since the last call.
 
         Returns:
-            The part of them that still counts, for other sums that decay alike.
+            The factor that they were multiplied by, for other sums that decay alike.
         """
         counted = min(passed, MAX_DECAY_TICKS)
         decay: float = ARRIVAL_DECAY ** (counted / DECAY_INTERVAL_TICKS)
--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -82,7 +82,7 @@
         self.error_rate = 0.0  # moving average, from 0 to 1
         self.ejection_time = 0  # length of the present ejection; 0 for a trusted backend
         self.ejected_until = 0
-        self.overloaded_until = 0  # end of the backoff after it refused a request or was unreachable
+        self.overloaded_until = 0  # end of its backoff after it refused a request or was unreachable
         self.unstarted = 0  # own attempts whose start the backend has not notified
         self.own_share = 0.0  # of the slow-start budget that all instances share
         self.slow_start_next = 0  # when the budget allows the next request; 0 until the first is drawn
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -6,7 +6,7 @@
 | --- | --- | --- |
 | `initial_pool` | all ready backends for a key, else the subset | - |
 | (attempt scope) | in place of it the zone or cell that earlier attempts bind the request to | no candidate |
-| `not_overloaded` | backends that have not lately refused work or been unreachable | no candidate |
+| `not_overloaded` | backends that have not recently refused work or been unreachable | no candidate |
 | `within_slow_start_budget` | warm backends, and warming ones with budget saved up | no candidate |
 | `OutlierEjection.trusted` | backends that are not ejected | see there |
 | `not_overutilized` | backends whose listed load is low, where lists show it | does without the step |
@@ -30,22 +30,22 @@
 from crankfold.routing.subsetting import Subset
 
 SPARE_SLOTS = 0.25  # by which the estimated load may exceed the capacity of a backend that counts as free
-MAX_LOAD_RATIO = 1.3  # load over slots; behind more a request would be late, so it stays in the queue here
-MAX_UTILIZATION = 2.0  # requests for each core by the list from which a backend is left out
+MAX_LOAD_RATIO = 1.3  # load over slots; with more, a request would be late and is queued here instead
+MAX_UTILIZATION = 2.0  # requests per core, by the endpoint list
 
 
-def prefer(kept: Backends, *, otherwise: Backends) -> Backends:
-    """Returns the backends that a step keeps, or `otherwise` where it keeps none."""
-    return kept or otherwise
+def prefer(preferred: Backends, *, otherwise: Backends) -> Backends:
+    """Returns the preferred backends, or `otherwise` if there are none."""
+    return preferred or otherwise
 
 
 def not_overloaded(now: int, pool: Backends) -> Backends:
-    """Returns the backends that have not lately refused work or been unreachable."""
+    """Returns the backends that have not recently refused a request or been unreachable."""
     return [b for b in pool if b.overloaded_until <= now]
 
 
 def not_overutilized(pool: Backends) -> Backends:
-    """Returns the backends that have fewer than `MAX_UTILIZATION` requests for each core by the list."""
+    """Returns the backends with fewer than `MAX_UTILIZATION` requests per core."""
     return prefer([b for b in pool if b.utilization < MAX_UTILIZATION], otherwise=pool)
 
 
@@ -63,7 +63,7 @@
 
 
 def with_capacity(request: PendingRequest, pool: Backends) -> Backends:
-    """Returns the backends with free slots for the request and no attempt that still waits for its start."""
+    """Returns the backends with free slots for the request that have started all their attempts."""
     slots = request.slots
     return [b for b in pool if b.load + slots <= b.capacity + SPARE_SLOTS and not b.unstarted]
 
@@ -71,14 +71,14 @@
 def with_bounded_wait(request: PendingRequest, pool: Backends) -> Backends:
     """Returns the backends with load up to `MAX_LOAD_RATIO` times their slots, or with unknown slots.
 
-    Behind more work the request would be late; in the queue here it stays free to go elsewhere.
+    With more load the request would be late; while it is queued here, it can still go elsewhere.
     """
     slots = request.slots
     return [b for b in pool if not b.capacity or b.load + slots <= MAX_LOAD_RATIO * b.capacity + slots]
 
 
 def warming_first(now: int, pool: Backends) -> Backends:
-    """Returns the backends that warm up, as a slow-start budget that is not used expires."""
+    """Returns the backends in slow start, as their budget expires if it is not used."""
     return prefer([b for b in pool if b.warm_from > now], otherwise=pool)
 
 
@@ -119,17 +119,17 @@
             warming_only: Whether the concurrency limit leaves only backends in slow start.
         """
         pool = self._available_in_scope(now, request, scope, work)
-        may_rate_warming = bool(request.work and self._state.averages.run_per_work)
-        if may_rate_warming:
+        can_estimate_run = bool(request.work and self._state.averages.run_per_work)
+        if can_estimate_run:
             pool = self.finishing_in_time(now, request, pool)
         free = with_capacity(request, pool)
         if warming_only:
             free = self.warming_in_time(now, request, free)
             pool = free
         if free:
-            nearest = same_zone(self._state.zone, warming_first(now, free) if may_rate_warming else free)
+            nearest = same_zone(self._state.zone, warming_first(now, free) if can_estimate_run else free)
         elif request.in_flight:
-            return []  # a hedge that waits has no use
+            return []  # a hedge is useless if it has to wait
         else:
             pool = with_bounded_wait(request, pool)
             nearest = pool
@@ -140,7 +140,10 @@
     def _available_in_scope(
         self, now: int, request: PendingRequest, scope: AttemptScope, work: float
     ) -> Backends:
-        """The backends that may take the request, however loaded they are."""
+        """Returns the backends that may take the request, whatever their load.
+
+        Updates the scores of backends outside the subset, which the periodic refresh leaves out.
+        """
         usual = self.initial_pool(request)
         pool = self._in_scope(scope, usual)
         available = self._available(now, request, pool, work)
@@ -148,7 +151,7 @@
             pool = self._state.table.ready
             available = self._available(now, request, pool, work)
         if pool is not usual:
-            self._reports.update_scores(now, pool)  # those outside the subset are not refreshed
+            self._reports.update_scores(now, pool)
         return available
 
     def initial_pool(self, request: PendingRequest) -> Backends:
--- a/crankfold/routing/completion.py
+++ b/crankfold/routing/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its final answer where no backend has responded, and what is still in flight."""
+"""Completion: final answers to requests without a response, and the end of answered requests."""
 
 from crankfold.routing.final_answer import FinalAnswer, final_answer
 from crankfold.routing.records import PendingRequest
@@ -28,7 +28,7 @@
         self.close(request)
 
     def close(self, request: PendingRequest) -> None:
-        """Ends a request that has its answer; its attempts are cancelled, as they occupy slots for no use."""
+        """Closes a request that needs no further answer; cancels its attempts, which would occupy slots."""
         request.answered = True
         self._queue.discard(request)
         self._state.cancel_attempts(request)
--- a/crankfold/routing/concurrency_limit.py
+++ b/crankfold/routing/concurrency_limit.py
@@ -11,7 +11,7 @@
 SAMPLES_PER_ADJUSTMENT = 10  # starts of attempts between two adjustments
 MIN_LIMIT_ATTEMPTS = 4.0
 WAIT_TOLERANCE_RATIO = 1.05  # of response time to running time, up to which the limit does not shrink
-NEGLIGIBLE_WAIT_TICKS = 1.0  # beside the mean run; keeps the ratio defined for runs of no time
+NEGLIGIBLE_WAIT_TICKS = 1.0  # added to the response time, which is a divisor and could be 0
 MIN_ADJUSTMENT_RATIO = 0.5  # lowest ratio that one adjustment applies
 GROWTH_ROOTS = 0.5  # growth by one adjustment, as a multiple of the limit's square root
 MIN_USE_SHARE = 0.5  # of the limit that must be in flight for it to grow
@@ -63,26 +63,26 @@
             ratio = WAIT_TOLERANCE_RATIO * averages.mean_run / response_time
             self.adjust(now, min(1.0, ratio), MIN_LIMIT_ATTEMPTS)
 
-    def adjust(self, now: int, ratio: float, least: float) -> None:
+    def adjust(self, now: int, ratio: float, min_limit: float) -> None:
         """Multiplies the limit by a ratio and lets it grow.
 
         Args:
             now: Ticks.
-            ratio: 1 where no attempt waits, less the longer they wait.
-            least: Attempts that the limit allows in any case.
+            ratio: 1 where no attempt waits; the longer they wait, the smaller.
+            min_limit: Attempts that the limit allows in any case.
         """
         if self.limit == inf:
             if ratio == 1.0:
-                return  # the few attempts in flight at the start are no measure for a limit
+                return  # a limit by the few attempts in flight at the start would be too low
             self.limit = 1.0 * self.in_flight
         if ratio < 1.0 or self.in_flight >= MIN_USE_SHARE * self.limit:
             changed = self.limit * max(ratio, MIN_ADJUSTMENT_RATIO) + GROWTH_ROOTS * sqrt(self.limit)
-            self.limit = max(changed, self._fair_share(now, least))
+            self.limit = max(changed, self._fair_share(now, min_limit))
         self.adjusted_at = now
         self._samples = 0
 
-    def _fair_share(self, now: int, least: float) -> float:
-        """This instance's share of the warm backends' slots, at least `least`: a lower bound of the limit.
+    def _fair_share(self, now: int, min_limit: float) -> float:
+        """Returns the lowest limit: this instance's share of the warm backends' slots, or `min_limit`.
 
         Backends of unknown capacity count as the mean of the others.
         """
@@ -91,7 +91,7 @@
         needs_headroom = self._state.sparse and not self._state.weights_follow_load
         headroom = SPARSE_HEADROOM_RATIO if needs_headroom else 1.0
         fair = sum(known) / max(len(known), 1) * len(warm) * (headroom / self._state.instance_count)
-        return max(fair, least)
+        return max(fair, min_limit)
 
     def scale(self, fleet_capacity: float) -> None:
         """Scales the limit at once with the capacity of the fleet.
--- a/crankfold/routing/hedging.py
+++ b/crankfold/routing/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: when a request whose attempt is stalled is sent to a second backend, within a budget of work."""
+"""Hedging: when a request with a stalled attempt is sent to a second backend, within a budget of work."""
 
 from crankfold.routing.outlier_ejection import StallDetection
 from crankfold.routing.records import PendingRequest
@@ -9,10 +9,10 @@
 MAX_HEDGE_BUDGET_RUNS = 5.0  # mean running times that the budget saves up
 MIN_HEDGE_DELAY_TICKS = 400
 MAX_FIRST_HEDGE_DELAY_TICKS = TICKS_PER_SECOND // 2
-FIRST_DELAY_DIVISOR = 2  # of the latency objective: the delay before the first look at an attempt
-DELAY_GROWTH_FACTOR = 2  # from one look at a request to the next
+FIRST_DELAY_DIVISOR = 2  # of the latency objective: the delay before the first check of an attempt
+DELAY_GROWTH_FACTOR = 2  # from one check of a request to the next
 DELAY_WAIT_RATIO = 4  # lowest delay, as a multiple of the mean wait for a start
-SPARE_TIME_DIVISOR = 3  # of the time to spare: the delay where this instance sees little of the fleet
+SPARE_TIME_DIVISOR = 3  # of the spare time to the objective: the delay where a subset is used
 MIN_TIME_LEFT_WORK_SHARE = 0.5  # of the expected work: a run may be shorter than expected
 MAX_IN_FLIGHT = 1  # attempts of a request with which a hedge may still be sent
 
@@ -23,7 +23,7 @@
 
 
 class HedgingPolicy:
-    """Decides when an attempt in flight is looked at, and whether a hedge is due."""
+    """Decides when an attempt in flight is checked for a stall, and whether a hedge is due."""
 
     def __init__(self, state: RoutingState, stalls: StallDetection) -> None:
         self._state = state
@@ -31,7 +31,7 @@
         self._budget = 0.0  # slot-ticks of work
 
     def attempt_sent(self, now: int, request: PendingRequest, work: float) -> None:
-        """Earns hedge budget, and sets the timer for the first look at the attempt.
+        """Earns hedge budget, and sets the timer for the first check of the attempt.
 
         Args:
             now: Ticks.
@@ -62,7 +62,7 @@
         self._budget -= request.slots * request.expected_work
 
     def postpone(self, now: int, request: PendingRequest) -> None:
-        """Sets the timer for the next look at the attempts of the request."""
+        """Sets the timer for the next check of the attempts of the request."""
         request.hedge_delay = max(request.hedge_delay, self._stalls.max_progress_gap)
         self._state.set_request_timer(now, request, now + request.hedge_delay)
 
@@ -72,7 +72,7 @@
         self._budget = min(self._budget + earned, max_budget)
 
     def _delay(self, now: int, request: PendingRequest) -> int:
-        """Ticks until a silent attempt is looked at."""
+        """Returns the ticks until an attempt is checked."""
         if self._state.sparse:
             spare = request.objective_at - now - request.expected_work
             return max(int(spare / SPARE_TIME_DIVISOR), MIN_HEDGE_DELAY_TICKS)
--- a/crankfold/routing/interface.py
+++ b/crankfold/routing/interface.py
@@ -1,7 +1,8 @@
 """The interface of the routing: the types of its configuration, of its events and of its actions.
 
-Times and durations are whole ticks of a monotonic clock. Work is a running time in ticks on a slot of a usual
-backend. Backends, requests and request classes are dense indices; the codecs map names to them.
+Times and durations are whole ticks of a monotonic clock. The work of a request is its running time, in ticks,
+on a slot of a backend of typical speed. Backends, requests and request classes are dense indices; the codecs
+map names to them.
 """
 
 from collections.abc import Collection, Sequence
@@ -216,4 +217,4 @@
         """The configuration has changed; the classes at `new_rows` replace unrelated ones."""
 
     def timer_fired(self, now: int, token: int) -> None:
-        """A timer has run out."""
+        """A timer has expired."""
--- a/crankfold/routing/membership.py
+++ b/crankfold/routing/membership.py
@@ -8,7 +8,7 @@
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-MIN_LIMIT_ATTEMPTS = 1.0  # where the limit follows the listed weights
+MIN_LISTED_LIMIT_ATTEMPTS = 1.0  # where the limit is adjusted by listed weights
 ADJUST_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # between two adjustments of the limit by listed weights
 
 
@@ -37,8 +37,8 @@
     def _separate_load_from_size(self, now: int) -> None:
         """Reads size and load of each backend from weights that follow the load, and adjusts the limit.
 
-        All instances see these weights late and alike, and would all choose the same backends by them. They
-        count as a load report only where keys restrict the choice.
+        All instances see the same weights, late, and would all choose the same backends by them. So the
+        weights count as load reports only where keys restrict the choice.
         """
         for backend in self._state.table.ready:
             self._state.table.separate_load(backend)
@@ -59,4 +59,4 @@
         if not size:
             return
         max_ratio = max_load_ratio(self._state.mean_objective, self._state.averages.mean_run)
-        self._limit.adjust(now, min(max_ratio * size / (load or 1.0), 1.0), MIN_LIMIT_ATTEMPTS)
+        self._limit.adjust(now, min(max_ratio * size / (load or 1.0), 1.0), MIN_LISTED_LIMIT_ATTEMPTS)
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -9,19 +9,17 @@
 
 MIN_EJECTION_TICKS = TICKS_PER_SECOND
 MAX_EJECTION_TICKS = 8 * TICKS_PER_SECOND
-EJECTION_GROWTH_FACTOR = 2  # with each ejection that follows another without a completed attempt between
-EJECTION_JITTER_DIVISOR = 4  # of the ejection time: the longest jitter, so that instances return apart
-OVERLOADED_REST_TICKS = TICKS_PER_SECOND // 4  # without attempts after a backend refused one as overloaded
-UNREACHABLE_REST_TICKS = TICKS_PER_SECOND
+EJECTION_GROWTH_FACTOR = 2  # with each further ejection before an attempt is completed
+EJECTION_JITTER_DIVISOR = 4  # of the ejection time: the longest jitter, which keeps instances apart
+OVERLOADED_BACKOFF_TICKS = TICKS_PER_SECOND // 4  # without attempts, after a backend refused one
+UNREACHABLE_BACKOFF_TICKS = TICKS_PER_SECOND
 ERROR_WEIGHT = 0.3  # of the latest outcome in the error rate
 MAX_ERROR_RATE = 0.45  # above it a backend is ejected
 FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN, Outcome.UNREACHABLE)
-MIN_TRUSTED_DIVISOR = 3  # of the backends: at or under this part, ejection is disregarded
+MIN_TRUSTED_DIVISOR = 3  # of the backends: where no more than this part is trusted, all are
 MIN_COMPARABLE_BACKENDS = 3  # with fewer, a majority of ejected backends does not show a common cause
 
-MAX_SILENCE_TICKS = (
-    TICKS_PER_SECOND  # without a response after an attempt was sent, until the backend is ejected
-)
+MAX_SILENCE_TICKS = TICKS_PER_SECOND  # from sending an attempt without a response until ejection
 STALL_TICKS = TICKS_PER_SECOND // 2  # without a response or notification, after which an attempt is stalled
 SPARSE_STALL_TICKS = TICKS_PER_SECOND  # the same, where few responses of a backend come here
 MAX_PROGRESS_GAP_INTERVALS = 2.5  # progress intervals without progress, after which an attempt is stalled
@@ -46,22 +44,22 @@
         backend.ejected_until = now + backend.ejection_time + jitter
 
     def record_outcome(self, now: int, backend: Backend, outcome: Outcome) -> None:
-        """Updates a backend's error rate and rest by how an attempt there has ended, and may eject it.
+        """Updates a backend's error rate and backoff by the outcome of an attempt, and may eject it.
 
         Args:
             now: Ticks.
-            backend: Where the attempt went.
-            outcome: How it ended.
+            backend: The backend of the attempt.
+            outcome: The outcome of the attempt.
         """
         if outcome == Outcome.COMPLETED:
             backend.last_seen_at = now
             backend.error_rate *= 1.0 - ERROR_WEIGHT
             backend.ejection_time = 0
         elif outcome == Outcome.OVERLOADED:
-            backend.overloaded_until = now + OVERLOADED_REST_TICKS
+            backend.overloaded_until = now + OVERLOADED_BACKOFF_TICKS
         elif outcome == Outcome.UNREACHABLE:
-            # The rest holds even where `trusted` disregards ejection, so few attempts go to a dead backend.
-            backend.overloaded_until = now + UNREACHABLE_REST_TICKS
+            # The backoff applies even where `trusted` disregards ejection: a dead backend gets few attempts.
+            backend.overloaded_until = now + UNREACHABLE_BACKOFF_TICKS
         if outcome in FAILURES:
             # A backend that fails fast has a short queue, and without ejection would attract more attempts.
             backend.error_rate = exponential_average(backend.error_rate, 1.0, ERROR_WEIGHT)
@@ -73,8 +71,8 @@
         """Returns the backends that are not ejected, or all where too few would be left.
 
         A backend whose ejection is over gets one attempt at a time until one is completed. Where most
-        backends are ejected, a common cause is likelier than that many faulty backends; of one or two
-        backends, an ejected one is used only if there is no other.
+        backends are ejected, they probably have a common cause, so none is left out. Of one or two backends,
+        an ejected one is returned only if there is no other.
 
         Args:
             now: Ticks.
@@ -107,7 +105,7 @@
             attempt: An attempt in flight.
         """
         if attempt.started_at >= 0:
-            return self._stands_still(now, attempt)
+            return self._lacks_progress(now, attempt)
         # A backend that responds to other attempts is busy, and a hedge would only add to the load.
         responded_since = attempt.backend.last_seen_at > attempt.sent_at
         max_wait = SPARSE_STALL_TICKS if self._state.sparse else STALL_TICKS
@@ -118,7 +116,7 @@
 
         Args:
             now: Ticks.
-            request: The request whose attempts are looked at.
+            request: The request whose attempts are checked.
         """
         for attempt in request.attempts:
             if (
@@ -130,11 +128,11 @@
 
     def _is_unresponsive(self, now: int, attempt: Attempt) -> bool:
         if attempt.started_at >= 0:
-            return self._stands_still(now, attempt)
+            return self._lacks_progress(now, attempt)
         responded_since = attempt.backend.last_seen_at >= attempt.sent_at
         overdue = now - attempt.sent_at > MAX_SILENCE_TICKS
         return self._state.start_notifications and not responded_since and overdue
 
-    def _stands_still(self, now: int, attempt: Attempt) -> bool:
+    def _lacks_progress(self, now: int, attempt: Attempt) -> bool:
         """Whether a started attempt has made no progress for too long, where backends notify progress."""
         return bool(self.max_progress_gap) and now - attempt.last_seen_at > self.max_progress_gap
--- a/crankfold/routing/records.py
+++ b/crankfold/routing/records.py
@@ -36,7 +36,7 @@
 
 
 class Attempt:
-    """One sending of a request to a backend.
+    """One attempt to have a request executed by a backend.
 
     Attributes:
         backend: Where it was sent.
@@ -82,7 +82,7 @@
         key: Of the data that it works on; 0 for none.
         attempts: In the order of their numbers.
         answered: Whether it has its final answer, or needs none.
-        hedge_delay: Until an attempt is looked at.
+        hedge_delay: Until the next check of its attempts for a stall.
     """
 
     __slots__ = (
--- a/crankfold/routing/report_fields.py
+++ b/crankfold/routing/report_fields.py
@@ -4,7 +4,7 @@
 
 
 class ReportFields:
-    """Finds in a report, a sequence of figures, those that the decisions know by name."""
+    """Reads from a report, a sequence of values, those that the rules use."""
 
     def __init__(self, names: Sequence[str]) -> None:
         indices = {name: index for index, name in enumerate(names)}
@@ -12,9 +12,9 @@
         self._free_slots = indices.get("free_slots", -1)
 
     def queue(self, report: Sequence[float]) -> float:
-        """Requests that wait at the backend; 0 where the report does not say."""
+        """Returns the number of requests queued at the backend; 0 if the report does not have it."""
         return report[self._queue] if 0 <= self._queue < len(report) else 0.0
 
     def free_slots(self, report: Sequence[float]) -> float:
-        """Slots that are free there; 0 where the report does not say."""
+        """Returns the number of free slots of the backend; 0 if the report does not have it."""
         return report[self._free_slots] if 0 <= self._free_slots < len(report) else 0.0
--- a/crankfold/routing/request_queue.py
+++ b/crankfold/routing/request_queue.py
@@ -7,7 +7,7 @@
 
 
 class RequestQueue:
-    """Holds requests back; the order is taken anew each time, as values and work change."""
+    """Holds the waiting requests; their order is computed at each call, as values and work change."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
@@ -37,14 +37,14 @@
         return [request for _, request in ranked]
 
     def _priority(self, request: PendingRequest, offered: float) -> tuple[float, int]:
-        """What a response adds to the service's value, for the slots and work it takes; then the newest.
+        """Returns what a response adds to the service's value, per slot and work; then the newest goes first.
 
-        The service's value is the earned share of the value offered by all classes, blended by
-        `worst_class_weight` with that share of the worst-served class.
+        The service's value is the earned share of the value offered by all classes, averaged with that share
+        of the worst-served class, which has the weight `worst_class_weight`.
 
         Args:
             request: A queued request.
-            offered: The value that lately came in, of all classes.
+            offered: The value of recent arrivals, of all classes.
         """
         config = self._state.config
         request_class = request.request_class
@@ -52,5 +52,5 @@
         gain = (1.0 - config.worst_class_weight) * value / offered
         if request_class is self._state.classes[self._state.worst_class]:
             gain += config.worst_class_weight * value / (request_class.offered_value or 1.0)
-        # Slots count squared, so that narrow requests, which fit sooner, go first.
+        # Squared, so that requests of few slots, which fit sooner, go first.
         return gain / (request.slots * request.slots * request.expected_work), request.request_id
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -9,7 +9,7 @@
 
 
 class SlowStart:
-    """Paces a warming backend by this instance's share of a budget of work that grows with time."""
+    """Limits what is sent to a warming backend to this instance's share of a budget that grows with time."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -1,8 +1,8 @@
 """Subsetting: the part of a large fleet that this instance sends to (deterministic aperture).
 
-An instance among many sees little of what the others send. It keeps to as many backends as its own traffic
-keeps busy, so that its own attempts there are a good part of the load that it sees. The backends stand on a
-ring, the same at every instance, and the instances draw their subsets evenly along it.
+One of many instances knows little of what the others send. It sends to as many backends as its own traffic
+keeps busy, so that its own attempts are a large part of their load. All instances order the backends in the
+same ring, and each draws its subset evenly along it.
 """
 
 from math import ceil, gcd, inf
@@ -15,17 +15,18 @@
 MIN_SUBSET_BACKENDS = 5
 MIN_SHORT_SUBSET_BACKENDS = 3  # of the subset, for short requests
 MAX_SLOW_START_SENDERS = 5  # instances that share the budget of one warming backend
-MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to so many, each knows enough of the load of all backends
+MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to which each knows enough of the load of all backends
 SHARE_STEPS = 64  # in which the share of short requests is counted
 SHARE_TOLERANCE_STEPS = 8  # by which it may change before the subset is drawn anew
 MIN_SHORT_SHARE = 0.25  # of the fleet, for short requests
 MIN_OBSERVED_REQUESTS = 10  # before their slots decide whether short requests need separate backends
-# A subset is kept while the wanted size is from 3/5 to 6/5 of its size: little is known of other backends.
+# The size of a subset changes only if the wanted size is under 3/5 or over 6/5 of it, as little is known of
+# the load of new members. In integers, so that the comparison is exact.
 SIZE_RATIO_DENOMINATOR = 5
-MIN_KEPT_SIZE_NUMERATOR = 3
-MAX_KEPT_SIZE_NUMERATOR = 6
+MIN_SIZE_RATIO_NUMERATOR = 3
+MAX_SIZE_RATIO_NUMERATOR = 6
 GOLDEN_RATIO_32 = 0x9E3779B1  # 2^32 over the golden ratio: multiples of it are spread evenly
-MIDDLE = 0.5  # offset to the middle of an instance's place
+MIDDLE = 0.5  # of the part of a segment that belongs to an instance
 
 
 class Subset:
@@ -35,16 +36,16 @@
         self._state = state
         self._slow_start = slow_start
         self._limit = limit
-        self._ring: Backends = []  # all that are ready, in the order of drawing
+        self._ring: Backends = []  # all ready backends, in the order in which they are drawn
         self.members: Backends = []
-        self.short: Backends = []  # of the members those for short requests
-        self.long: Backends = []
+        self.short: Backends = []  # members for short requests
+        self.long: Backends = []  # members for the other requests
         self._size = 0  # backends
-        self._short_share = 0  # steps
+        self._short_share = 0  # steps of 1 / SHARE_STEPS
         self._is_current = False
 
     def endpoints_changed(self) -> None:
-        """Orders the ring anew: zone by zone, so that a stretch of it has its share of each zone."""
+        """Orders the ring anew, zone by zone, so that each subset has its share of each zone."""
         ready = self._state.table.ready
         self._ring = sorted(ready, key=lambda backend: (backend.zone, backend.endpoint.hash_position))
         self._is_current = False
@@ -66,7 +67,7 @@
         if self._state.sparse:
             self._draw(now)
         else:
-            self._use_whole_fleet()
+            self._use_all_ready_backends()
         ready = self._state.table.ready
         self._limit.scale(sum(b.weight * self._slow_start.capacity_share(now, b) for b in ready))
 
@@ -76,20 +77,21 @@
         return len(self._state.table.ready) > self._size and many_instances and not self._state.keys_seen
 
     def _wanted_size(self) -> int:
-        """Backends that the traffic keeps busy: requests that come in each tick, times their mean work."""
+        """Returns how many backends the traffic keeps busy: arrivals per tick, times their mean work."""
         averages = self._state.averages
         mean_work = averages.total_work / averages.request_count
         busy = ceil(averages.arrivals / (averages.observed_time or inf) * mean_work)
         size = max(MIN_SUBSET_BACKENDS, busy)
         scaled = SIZE_RATIO_DENOMINATOR * size
-        keeps_size = MIN_KEPT_SIZE_NUMERATOR * self._size <= scaled <= MAX_KEPT_SIZE_NUMERATOR * self._size
-        return self._size if keeps_size else size
+        min_scaled = MIN_SIZE_RATIO_NUMERATOR * self._size
+        max_scaled = MAX_SIZE_RATIO_NUMERATOR * self._size
+        return self._size if min_scaled <= scaled <= max_scaled else size
 
     def _wanted_short_share(self) -> int:
-        """The share of backends for short requests, in steps; 0 where short and long ones share backends.
+        """Returns the share of backends for short requests, in steps; 0 where all requests share backends.
 
-        The score takes running times as alike. Where an instance cannot see which backends run a long
-        request, or one of several slots, short requests would wait behind it.
+        The score of a backend does not count how long its requests run. Where an instance cannot see which
+        backends execute a long request, or one of several slots, short requests would wait behind it.
         """
         averages = self._state.averages
         few_observed = averages.request_count < MIN_OBSERVED_REQUESTS
@@ -99,7 +101,7 @@
         is_close = abs(share - self._short_share) < SHARE_TOLERANCE_STEPS
         return self._short_share if is_close else share
 
-    def _use_whole_fleet(self) -> None:
+    def _use_all_ready_backends(self) -> None:
         ready = self._state.table.ready
         self.members = ready
         self.short = ready
@@ -121,42 +123,43 @@
         self.members = short + long
 
     def _draw_evenly(self, now: int, ring: Backends, size: int) -> Backends:
-        """Draws one backend for each `step` of listed weight along the ring, and sets budget shares.
+        """Draws one backend for each segment of the ring, and sets its share of the slow-start budget.
 
-        All subsets together then hold each backend as often as its weight says. The length of a stretch
-        counts warm backends alone, so warming ones are drawn in addition.
+        Segments have equal weight, so all subsets together hold each backend in proportion to its weight.
+        That weight is computed from warm backends alone, so warming ones are drawn in addition.
 
         Args:
             now: Ticks.
-            ring: Backends in ring order. Sets the share of the slow-start budget of each: 0 if not drawn.
+            ring: Backends in ring order. Those that are not drawn have no share of the slow-start budget.
             size: Backends to be drawn, if all are warm.
         """
         total = sum(b.weight for b in ring)
         warm = sum(b.weight for b in ring if b.warm_from <= now)
-        step = warm / size or total / max(len(ring), 1)  # weight of a stretch
+        segment_weight = warm / size or total / max(len(ring), 1)
         drawn = []
-        passed = 0.0
-        stretch = 0
-        place = self._place_in_stretch(0) * step
+        passed_weight = 0.0
+        segment = 0
+        next_drawn_at = self._position_in_segment(0) * segment_weight
         for backend in ring:
             backend.own_share = 0.0
-            passed += backend.weight
-            if passed > place:
+            passed_weight += backend.weight
+            if passed_weight > next_drawn_at:
                 drawn.append(backend)
-                backend.own_share = min(max(step / backend.weight, 1.0) / self._state.instance_count, 1.0)
-            while passed > place:
-                stretch += 1
-                place = (stretch + self._place_in_stretch(stretch)) * step
+                instances_per_sender = max(segment_weight / backend.weight, 1.0)
+                backend.own_share = min(instances_per_sender / self._state.instance_count, 1.0)
+            while passed_weight > next_drawn_at:
+                segment += 1
+                next_drawn_at = (segment + self._position_in_segment(segment)) * segment_weight
         return drawn
 
-    def _place_in_stretch(self, stretch: int) -> float:
-        """This instance's place within a stretch of the ring, from 0 to 1.
+    def _position_in_segment(self, segment: int) -> float:
+        """Returns this instance's position within a segment of the ring, from 0 to 1.
 
-        The instances' places are evenly apart, in another order on each stretch, so that no two instances
-        share all their backends.
+        The positions of the instances are evenly spaced, in another order in each segment, so that no two
+        instances share all their backends.
         """
         count = self._state.instance_count
-        factor = (2 * stretch + 1) * GOLDEN_RATIO_32 % count
+        factor = (2 * segment + 1) * GOLDEN_RATIO_32 % count
         while gcd(factor, count) != 1:
             factor += 1
         return (self._state.instance_index * factor % count + MIDDLE) / count
