--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -179,7 +179,7 @@
     def _on_exchange_ended(
         self, request: Request, attempt: Attempt, result: ExchangeResult, response: BackendConnection | None
     ) -> None:
-        """Handles the end of an exchange: the backend has accepted the request, or the attempt has ended."""
+        """Handles the end of an exchange, and with it of the attempt, unless the backend has accepted it."""
         if result is not ExchangeResult.ANSWERED or response is None:
             self.end(request, attempt, _OUTCOMES_WITHOUT_RESPONSE.get(result, Outcome.RESET))
             return
@@ -187,8 +187,8 @@
         if outcome is Acceptance.ACCEPTED:
             attempt.accepted = True
         elif outcome is Acceptance.REJECTED:
-            # A 4xx response is final: every backend would reject a retry as well. It says nothing about the
-            # health of the backend, so the router gets no error.
+            # A 4xx response is final, as every backend would reject a retry as well. It is no sign of a fault
+            # of the backend, so the outcome for the router is not an error.
             if request.is_open:
                 self.owner.respond(request, Disposition.REJECTED)
             self.end(request, attempt, Outcome.CANCELLED)
@@ -214,7 +214,7 @@
     def _withdraw(self, request: Request, attempt: Attempt) -> None:
         """Cancels the attempt at the backend.
 
-        Closes the connection while the backend has not accepted the request; afterwards sends a DELETE.
+        Sends a DELETE if the backend has accepted the request, else closes the connection.
         """
         if attempt.exchange is None:
             return
@@ -249,7 +249,7 @@
             AttemptEnd(outcome, not request.is_open, report),
             request_number=request.number,
         )
-        self.request_table.discard(request)
+        self.request_table.discard_if_over(request)
 
 
 def _ignore_response(result: ExchangeResult, response: BackendConnection | None) -> None:
--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -67,8 +67,8 @@
         if not handled:
             self._count_unknown_request()
         if client.is_awaiting_response():
-            # A callback for a request that is unknown to all processes is acknowledged: a retry would not
-            # help. If a process did not answer, the status asks the backend to retry.
+            # If no process knows the request, the callback is acknowledged, as a retry would change nothing.
+            # If a process has not answered, the status makes the backend retry.
             status = HTTPStatus.SERVICE_UNAVAILABLE if handled is None else HTTPStatus.NO_CONTENT
             client.respond(status)
 
--- a/crankfold/service/requests/classes.py
+++ b/crankfold/service/requests/classes.py
@@ -35,7 +35,7 @@
         self.open_counts[index] += 1
 
     def request_closed(self, index: int) -> None:
-        """Counts one request in hand less for a row."""
+        """Counts one request less in hand for a row."""
         self.open_counts[index] -= 1
 
     def update(self, names: Iterable[str], classes: Sequence[RequestClass]) -> bool:
--- a/crankfold/service/requests/collaborators.py
+++ b/crankfold/service/requests/collaborators.py
@@ -36,7 +36,7 @@
         """
 
     def release_quota(self, limits: Sequence[str]) -> None:
-        """Ends the count of a request against these limits."""
+        """Stops counting a request against these limits."""
 
     def record_event(self, event: RecordedEvent, request_id: str, subject: str) -> None:
         """Writes an event to the event log, if there is one; `subject` is a request class or a backend id."""
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -1,4 +1,4 @@
-"""Requests: admits or rejects what clients send, and connects the sockets to the router."""
+"""The request handler: admits or rejects requests, and connects clients and backends to the router."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -25,8 +25,8 @@
 from crankfold.service.requests.table import Disposition, Request, RequestTable
 from crankfold.time_units import TICKS_PER_SECOND
 
-# Ticks between the start of the client's timeout and the moment at which the request is read.
-TRANSIT_ALLOWANCE = 10
+# Between the start of the client's timeout and the moment at which the request is read.
+TRANSIT_ALLOWANCE_TICKS = 10
 
 ADMITTED_COUNTER = "requests-admitted"
 
@@ -155,9 +155,9 @@
                 raise
 
     def _fail_undecided(self, request: Request) -> None:
-        """Fails a request about which routing raised, and tells routing that no answer is owed any more.
+        """Fails a request for which the router raised an exception, and closes it in the router.
 
-        Failed, not shed: without a decision it is not known that a retry would be harmless.
+        It is not shed, as that would promise that a retry is harmless.
         """
         self.respond(request, Disposition.FAILED)
         try:
@@ -191,7 +191,7 @@
         """Adds a request to the table and passes it to the router."""
         self.metrics.increment(ADMITTED_COUNTER)
         self.cluster.record_event(RecordedEvent.REQUEST_ADMITTED, request.request_id, request.request_class)
-        timeout = max(request.timeout - TRANSIT_ALLOWANCE, 0)
+        timeout = max(request.timeout - TRANSIT_ALLOWANCE_TICKS, 0)
         class_index = self.request_classes.find(setting_text(request.request_class))
         admitted = self.request_table.add(
             class_index, request.request_id, client, self._now() + timeout, request.http
@@ -213,10 +213,10 @@
         )
 
     def _check_admission(self, client: ClientChannel, request: ClientRequest) -> Rejection | None:
-        """Returns why a request cannot be admitted; None if it can, as far as quotas permit.
+        """Returns the first reason to reject a request, None if there is none; quotas are not checked.
 
-        The first that applies: the client has disconnected, the process ends, the id is in hand here or at
-        the predecessor, too many connections or requests are open, there is no valid configuration.
+        The reasons in their order: the client has disconnected, the process ends, the id is in hand here or
+        at the predecessor, too many connections or requests are open, there is no valid configuration.
         """
         if client.peer_has_closed():
             return CLIENT_GONE
@@ -243,15 +243,15 @@
     # --- disconnects, deadlines and shutdown ---
 
     def client_disconnected(self, client: ClientChannel) -> None:
-        """Closes the open request of a client that has disconnected."""
+        """Closes the request of a client that has disconnected, if it is open."""
         request = self.request_table.by_client.get(client)
         if request and request.is_open:
             self.request_table.close(request)
             self.notify_routing(self.routing.client_disconnected, request.number)
-            self.request_table.discard(request)
+            self.request_table.discard_if_over(request)
 
     def _on_deadline(self, request: Request) -> None:
-        """Times out attempts still in flight; aborts the request if the router has not answered it."""
+        """Aborts the request if the router has not answered it; times out the attempts still in flight."""
         if request.is_open:
             self.metrics.increment("requests-open-at-deadline")
             self._abort(request)
@@ -325,7 +325,7 @@
         if self._now() > request.deadline:
             self.metrics.increment("responses-after-deadline")
         request.client.respond(disposition.status, headers, body)
-        self.timers.loop.call_soon(self.request_table.discard, request)
+        self.timers.loop.call_soon(self.request_table.discard_if_over, request)
 
     def set_timer(self, delay: int, token: int) -> None:
         """Schedules `RoutingEvents.timer_fired` after `delay` ticks."""
@@ -333,7 +333,7 @@
         self.timers.call_after(delay, lambda: self.notify_routing(self.routing.timer_fired, token))
 
     def probe(self, backend: int) -> None:
-        """Sends a health check to a backend, which also asks for its load report."""
+        """Sends a health check to a backend; its response may have a load report."""
         self.probes.send(backend)
 
     def _on_probe_ended(self, backend: int, healthy: bool, report: Sequence[float]) -> None:
--- a/crankfold/service/requests/quotas.py
+++ b/crankfold/service/requests/quotas.py
@@ -39,7 +39,7 @@
         return limits
 
     def release(self, limits: Sequence[str]) -> None:
-        """Ends the count of a request against its limits."""
+        """Stops counting a request against its limits."""
         self.in_use.subtract(limits)
 
     def within_allocation(self) -> bool:
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -130,11 +130,11 @@
 
 
 class RequestTable:
-    """Holds each request until its response is sent and its last attempt has ended.
+    """Holds each request until it is closed and its last attempt has ended.
 
     Args:
         request_classes: Counts the requests in hand of each class.
-        cluster: Holds the quotas, which closed requests release.
+        cluster: Holds the quotas that closed requests release.
     """
 
     def __init__(self, request_classes: RequestClassTable, cluster: ClusterServices) -> None:
@@ -174,14 +174,17 @@
         return self.request_classes.classes[request.class_index]
 
     def close(self, request: Request) -> None:
-        """Marks the request as answered or its client as gone; its attempts may still be in flight."""
+        """Closes a request that is answered or has lost its client, and releases its quotas.
+
+        Its attempts may still be in flight.
+        """
         if request.quota_limits and request.is_open:
             self.cluster.release_quota(request.quota_limits)
         request.is_open = False
         self.by_client.pop(request.client, None)
 
-    def discard(self, request: Request) -> None:
-        """Removes the request if its client does not wait and no attempt is in flight; else has no effect."""
+    def discard_if_over(self, request: Request) -> None:
+        """Removes the request, unless it is open or has an attempt in flight."""
         if request.is_open or any(attempt.in_flight for attempt in request.attempts):
             return
         if self.requests.pop(request.number, None):
