--- a/crankfold/routing/affinity.py
+++ b/crankfold/routing/affinity.py
@@ -10,7 +10,7 @@
 
 
 class KeyAffinity:
-    """Knows which backends a key prefers; every instance derives the same order."""
+    """Finds the preferred backends of a key; every instance derives the same order."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -155,7 +155,7 @@
         return available
 
     def initial_pool(self, request: PendingRequest) -> Backends:
-        """Returns all ready backends for a request with a key, else the subset for its length."""
+        """Returns all ready backends for a request with a key, else the short or long part of the subset."""
         if request.key:
             return self._state.table.ready
         is_short = self._state.averages.is_short(request.expected_work)
--- a/crankfold/routing/load_reports.py
+++ b/crankfold/routing/load_reports.py
@@ -29,7 +29,7 @@
     def record(self, now: int, backend: Backend, report: Sequence[float]) -> None:
         """Updates the estimate of a backend's load and capacity by a report.
 
-        A report equal to the last one is ignored: it may be as old as that, and counting it would hide the
+        A report equal to the last one is ignored: it may be the same report again, which does not include the
         attempts sent since.
 
         Args:
--- a/crankfold/routing/scoring.py
+++ b/crankfold/routing/scoring.py
@@ -44,15 +44,15 @@
 
 
 def _scores_with_fetch_cost(slots: float, backends: Backends) -> list[float]:
-    """As by load; all but the most preferred backend have to fetch the key's data first."""
+    """Scores by load, and by the fetch of the key's data at all but the most preferred backend."""
     preferred = backends[0]
     return [(b.load + slots + FETCH_COST_SLOTS * (b is not preferred)) * b.score_factor for b in backends]
 
 
 def _scores_by_queue(backends: Backends) -> list[float]:
-    """By the load beyond the backend's slots and the own slots there.
+    """Scores by the load beyond the backend's slots, and by the own slots there.
 
-    All instances see busy slots late and alike, so counting them would send every instance to the backend
-    with the largest weight.
+    All instances see the same busy slots, late, and by them would all choose the backend with the largest
+    weight.
     """
     return [(max(b.load - b.capacity, 0.0) + b.own_slots) * b.score_factor for b in backends]
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -85,6 +85,6 @@
         return now + run / (backend.weight * self.capacity_share(now, backend)) <= request.objective_at
 
     def _budget(self, now: int, backend: Backend) -> float:
-        """Slots of work that all instances together may keep busy there."""
+        """Returns how many slots of the backend all instances together may keep busy."""
         share = self.capacity_share(now, backend)
         return self._pace * self._state.averages.slots_per_weight * backend.weight * share
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -64,6 +64,38 @@
         self.assertNotEqual(self.send(0, work=50), 2)
 
 
+class FirstSendTimeRules(RuleScene):
+    def test_the_first_send_time_is_drawn_once_and_not_by_the_question_whether_it_has_come(self) -> None:
+        self.open_with(ready(0), instance_count=1)
+        self.change(Endpoint(1, EndpointState.READY, 1.0, 0, 0, self.now))
+        backend = self.told.state.table.backends[1]
+        backend.own_share = 1.0
+        random = self.told.state.random
+        slow_start = self.told.slow_start
+        before = random.state
+        slow_start.admits(self.now, backend, 50.0 * MS)
+        self.assertEqual((random.state, backend.slow_start_next), (before, 0))
+        slow_start.draw_first_send_times(self.now, [backend], 50.0 * MS)
+        drawn = random.state
+        first = backend.slow_start_next
+        self.assertNotEqual(drawn, before)
+        self.assertGreaterEqual(first, self.now)
+        slow_start.draw_first_send_times(self.now, [backend], 50.0 * MS)
+        self.assertEqual((random.state, backend.slow_start_next), (drawn, first))
+        self.assertFalse(slow_start.admits(first - 1, backend, 50.0 * MS))
+        self.assertTrue(slow_start.admits(first, backend, 50.0 * MS))
+
+    def test_no_send_time_is_drawn_for_a_warm_backend_or_one_with_an_unstarted_attempt(self) -> None:
+        self.open_with(ready(0), instance_count=1)
+        self.change(Endpoint(1, EndpointState.READY, 1.0, 0, 0, self.now))
+        warm, warming = self.told.state.table.backends
+        warming.own_share = 1.0
+        warming.unstarted = 1
+        before = self.told.state.random.state
+        self.told.slow_start.draw_first_send_times(self.now, [warm, warming], 50.0 * MS)
+        self.assertEqual(self.told.state.random.state, before)
+
+
 class SlowStartBurdenRules(RuleScene):
     def test_request_without_a_hint_counts_twice_its_typical_work_in_slow_start(self) -> None:
         # A second of the budget just after the start is 300 ms of work; a class's is a tenth of its deadline.
