--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -111,6 +111,9 @@
     ) -> Backends:
         """Returns the backends to be scored for the request; none where it has to be queued.
 
+        On the way it draws first send times (`SlowStart.draw_first_send_times`) and updates the scores of
+        candidates outside the subset, which the periodic refresh leaves out.
+
         Args:
             now: Ticks.
             request: The request to be sent.
@@ -140,17 +143,14 @@
     def _available_in_scope(
         self, now: int, request: PendingRequest, scope: AttemptScope, work: float
     ) -> Backends:
-        """Returns the backends that may take the request, whatever their load.
-
-        Updates the scores of backends outside the subset, which the periodic refresh leaves out.
-        """
-        usual = self.initial_pool(request)
-        pool = self._in_scope(scope, usual)
+        """Returns the backends that may take the request, whatever their load; updates scores as needed."""
+        initial = self.initial_pool(request)
+        pool = self._in_scope(scope, initial)
         available = self._available(now, request, pool, work)
-        if not available and pool is usual and self._state.sparse:
+        if not available and pool is initial and self._state.sparse:
             pool = self._state.table.ready
             available = self._available(now, request, pool, work)
-        if pool is not usual:
+        if pool is not initial:
             self._reports.update_scores(now, pool)
         return available
 
@@ -161,12 +161,13 @@
         is_short = self._state.averages.is_short(request.expected_work)
         return self._subset.short if is_short else self._subset.long
 
-    def _in_scope(self, scope: AttemptScope, usual: Backends) -> Backends:
+    def _in_scope(self, scope: AttemptScope, initial: Backends) -> Backends:
+        """Returns the ready backends of the scope's zone or cell, or `initial` if the scope is any."""
         if scope.zone >= 0:
             return [b for b in self._state.table.ready if b.zone == scope.zone]
         if scope.cell >= 0:
             return [b for b in self._state.table.ready if b.endpoint.cell == scope.cell]
-        return usual
+        return initial
 
     def _available(self, now: int, request: PendingRequest, pool: Backends, work: float) -> Backends:
         pool = not_overloaded(now, pool)
@@ -193,6 +194,6 @@
         return prefer(in_time, otherwise=pool)
 
     def warming_in_time(self, now: int, request: PendingRequest, pool: Backends) -> Backends:
-        """Returns the warming backends alone that meet the request's latency objective."""
+        """Returns the warming backends, without warm ones, that meet the request's latency objective."""
         ends_in_time = self._slow_start.ends_in_time
         return [b for b in pool if b.warm_from > now and ends_in_time(now, request, b)]
