--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -9,7 +9,7 @@
 
 
 class SlowStart:
-    """Paces a warming backend by this instance's share of a budget of work that grows with time."""
+    """Limits what is sent to a warming backend to this instance's share of a budget that grows with time."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
@@ -85,6 +85,6 @@
         return now + run / (backend.weight * self.capacity_share(now, backend)) <= request.objective_at
 
     def _budget(self, now: int, backend: Backend) -> float:
-        """Slots of work that all instances together may keep busy there."""
+        """Returns how many slots of the backend all instances together may keep busy."""
         share = self.capacity_share(now, backend)
         return self._pace * self._state.averages.slots_per_weight * backend.weight * share
