--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -1,13 +1,53 @@
 """The state of the cluster at one member, as an answer of the admin API, whose keys are used here."""
 
-from typing import Any
+from typing import NotRequired, TypedDict
 
 from crankfold.consensus.follower import Follower
 from crankfold.consensus.leases import LeaseHolderState
 from crankfold.consensus.voter import Voter
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-StatusDocument = dict[str, Any]  # a JSON object with the keys of the admin API
+
+class VersionNumbers(TypedDict):
+    """The numbers of a document's versions."""
+
+    counts: int  # the active one; 0 for none
+    newest: int
+
+
+MemberDocument = TypedDict(
+    "MemberDocument",
+    {
+        "name": str,
+        "state": str,  # a `LeaseHolderState`
+        "incarnation": int,
+        "for-s": int,  # seconds since its first contact
+        "heard-ms-ago": NotRequired[int],  # since its last contact; known to its own voter only
+        "lag": int,  # entries that it has not applied
+        "at": str,  # the voter that granted its lease
+    },
+)
+"""A lease holder."""
+
+StatusDocument = TypedDict(
+    "StatusDocument",
+    {
+        "name": str,
+        "acts": bool,  # whether it holds a lease
+        "why-not": str,  # why it does not act on its documents; empty if it does
+        "applied": int,  # log index
+        "lease-ms": int,  # until its lease expires
+        "versions": dict[str, VersionNumbers],  # by document
+        "voter": NotRequired[str],  # of a follower: the voter that grants its lease
+        "leader": NotRequired[str],  # empty if unknown
+        "term": NotRequired[int],  # this one and the following: of a voter
+        "voters": NotRequired[dict[str, str]],  # addresses by name
+        "leases-ms": NotRequired[dict[str, int]],  # of the leader: until the lease expires, by voter
+        "lag": NotRequired[dict[str, int]],  # of the leader: entries that are not replicated, by voter
+        "members": NotRequired[list[MemberDocument]],
+    },
+)
+"""A JSON object with the keys of the admin API."""
 
 _REPORTED_REMOTE_STATES = (LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED)
 
@@ -35,31 +75,38 @@
         },
     }
     if isinstance(consensus, Follower):
-        return {**status, "voter": consensus.voter, "leader": ""}
-    raft = consensus.raft
-    status |= {"leader": raft.leader, "term": raft.term, "voters": dict(raft.voters)}
+        status["voter"] = consensus.voter
+        status["leader"] = ""
+        return status
+    status["leader"] = consensus.raft.leader
+    status["term"] = consensus.raft.term
+    status["voters"] = dict(consensus.raft.voters)
     if consensus.is_leader():
-        status |= _leader_status(consensus, now)
+        status["leases-ms"] = _granted_leases(consensus, now)
+        status["lag"] = _replication_lag(consensus)
     status["members"] = _own_lease_holders(consensus, now) + _remote_lease_holders(consensus)
     return status
 
 
-def _leader_status(voter: Voter, now: int) -> StatusDocument:
-    raft = voter.raft
+def _granted_leases(leader: Voter, now: int) -> dict[str, int]:
+    """The milliseconds until the leases that the leader granted expire, by voter."""
     return {
-        "leases-ms": {
-            name: max(until - now, 0) // TICKS_PER_MILLISECOND
-            for name, until in voter.leader_leases.granted_until.items()
-        },
-        "lag": {
-            name: raft.log.last_index() - raft.progress.match_index.get(name, 0)
-            for name in raft.voters
-            if name != voter.name
-        },
+        name: max(until - now, 0) // TICKS_PER_MILLISECOND
+        for name, until in leader.leader_leases.granted_until.items()
+    }
+
+
+def _replication_lag(leader: Voter) -> dict[str, int]:
+    """The number of entries that are not replicated yet, by voter."""
+    raft = leader.raft
+    return {
+        name: raft.log.last_index() - raft.progress.match_index.get(name, 0)
+        for name in raft.voters
+        if name != leader.name
     }
 
 
-def _own_lease_holders(voter: Voter, now: int) -> list[StatusDocument]:
+def _own_lease_holders(voter: Voter, now: int) -> list[MemberDocument]:
     return [
         {
             "name": name,
@@ -74,7 +121,7 @@
     ]
 
 
-def _remote_lease_holders(voter: Voter) -> list[StatusDocument]:
+def _remote_lease_holders(voter: Voter) -> list[MemberDocument]:
     return [
         {
             "name": status.name,
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -11,9 +11,11 @@
 
 from msgspec import Struct, field
 
-# JSON objects with stored keys in their stored order. The modules that read their fields decode them.
-EntryData = dict[str, Any]  # the fields of a log entry
-DocumentContent = dict[str, Any]  # the content of a document
+EntryData = dict[str, Any]
+"""The fields of a log entry. A plain dictionary, as the order of the proposer's keys is stored."""
+
+DocumentContent = dict[str, Any]
+"""The content of a document. A plain dictionary, as its keys are stored in the author's order."""
 
 MAX_UNRESOLVED_REPORTED = 5  # request ids by report and machine
 
--- a/crankfold/maintenance/transitions.py
+++ b/crankfold/maintenance/transitions.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Struct, field
 
-# The stored form of a transition, as a JSON object.
 TransitionDocument = dict[str, Any]
+"""The stored form of a transition. A plain dictionary, as the order of its keys differs by proposer."""
 
 
 class MaintenancePhase(StrEnum):
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Callable, Sequence
-from typing import Annotated, Any
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct, field
@@ -16,14 +16,12 @@
     read_routing_config,
     read_service_config,
 )
+from crankfold.consensus.messages import DocumentContent
 from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, LIMITS, MAINTENANCE, SETTINGS
 from crankfold.maintenance.scheduler import Machine
 from crankfold.service.config_file import Settings
 from crankfold.service.requests.quotas import ALL_REQUESTS, REQUEST_CLASS_PREFIX, TENANT_PREFIX
 
-Content = dict[str, Any]
-"""The content of a replicated document: the JSON object that an operator published."""
-
 # The schema requires these keys of a configuration file; replicated settings do not have them.
 PLACEHOLDERS = {"listen": "-", "discovery": "-"}
 
@@ -40,16 +38,16 @@
     reasons: dict[str, str] = field(name="runners", default_factory=dict)  # why, by backend id
 
 
-def replicated_settings(settings: Settings) -> Content:
+def replicated_settings(settings: Settings) -> DocumentContent:
     """Returns the replicated part of a dispatcher's settings."""
     return {name: settings[name] for name in RELOADABLE if name in settings}
 
 
 def validation_error(
     document: str,
-    content: Content,
+    content: DocumentContent,
     *,
-    previous: Content | None,
+    previous: DocumentContent | None,
     local_settings: Settings,
     list_machines: Callable[[], Sequence[Machine]],
 ) -> str:
@@ -78,14 +76,16 @@
 
 
 def _maintenance_error(
-    content: Content, previous: Content | None, list_machines: Callable[[], Sequence[Machine]]
+    content: DocumentContent, previous: DocumentContent | None, list_machines: Callable[[], Sequence[Machine]]
 ) -> str:
     from crankfold.maintenance import specification  # imported only where maintenance is used
 
     return specification.validation_error(content, previous or {}, list_machines())
 
 
-def _settings_error(content: Content, previous: Content | None, local_settings: Settings) -> str:
+def _settings_error(
+    content: DocumentContent, previous: DocumentContent | None, local_settings: Settings
+) -> str:
     """Returns the first setting that is not replicated, as an error; empty if there is none.
 
     Raises:
@@ -103,7 +103,7 @@
     return ""
 
 
-def _limits_error(content: Content) -> str:
+def _limits_error(content: DocumentContent) -> str:
     for name in msgspec.convert(content, LimitsDocument).limits:
         # The colon may be missing; no request counts against such a limit.
         prefix = name.partition(":")[0] + ":"
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -8,25 +8,48 @@
 import os
 import sys
 import time
-from typing import Any
+from typing import NotRequired, TypedDict
 
 import orjson
 
 from crankfold.consensus.follower import Follower
+from crankfold.consensus.messages import DocumentContent
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, QUOTAS, SETTINGS
 from crankfold.service.requests.collaborators import RecordedEvent
 
 logger = logging.getLogger(__name__)
 
-EventLine = dict[str, Any]
-"""One line of the log, with the keys of the file."""
-
 STANDARD_OUTPUT = "-"  # in place of a path
 TRANSITION = "step"  # the kind of the lines for transitions of machines in maintenance
 FILE_MODE = 0o666  # less the umask
 
 
+class EventLine(TypedDict):
+    """A line for a `RecordedEvent`, with the keys of the file."""
+
+    at: int  # nanoseconds of the boot-time clock
+    what: str  # the kind of the event
+    unit: str  # the request id
+    where: str  # a request class or a backend id
+    applied: int  # the last applied log index
+    versions: dict[str, tuple[int, int]]  # the active and the newest version, by document
+    acting: NotRequired[dict[str, DocumentContent | None]]  # the effective contents, by document
+
+
+class TransitionLine(TypedDict):
+    """A line for a transition of a machine in maintenance, with the keys of the file."""
+
+    at: int  # nanoseconds of the boot-time clock
+    what: str  # `TRANSITION`
+    uid: str  # the machine
+    work: str  # the job
+    step: str
+    index: int  # in the replicated log
+    by: str
+    why: str
+
+
 class EventLog:
     """Appends events to a file without a buffer, so that a kill of the process loses no event."""
 
@@ -80,7 +103,7 @@
                 )
         self.recorded_index = max(self.recorded_index, member.last_applied)
 
-    def _write(self, line: EventLine) -> None:
+    def _write(self, line: EventLine | TransitionLine) -> None:
         data = orjson.dumps(line) + b"\n"
         if self._line_is_torn:
             data = b"\n" + data
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -5,19 +5,20 @@
 
 import logging
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Any, Final
+from typing import TYPE_CHECKING, Final
 
 from crankfold.cluster.config import ClusterConfig
 from crankfold.cluster.node import ClusterNode
 from crankfold.cluster.raft_storage import StorageError
-from crankfold.consensus.messages import MaintenanceReport
+from crankfold.consensus.messages import DocumentContent, MaintenanceReport
 from crankfold.consensus.versioned_documents import MACHINES
 from crankfold.document_names import DRAINED_BACKENDS, EXCLUDED_BACKENDS, MAINTENANCE, QUOTAS, SETTINGS
 from crankfold.errors import ConfigError
+from crankfold.maintenance.transitions import TransitionDocument
 from crankfold.routing.interface import Outcome
 from crankfold.service.admin_service import AdminService
 from crankfold.service.cluster.admin import ClusterAdmin
-from crankfold.service.cluster.document_validation import Content, replicated_settings, validation_error
+from crankfold.service.cluster.document_validation import replicated_settings, validation_error
 from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.config_file import Settings, parse_settings
 from crankfold.service.reload import ConfigApplier
@@ -172,7 +173,7 @@
 
     # --- for the cluster node: cluster.node.Dispatcher ---
 
-    def validate_document(self, name: str, content: Content) -> str:
+    def validate_document(self, name: str, content: DocumentContent) -> str:
         """Returns why a new version of a document is not valid here; empty if it is valid."""
         previous = None
         if name in (SETTINGS, MAINTENANCE):
@@ -250,7 +251,7 @@
         """See `MemberHost`."""
         return self.maintenance.build_report() if self.maintenance else None
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """Returns the transitions of machines to propose; none unless this member leads.
 
         `now` is in ticks of the boot clock.
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -6,7 +6,6 @@
 import logging
 from collections.abc import Callable, Collection
 from functools import partial
-from typing import Any
 
 from crankfold.cluster.node import ClusterNode
 from crankfold.consensus.maintenance_reports import ClusterReport
@@ -18,7 +17,7 @@
 from crankfold.maintenance.fleet_view import Area, FleetView
 from crankfold.maintenance.scheduler import Machine
 from crankfold.maintenance.state import MaintenanceState, is_dispatcher_id
-from crankfold.maintenance.transitions import MaintenancePhase, coordinator_document
+from crankfold.maintenance.transitions import MaintenancePhase, TransitionDocument, coordinator_document
 from crankfold.network.metrics import Metrics
 from crankfold.routing.interface import DeduplicationScope, Idempotency, Outcome
 from crankfold.service.admin_service import AdminService
@@ -192,7 +191,7 @@
 
     # --- as the leader ---
 
-    def propose_transitions(self, now: int) -> list[dict[str, Any]]:
+    def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """Returns the transitions to propose; none unless this member is the leader and holds a lease.
 
         `now` is in ticks of the boot clock.
