--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -10,6 +10,7 @@
 from crankfold.cluster.node import ClusterNode
 from crankfold.consensus.maintenance_reports import ClusterReport
 from crankfold.consensus.messages import MaintenanceReport
+from crankfold.consensus.reported_fleet import add_reports
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance import specification
@@ -211,11 +212,10 @@
     def _fleet_view(self, member: Voter, now: int) -> FleetView:
         """Returns the inputs of the coordinator's decisions."""
         cluster_report = member.cluster_report(now)
-        report = cluster_report.combined
-        self.dispatcher_zones |= report.dispatcher_zones
+        self.dispatcher_zones |= cluster_report.combined.dispatcher_zones
         dispatchers = self.dispatchers(member, now)
         available = {machine.machine_id for machine in dispatchers if machine.available}
-        return FleetView(
+        view = FleetView(
             now=now,
             wall_ms=wall_clock_ms(),
             jobs_version=member.documents.document(MAINTENANCE).latest_number(),
@@ -223,20 +223,12 @@
             state=self.state,
             machines=self.machines(),
             dispatchers=dispatchers,
-            voter_count=len(member.raft.voters),
             stale_reason=self._stale_reason(),
             blocking_holders=partial(_blocking_reason, member.name, cluster_report, available),
-            unresolved_requests=report.unresolved,
-            response_counts=report.response_counts,
-            unavailable=report.unavailable,
-            requests_in_flight=report.open_requests,
-            admitted_count=report.recent_accepted,
-            shed_count=report.recent_shed,
-            executors=member.leased_incarnations(now),
-            incarnations=member.voter_incarnations(),
             warm_up_ticks=self.request_handler.config.slow_start_duration,
             deduplication_scopes=self._deduplication_areas(),
         )
+        return add_reports(view, member, cluster_report)
 
     def _stale_reason(self) -> str:
         """Returns why the endpoint list is too old for decisions; empty if it is not."""
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -5,6 +5,7 @@
 from typing import NamedTuple
 
 from crankfold.consensus.messages import MaintenanceReport
+from crankfold.consensus.reported_fleet import add_reports
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import MAINTENANCE
 from crankfold.maintenance.coordinator import Coordinator
@@ -142,26 +143,17 @@
 
     def _fleet_view(self, member: Voter, now: int) -> FleetView:
         cluster_report = member.cluster_report(now)
-        report = cluster_report.combined
-        return FleetView(
+        view = FleetView(
             now=now,
             wall_ms=self.cluster.events.now // TICKS_PER_MILLISECOND,
             jobs_version=member.documents.document(MAINTENANCE).latest_number(),
             jobs=self.jobs(),
             state=self.maintenance_state(),
             machines=self.discovered_machines(),
-            voter_count=len(member.raft.voters),
             blocking_holders=cluster_report.blocking_reason,
-            unresolved_requests=report.unresolved,
-            response_counts=report.response_counts,
-            unavailable=report.unavailable,
-            requests_in_flight=report.open_requests,
-            admitted_count=report.recent_accepted,
-            shed_count=report.recent_shed,
-            executors=member.leased_incarnations(now),
-            incarnations=member.voter_incarnations(),
             warm_up_ticks=self._surroundings.warm_up_ticks,
         )
+        return add_reports(view, member, cluster_report)
 
     def follow_maintenance(self) -> None:
         """Updates the answer counts of returning machines and starts the commands due here."""
