--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -7,7 +7,6 @@
 from crankfold.consensus.leases import AppliedBounds
 from crankfold.consensus.log_entries import ActivateData, EntryKind, entry_data
 from crankfold.consensus.raft import Raft
-from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import DocumentVersion, VersionedDocuments
 from crankfold.document_names import QUOTAS
 
@@ -19,13 +18,10 @@
     under an earlier allocation, keep within it.
     """
 
-    def __init__(
-        self, raft: Raft, documents: VersionedDocuments, timing: Timing, leases: LeaderLeases
-    ) -> None:
+    def __init__(self, raft: Raft, documents: VersionedDocuments, leases: LeaderLeases) -> None:
         """For a voter with this Raft node and documents; `leases` are those that it grants as the leader."""
         self._raft = raft
         self._documents = documents
-        self._timing = timing
         self._leases = leases
         self._proposed: set[tuple[str, int]] = set()  # name of the document, number of the version
 
@@ -40,7 +36,7 @@
             now: Ticks.
             own: The bounds of the leader and the holders of its leases.
         """
-        if now < self._timing.earlier_leases_until(self._raft.leader_since):
+        if now < self._raft.timing.earlier_leases_until(self._raft.leader_since):
             return  # members may hold leases from an earlier leader, and their applied index is unknown
         reports = self._leases.reports_until(now)
         lowest_applied = min([own.lowest_applied, *(report.lowest_applied_index for report in reports)])
@@ -58,7 +54,7 @@
     def _lowest_quiesced(self, now: int, own: AppliedBounds) -> int:
         """The index of the quotas that all open requests keep within, those of expired leases included."""
         request_duration = self._documents.max_request_duration()
-        if now < self._timing.earlier_leases_until(self._raft.leader_since) + request_duration:
+        if now < self._raft.timing.earlier_leases_until(self._raft.leader_since) + request_duration:
             return 0
         reports = self._leases.reports_until(now, request_duration)
         return min([own.quiesced, *(report.quiesced_index for report in reports)])
--- a/crankfold/consensus/leader_leases.py
+++ b/crankfold/consensus/leader_leases.py
@@ -36,17 +36,20 @@
     """The leases that a leader grants to the other voters in its term.
 
     Attributes:
+        term: The term of the grants and reports; 0 before the first one as leader.
         granted_until: The latest time at which the lease expires, by voter.
         reports: The newest report, by voter.
     """
 
     def __init__(self) -> None:
         """Starts without grants and reports."""
+        self.term = 0
         self.granted_until: dict[str, int] = {}
         self.reports: dict[str, VoterReport] = {}
 
-    def reset(self) -> None:
+    def begin_term(self, term: int) -> None:
         """Drops all grants and reports at the start of a term as leader."""
+        self.term = term
         self.granted_until = {}
         self.reports = {}
 
--- a/crankfold/consensus/leader_proposals.py
+++ b/crankfold/consensus/leader_proposals.py
@@ -10,7 +10,6 @@
 from crankfold.consensus.messages import DocumentContent, LeaseHolderStatus
 from crankfold.consensus.quotas import QuotaAllocator
 from crankfold.consensus.raft import Raft
-from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.document_names import SETTINGS
 
@@ -24,7 +23,6 @@
         self,
         raft: Raft,
         documents: VersionedDocuments,
-        timing: Timing,
         leases: LeaderLeases,
         initial_settings: DocumentContent | None,
     ) -> None:
@@ -33,14 +31,13 @@
         Args:
             raft: The Raft node of the voter.
             documents: The replicated documents of the voter.
-            timing: Durations of leases.
             leases: The leases that the voter grants as the leader.
             initial_settings: Proposed if no settings were published; None to propose none.
         """
         self._raft = raft
         self._documents = documents
         self._initial_settings = initial_settings
-        self._activator = VersionActivator(raft, documents, timing, leases)
+        self._activator = VersionActivator(raft, documents, leases)
         self._quota_allocator = QuotaAllocator(raft, documents)
         self._settings_proposed = False
         self._folders_proposed: set[str] = set()
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -17,7 +17,6 @@
 )
 from crankfold.consensus.raft import Raft
 from crankfold.consensus.raft_state import Role
-from crankfold.consensus.timing import Timing
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.document_names import DocumentName
 
@@ -111,7 +110,6 @@
         raft: Raft,
         documents: VersionedDocuments,
         host: VoterHost,
-        timing: Timing,
         own_responses: list[ProposalResponse],
     ) -> None:
         """Starts without proposals.
@@ -120,13 +118,11 @@
             raft: The Raft node of this voter.
             documents: The replicated documents of this voter.
             host: Validates documents for this voter.
-            timing: Gives the staleness bound.
             own_responses: The list to which outcomes of this voter's own proposals are appended.
         """
         self._raft = raft
         self._documents = documents
         self._host = host
-        self._timing = timing
         self._own_responses = own_responses
         self._validations: dict[str, PendingValidation] = {}
         # The member that the outcome is sent to, by proposal id; THIS_VOTER for an own proposal.
@@ -253,7 +249,7 @@
             self._raft.propose(now, EntryKind.PUBLISH, data)
 
     def _drop_expired(self, now: int) -> None:
-        timeout = VALIDATION_TIMEOUT_BOUNDS * self._timing.staleness_bound
+        timeout = VALIDATION_TIMEOUT_BOUNDS * self._raft.timing.staleness_bound
         for proposal_id, validation in list(self._validations.items()):
             if now - validation.started_at > timeout:
                 del self._validations[proposal_id]
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -97,11 +97,10 @@
         self.remote_lease_holders = RemoteLeaseHolders(MAX_GOSSIP_AGE_RENEWALS * timing.renew_interval)
         self._incarnations = IncarnationTracker()
         self._leader_proposals = LeaderProposals(
-            self.raft, self.documents, timing, self.leader_leases, initial_settings
+            self.raft, self.documents, self.leader_leases, initial_settings
         )
-        self._proposals = ProposalHandler(self.raft, self.documents, host, timing, self.proposal_responses)
+        self._proposals = ProposalHandler(self.raft, self.documents, host, self.proposal_responses)
         self._lease_request_due_at = self._gossip_due_at = self._maintenance_due_at = now
-        self._led_term = 0
 
     def is_leader(self) -> bool:
         """Whether it leads and has committed an entry of its term, and with it those of earlier terms."""
@@ -142,7 +141,7 @@
     def process(self, now: int) -> None:
         """Applies committed entries, extends the leader's lease and proposes; due after every event."""
         raft = self.raft
-        if raft.role == Role.LEADER and raft.term != self._led_term:
+        if raft.role == Role.LEADER and raft.term != self.leader_leases.term:
             self._begin_term_as_leader()
         has_new_entries = raft.commit_index > self.last_applied
         self._apply_committed()
@@ -158,8 +157,7 @@
             self._compact_if_due()
 
     def _begin_term_as_leader(self) -> None:
-        self._led_term = self.raft.term
-        self.leader_leases.reset()
+        self.leader_leases.begin_term(self.raft.term)
         self._leader_proposals.reset()
         self._proposals.reset()
 
