--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -45,9 +45,9 @@
 class ClusterNode:
     """A dispatcher's part in its cluster.
 
-    A process that replaces another one joins as a follower under a name of its own. If it is configured as a
-    voter, it opens the voter's folder once the predecessor has released it, and switches to the voter once
-    that holds a lease and has applied as much of the log as the follower. A voter whose folder fails is
+    A process that replaces another one joins as a follower under a temporary name. If it is configured as a
+    voter, it opens the voter's folder once the predecessor has released it. It switches to the voter once
+    the voter holds a lease and has applied as much of the log as the follower. A voter whose folder fails is
     replaced by a follower, and later by a voter, in the same way.
 
     Attributes:
@@ -90,7 +90,7 @@
             return self._make_interim_follower()
 
     def _make_interim_follower(self) -> ClusterMember:
-        """A follower under a name of its own, until the voter can be opened."""
+        """A follower under a temporary name, until the voter can be opened."""
         return self._make_member(f"{self.config.name}+{secrets.token_hex(SUCCESSOR_SUFFIX_BYTES)}", None)
 
     def _make_member(self, name: str, storage: RaftStorage | None) -> ClusterMember:
@@ -236,8 +236,8 @@
         """Waits until a version is active.
 
         Returns:
-            The applied index here. Once it is applied in the whole cluster, all members act on that version
-            alone. 0 if the version is not active after `max_seconds`.
+            The applied index here; 0 if the version is not active after `max_seconds`. Once each member with
+            a lease has applied that index, all members act on that version alone.
         """
         active = await self._wait_until(
             lambda: self.consensus.documents.document(document).active_number >= number, max_seconds
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -96,7 +96,7 @@
         return now < self.lease_expires_at
 
     def effective_content(self, document: str) -> DocumentContent | None:
-        """The effective content of a document; None for settings of which no version is active."""
+        """The effective content of a document; None for settings without an active version."""
         return self.documents.effective_content(document)
 
     def quiesced_index(self) -> int:
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -242,7 +242,7 @@
         """The content to act on: the active version, merged conservatively with each pending one.
 
         Returns:
-            The content; None for settings of which no version is active, without which no member acts.
+            The content; None for settings without an active version, in which case no member acts.
         """
         document = self.document(name)
         active = document.find(document.active_number)
--- a/crankfold/maintenance/coordinator.py
+++ b/crankfold/maintenance/coordinator.py
@@ -1,7 +1,7 @@
 """Proposes transitions of machines in maintenance at the leader, without I/O and without a clock.
 
-A run takes the state of the fleet and proposes transitions, which take effect when they are committed. The
-only state of its own are the times of first observation, so that each voter can continue as the leader.
+A run takes the state of the fleet and proposes transitions, which take effect when they are committed. A
+coordinator stores only times of observations and of its recent proposals, so any voter can take over.
 """
 
 from collections.abc import Sequence
@@ -71,9 +71,7 @@
             self._cooldown_until = view.now + SHED_COOLDOWN_TICKS
         transitions = self._next_of_each(view, findings)
         transitions += self._halts(view, findings)
-        transitions = [
-            transition for transition in transitions if self._record_proposal(view.now, transition)
-        ]
+        transitions = self._record_new_proposals(view.now, transitions)
         transitions += self._departures(view, findings)
         self.wait_reasons = findings.wait_reasons()
         return [structs.replace(transition, at_ms=view.wall_ms) for transition in transitions]
@@ -86,22 +84,20 @@
         ]
         return [transition for transition in transitions if transition]
 
-    def _record_proposal(self, now: int, transition: Transition) -> bool:
-        """Whether a transition was not proposed recently, so that an uncommitted one is not repeated.
-
-        Records the proposal.
-        """
-        key = transition.machine_id or transition.job, transition.last_index or 0, transition.phase
-        before = self._proposed_at.get(key)
-        if before is not None and now - before < REPROPOSE_TICKS:
-            return False
+    def _record_new_proposals(self, now: int, transitions: Sequence[Transition]) -> list[Transition]:
+        """Records and returns the transitions that were not proposed recently: others may be uncommitted."""
         self._proposed_at = {
-            known: proposed_at
-            for known, proposed_at in self._proposed_at.items()
+            key: proposed_at
+            for key, proposed_at in self._proposed_at.items()
             if now - proposed_at < REPROPOSE_TICKS
         }
-        self._proposed_at[key] = now
-        return True
+        new: list[Transition] = []
+        for transition in transitions:
+            key = transition.machine_id or transition.job, transition.last_index or 0, transition.phase
+            if key not in self._proposed_at:
+                self._proposed_at[key] = now
+                new.append(transition)
+        return new
 
     def _halts(self, view: FleetView, findings: Findings) -> list[Transition]:
         reasons = {
@@ -136,7 +132,7 @@
 
 
 def _with_halted_stopped(view: FleetView) -> dict[str, JobSpecification]:
-    """The jobs, of which halted ones have the state that operators give to stop a job."""
+    """The jobs; halted ones as if an operator had stopped them."""
     return {
         name: structs.replace(job, state=JobState.STOPPED) if name in view.state.halted_jobs else job
         for name, job in view.jobs.items()
--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -17,7 +17,7 @@
 
 COMMAND_OUTCOME_MARGIN_TICKS: Final = 5 * TICKS_PER_SECOND  # from a command's time limit to its outcome
 MAX_WATCH_FACTOR: Final = 4  # times the watch, for a machine with too few responses
-MAX_LISTED_REQUESTS: Final = 5  # ids in a text
+MAX_REQUEST_IDS_IN_REASON: Final = 5
 
 _REPLACEABLE: Final = (MaintenancePhase.DRAINED, MaintenancePhase.IN_WORK, MaintenancePhase.WORK_FAILED)
 
@@ -146,8 +146,10 @@
             self._wait(subject, holders)
             return None
         unresolved = self._view.unresolved_requests.get(subject.machine_id, [])
-        named = ", ".join(unresolved[:MAX_LISTED_REQUESTS])
-        return self._propose(subject, MaintenancePhase.DRAINED, f"may go on there: {named}" if named else "")
+        request_ids = ", ".join(unresolved[:MAX_REQUEST_IDS_IN_REASON])
+        return self._propose(
+            subject, MaintenancePhase.DRAINED, f"may go on there: {request_ids}" if request_ids else ""
+        )
 
     def _start_work(self, subject: Subject) -> Transition | None:
         record = subject.record
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -90,7 +90,7 @@
 
 
 def infeasibility_reason(job: MaintenanceJob, machines: Sequence[Machine]) -> str:
-    """The bound that prevents the job from ever draining some machine of its own; empty for none."""
+    """The bound that never permits the job to drain one of its machines; empty for none."""
     covered = [machine for machine in machines if job.covers(machine)]
     if not covered:
         return "no machine is meant"
