--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -188,7 +188,7 @@
         """The reason why the sender of a hello is not admitted; empty if it is."""
         if not isinstance(self.consensus, Voter):
             return "no voter"
-        return self.consensus.admission_error(hello.name, hello.folder_id) if hello.folder_id else ""
+        return self.consensus.admit(hello.name, hello.folder_id) if hello.folder_id else ""
 
     def propose_transitions(self, now: int) -> list[TransitionDocument]:
         """The transitions of machines to propose at `now`, in their stored form."""
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -254,9 +254,9 @@
         if grant.term == self.raft.term:
             self._accept_lease(grant.request_sent_at, grant.lease_duration, grant.required_index)
 
-    def admission_error(self, voter: str, folder_id: str) -> str:
-        """The reason why a voter is not admitted with that folder; empty if it is."""
-        return self.registry.admission_error(self.raft.log, voter, folder_id)
+    def admit(self, voter: str, folder_id: str) -> str:
+        """Admits a voter with that folder; returns the reason if it is not admitted, else an empty text."""
+        return self.registry.admit(self.raft.log, voter, folder_id)
 
     def _rejection_of(self, now: int, heartbeat: FollowerHeartbeat) -> str:
         """The reason why a follower is not admitted; empty if it is."""
--- a/crankfold/consensus/voter_registry.py
+++ b/crankfold/consensus/voter_registry.py
@@ -44,8 +44,12 @@
         self.documents = documents
         self.folder_ids = {name: folder_id}
 
-    def admission_error(self, log: RaftLog, voter: str, folder_id: str) -> str:
-        """The reason why a voter is not admitted with that folder; empty if it is."""
+    def admit(self, log: RaftLog, voter: str, folder_id: str) -> str:
+        """Records the folder that a voter sent in its hello, unless another one is registered.
+
+        Returns:
+            The reason why the voter is not admitted; empty if it is.
+        """
         if self._registered(log).get(voter, folder_id) != folder_id:
             return f"{voter} is known by another folder; take the voter out and add it anew"
         self.folder_ids[voter] = folder_id
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -227,7 +227,7 @@
             return
         if isinstance(process.member, Voter) and sender in self.voters:
             storage_id = self.processes[sender].storage_id
-            if process.member.admission_error(sender, storage_id):
+            if process.member.admit(sender, storage_id):
                 return
         process.deliver(lambda member, now: member.receive(now, sender, message))  # type: ignore[attr-defined]
 
--- a/tests/consensus/planted_faults.py
+++ b/tests/consensus/planted_faults.py
@@ -75,7 +75,7 @@
     def may_vote(self, log: RaftLog, candidate_last_index: int, founding_member: bool) -> bool:  # noqa: ARG002 - as the base names it
         return True
 
-    def admission_error(self, log: RaftLog, voter: str, folder_id: str) -> str:  # noqa: ARG002 - as the base names it
+    def admit(self, log: RaftLog, voter: str, folder_id: str) -> str:  # noqa: ARG002 - as the base names it
         self.folder_ids[voter] = folder_id
         return ""
 
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -183,10 +183,10 @@
 
     def test_a_voter_with_another_folder_is_not_admitted(self) -> None:
         voter = self.voter()
-        self.say(voter.admission_error("v0", "here") or "admitted")
-        self.say(voter.admission_error("v0", "elsewhere"))
+        self.say(voter.admit("v0", "here") or "admitted")
+        self.say(voter.admit("v0", "elsewhere"))
         voter.documents.apply(99, LogEntry(1, "voters", {"voters": {}}))  # taken out
-        self.say(voter.admission_error("v0", "elsewhere") or "admitted anew")
+        self.say(voter.admit("v0", "elsewhere") or "admitted anew")
         self.close("consensus-folders")
 
     def test_senseless_messages_of_strangers_change_nothing(self) -> None:
