--- a/crankfold/maintenance/departures.py
+++ b/crankfold/maintenance/departures.py
@@ -2,17 +2,14 @@
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
-from typing import Final
 
 from crankfold.maintenance.findings import Findings
 from crankfold.maintenance.fleet_view import Area, FleetView
-from crankfold.maintenance.scheduler import Machine, MaintenanceJob, SchedulingFacts, schedule
+from crankfold.maintenance.scheduler import VOTER, Machine, MaintenanceJob, SchedulingFacts, schedule
 from crankfold.maintenance.specification import JobSpecification, JobState, Target
-from crankfold.maintenance.state import is_dispatcher_id
+from crankfold.maintenance.state import dispatcher_id, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Placement, Transition
 
-VOTER: Final = "voter"  # the instance type of a dispatcher that is a voter
-
 
 def propose_departures(
     view: FleetView, member_name: str, findings: Findings, *, in_cooldown: bool
@@ -80,7 +77,7 @@
     ) -> list[Transition]:
         absent = self._view.state.machines
         if self._target == Target.DISPATCHERS:
-            jobs = [replace(job, last_machine_id=f"@{self._member_name}") for job in jobs]
+            jobs = [replace(job, last_machine_id=dispatcher_id(self._member_name)) for job in jobs]
         result = schedule(jobs, self._scheduling_facts(halted))
         for (machine_id, job_name), text in result.wait_reasons.items():
             if machine_id not in absent:
--- a/crankfold/maintenance/forecast.py
+++ b/crankfold/maintenance/forecast.py
@@ -5,8 +5,7 @@
 
 from crankfold.maintenance.scheduler import Machine, SchedulingFacts, schedule
 from crankfold.maintenance.specification import JobSpecification, JobState
-
-MILLISECONDS_PER_SECOND = 1000
+from crankfold.time_units import MILLISECONDS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -11,7 +11,7 @@
 from crankfold.maintenance.observations import Observations
 from crankfold.maintenance.scheduler import Machine, MaintenanceJob, outside_time_window
 from crankfold.maintenance.specification import JobSpecification, JobState, OverduePolicy, WorkMethod
-from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
+from crankfold.maintenance.state import MachineInMaintenance, dispatcher_id, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
@@ -189,7 +189,7 @@
         present = [
             name
             for name in self._view.executors
-            if f"@{name}" not in self._view.state.machines and f"@{name}" != machine_id
+            if dispatcher_id(name) not in (*self._view.state.machines, machine_id)
         ]
         return self._member_name if self._member_name in present else min(present, default="")
 
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -6,6 +6,9 @@
 from typing import Final, NamedTuple
 
 SHARE_TOLERANCE: Final = 1e-9  # covers the rounding of sums of sizes
+# The instance types of dispatchers.
+VOTER: Final = "voter"
+FOLLOWER: Final = "follower"
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,7 +17,7 @@
 
     machine_id: str
     zone: str = ""
-    instance_type: str = ""  # for a dispatcher "voter" or "follower"
+    instance_type: str = ""  # for a dispatcher `VOTER` or `FOLLOWER`
     cell: str = ""
     size: float = 1.0  # as listed
     started_at: int = 0  # ticks; for a dispatcher its incarnation
--- a/crankfold/maintenance/specification.py
+++ b/crankfold/maintenance/specification.py
@@ -11,6 +11,7 @@
 from msgspec import Meta, Struct, field
 
 from crankfold.maintenance.scheduler import Machine, MaintenanceJob, infeasibility_reason
+from crankfold.maintenance.state import dispatcher_id
 from crankfold.time_units import TICKS_PER_MILLISECOND
 
 Fraction = Annotated[float, Meta(ge=0, le=1)]
@@ -94,7 +95,7 @@
     def to_job(self, name: str) -> MaintenanceJob:
         """Returns the job in the scheduler's form."""
         if self.target == Target.DISPATCHERS:
-            machine_ids = frozenset(f"@{machine}" for machine in self.machines)
+            machine_ids = frozenset(map(dispatcher_id, self.machines))
         else:
             machine_ids = frozenset(self.machines)
         return MaintenanceJob(
--- a/crankfold/maintenance/state.py
+++ b/crankfold/maintenance/state.py
@@ -31,9 +31,17 @@
 )
 
 
+DISPATCHER_PREFIX: Final = "@"  # of the machine ids of dispatchers; no backend id begins with it
+
+
+def dispatcher_id(name: str) -> str:
+    """Returns the machine id of the dispatcher of that name."""
+    return DISPATCHER_PREFIX + name
+
+
 def is_dispatcher_id(machine_id: str) -> bool:
-    """Whether the id is that of a dispatcher ("@name"); ids of backends do not begin with "@"."""
-    return machine_id.startswith("@")
+    """Whether the id is that of a dispatcher."""
+    return machine_id.startswith(DISPATCHER_PREFIX)
 
 
 class TransitionRecord(Struct, array_like=True, frozen=True):
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -17,19 +17,19 @@
 from crankfold.maintenance.coordinator import Coordinator
 from crankfold.maintenance.fleet_view import Area, FleetView
 from crankfold.maintenance.scheduler import Machine
-from crankfold.maintenance.state import MaintenanceState, is_dispatcher_id
+from crankfold.maintenance.state import (
+    DISPATCHER_PREFIX,
+    MaintenanceState,
+    dispatcher_id,
+    is_dispatcher_id,
+)
 from crankfold.maintenance.transitions import MaintenancePhase, TransitionDocument, coordinator_document
 from crankfold.network.metrics import Metrics
 from crankfold.routing.interface import DeduplicationScope, Idempotency, Outcome
 from crankfold.service.admin_service import AdminService
 from crankfold.service.maintenance.admin import MaintenanceAdmin
 from crankfold.service.maintenance.commands import CommandExecutor
-from crankfold.service.maintenance.machine_inventory import (
-    DISPATCHER_PREFIX,
-    MachineInventory,
-    dispatcher_id,
-    dispatcher_machines,
-)
+from crankfold.service.maintenance.machine_inventory import MachineInventory, dispatcher_machines
 from crankfold.service.maintenance.observations import MaintenanceObservations
 from crankfold.service.requests.handler import RequestHandler
 from crankfold.service.wall_clock import wall_clock_ms
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -11,10 +11,9 @@
 from crankfold.cluster.node import ClusterNode
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.maintenance.specification import JobSpecification
-from crankfold.maintenance.state import MaintenanceState
+from crankfold.maintenance.state import DISPATCHER_PREFIX, MaintenanceState
 from crankfold.maintenance.transitions import MaintenancePhase, Transition, outcome_document
 from crankfold.service.backends.registry import BackendRegistry
-from crankfold.service.maintenance.machine_inventory import DISPATCHER_PREFIX
 from crankfold.service.wall_clock import wall_clock_ms
 
 logger = logging.getLogger(__name__)
--- a/crankfold/service/maintenance/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -3,8 +3,8 @@
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.consensus.leases import LeaseHolderState
 from crankfold.consensus.voter import Voter
-from crankfold.maintenance.scheduler import Machine
-from crankfold.maintenance.state import MaintenanceState
+from crankfold.maintenance.scheduler import FOLLOWER, VOTER, Machine
+from crankfold.maintenance.state import MaintenanceState, dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase
 from crankfold.routing.interface import EndpointState
 from crankfold.service.backends.registry import BackendRecord, BackendRegistry
@@ -12,12 +12,6 @@
 
 MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # after it a machine that is not listed is removed
 MAX_LOG_LAG = 50  # log entries by which an available dispatcher may lag
-DISPATCHER_PREFIX = "@"  # of the machine ids of dispatchers; no backend id begins with it
-
-
-def dispatcher_id(name: str) -> str:
-    """Returns the machine id of the dispatcher of that name."""
-    return DISPATCHER_PREFIX + name
 
 
 class MachineInventory:
@@ -103,7 +97,7 @@
     return Machine(
         machine_id=dispatcher_id(name),
         zone=zones.get(name, ""),
-        instance_type="voter" if name in member.raft.voters else "follower",
+        instance_type=VOTER if name in member.raft.voters else FOLLOWER,
         started_at=incarnation,
         available=available,
     )
