--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -11,13 +11,13 @@
 from crankfold.maintenance.observations import Observations
 from crankfold.maintenance.scheduler import Machine, MaintenanceJob, outside_time_window
 from crankfold.maintenance.specification import JobSpecification, JobState, OverduePolicy, WorkMethod
-from crankfold.maintenance.state import MachineInMaintenance, is_dispatcher_id
+from crankfold.maintenance.state import MachineInMaintenance, dispatcher_id, is_dispatcher_id
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
 COMMAND_OUTCOME_MARGIN_TICKS: Final = 5 * TICKS_PER_SECOND  # from a command's time limit to its outcome
 MAX_WATCH_FACTOR: Final = 4  # times the watch, for a machine with too few responses
-MAX_LISTED_REQUESTS: Final = 5  # ids in a text
+MAX_REQUEST_IDS_IN_REASON: Final = 5
 
 _REPLACEABLE: Final = (MaintenancePhase.DRAINED, MaintenancePhase.IN_WORK, MaintenancePhase.WORK_FAILED)
 
@@ -146,8 +146,10 @@
             self._wait(subject, holders)
             return None
         unresolved = self._view.unresolved_requests.get(subject.machine_id, [])
-        named = ", ".join(unresolved[:MAX_LISTED_REQUESTS])
-        return self._propose(subject, MaintenancePhase.DRAINED, f"may go on there: {named}" if named else "")
+        request_ids = ", ".join(unresolved[:MAX_REQUEST_IDS_IN_REASON])
+        return self._propose(
+            subject, MaintenancePhase.DRAINED, f"may go on there: {request_ids}" if request_ids else ""
+        )
 
     def _start_work(self, subject: Subject) -> Transition | None:
         record = subject.record
@@ -187,7 +189,7 @@
         present = [
             name
             for name in self._view.executors
-            if f"@{name}" not in self._view.state.machines and f"@{name}" != machine_id
+            if dispatcher_id(name) not in (*self._view.state.machines, machine_id)
         ]
         return self._member_name if self._member_name in present else min(present, default="")
 
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -6,6 +6,9 @@
 from typing import Final, NamedTuple
 
 SHARE_TOLERANCE: Final = 1e-9  # covers the rounding of sums of sizes
+# The instance types of dispatchers.
+VOTER: Final = "voter"
+FOLLOWER: Final = "follower"
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,7 +17,7 @@
 
     machine_id: str
     zone: str = ""
-    instance_type: str = ""  # for a dispatcher "voter" or "follower"
+    instance_type: str = ""  # for a dispatcher `VOTER` or `FOLLOWER`
     cell: str = ""
     size: float = 1.0  # as listed
     started_at: int = 0  # ticks; for a dispatcher its incarnation
@@ -90,7 +93,7 @@
 
 
 def infeasibility_reason(job: MaintenanceJob, machines: Sequence[Machine]) -> str:
-    """The bound that prevents the job from ever draining some machine of its own; empty for none."""
+    """The bound that never permits the job to drain one of its machines; empty for none."""
     covered = [machine for machine in machines if job.covers(machine)]
     if not covered:
         return "no machine is meant"
