--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import errno
-import socket
 import subprocess
 import sys
 import tempfile
@@ -17,6 +16,7 @@
 from crankfold.cluster.node import ClusterNode
 from crankfold.consensus.conservative_merge import SETTINGS
 from crankfold.consensus.messages import Rejection
+from crankfold.fault_injection.http_client import HOST, find_free_port
 from crankfold.network.metrics import Metrics
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
 from tests.loopback import Loopback
@@ -39,10 +39,8 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.ports = {}
-        for name in (*VOTERS, "n3"):
-            with socket.create_server(("127.0.0.1", 0)) as free:
-                self.ports[name] = free.getsockname()[1]
+        # A port that the system chose may, once it is closed, be given to another process, or a second time.
+        self.ports = {name: find_free_port() for name in (*VOTERS, "n3")}
         self.nodes: dict[str, ClusterNode] = {}
 
     async def asyncTearDown(self) -> None:
@@ -59,7 +57,7 @@
     ) -> ClusterNode:
         config = ClusterConfig(
             name,
-            {voter: f"127.0.0.1:{self.ports[voter]}" for voter in voters},
+            {voter: f"{HOST}:{self.ports[voter]}" for voter in voters},
             storage_folder=str(self.folder / (folder or name)),
             staleness_bound=1.0,
             is_successor=bool(key),
@@ -104,9 +102,9 @@
         failed = next(name for name in VOTERS if self.nodes[name].status()["leader"] != name)
         await self.nodes.pop(failed).close()
         remaining = next(node for name, node in self.nodes.items() if name in VOTERS)
-        fewer = {name: f"127.0.0.1:{self.ports[name]}" for name in VOTERS if name != failed}
+        fewer = {name: f"{HOST}:{self.ports[name]}" for name in VOTERS if name != failed}
         self.assertTrue((await remaining.propose("voters", {"voters": fewer}, "b", 30.0)).accepted)
-        more = {**fewer, "n3": f"127.0.0.1:{self.ports['n3']}"}
+        more = {**fewer, "n3": f"{HOST}:{self.ports['n3']}"}
         await self.until(lambda: remaining.status()["voters"] == fewer)
         for _ in range(50):  # the change before may not be committed yet
             response = await remaining.propose("voters", {"voters": more}, "c", 30.0)
@@ -163,7 +161,7 @@
             encode_frame(Hello(PROTOCOL_VERSION, "x", 1, "")) * 2,
             b"\xff" * 100,
         ):
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["n0"])
+            reader, writer = await asyncio.open_connection(HOST, self.ports["n0"])
             writer.write(invalid)
             async with asyncio.timeout(5):
                 while await reader.read(1000):
