--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -7,9 +7,9 @@
 from crankfold.cluster.framing import PROTOCOL_VERSION, Hello, encode_frame
 from crankfold.cluster.transport import Transport
 from crankfold.consensus.messages import Message, Rejection
+from crankfold.fault_injection.http_client import HOST, find_free_port
 from crankfold.network.metrics import Metrics
 
-HOST = "127.0.0.1"
 # Iterations of the event loop between a connection and the close: from one that waits in the accept queue to
 # one whose hello is awaited.
 ITERATIONS = range(8)
@@ -46,8 +46,7 @@
 
 class ClosedTransportTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        with socket.create_server((HOST, 0)) as free:
-            self.port = free.getsockname()[1]
+        self.port = find_free_port()
         self.handler = RecordingHandler()
 
     async def open_transport(self, handler: RecordingHandler | None = None) -> Transport:
