--- a/crankfold/fault_injection/fault_proxy.py
+++ b/crankfold/fault_injection/fault_proxy.py
@@ -1,7 +1,7 @@
 """Proxies between processes: one for each pair of a member and a voter.
 
-A proxy reads only the length of each message, so that it loses, delays, duplicates and reorders whole
-messages.
+A proxy reads only the length of each message, so that it loses, delays, duplicates and reorders
+complete messages.
 """
 
 import asyncio
--- a/crankfold/simulation/consensus/case.py
+++ b/crankfold/simulation/consensus/case.py
@@ -16,6 +16,8 @@
 MAX_ATTEMPTS = 3
 TOTAL_QUOTA = 30  # requests in flight at all members together
 DEFAULT_SECONDS = 12.0
+DEFAULT_VOTERS = 3
+DEFAULT_FOLLOWERS = 2
 CALM_SECONDS = 2  # without faults, at the end of a random case
 UNLIMITED_SECONDS = 1e9
 MIN_FAULTS = 2
@@ -75,8 +77,8 @@
 class ClusterCase:
     """The size, the load and the faults of a cluster."""
 
-    voter_count: int = 3
-    follower_count: int = 2
+    voter_count: int = DEFAULT_VOTERS
+    follower_count: int = DEFAULT_FOLLOWERS
     seconds: float = DEFAULT_SECONDS
     seed: int = 1
     publish_every: float = 0.7  # seconds, on average
@@ -109,8 +111,8 @@
 
 def random_scenario(
     seed: int,
-    voter_count: int = 3,
-    follower_count: int = 2,
+    voter_count: int = DEFAULT_VOTERS,
+    follower_count: int = DEFAULT_FOLLOWERS,
     *,
     seconds: float = DEFAULT_SECONDS,
     allocates_quotas: bool = False,
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -114,7 +114,7 @@
         return self.invariants.longest_contradiction
 
     def run(self) -> Self:
-        """Runs the whole case."""
+        """Runs the case to its end."""
         case = self.cluster_case
         for process in self.processes.values():
             self.events.schedule(self.rng.randrange(MAX_START_DELAY_TICKS), process.start)
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -5,7 +5,7 @@
 """
 
 import pickle
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import NamedTuple
@@ -235,6 +235,47 @@
     violation: str
 
 
+class ReachedState(NamedTuple):
+    """A state, and the moves that led to it."""
+
+    state: ModelState
+    path: tuple[Move, ...]
+
+
+class _Search:
+    """A breadth-first search that ends at the first violation or at `max_states`."""
+
+    def __init__(self, node_factory: NodeFactory, max_states: int) -> None:
+        self.fingerprints: set[bytes] = set()  # of the states reached
+        self.violation = ""
+        self.is_over = False
+        self._node_factory = node_factory
+        self._max_states = max_states
+
+    def next_level(self, level: Sequence[ReachedState]) -> list[ReachedState]:
+        """Returns the new states one move after those of `level`, up to the end of the search."""
+        reached: list[ReachedState] = []
+        for state, path in level:
+            for successor in _successors(state, self._node_factory):
+                moves = (*path, successor.move)
+                if successor.violation:
+                    names = ", ".join(str(move) for move in moves)
+                    self.violation = f"{successor.violation}; after {names}"
+                    self.is_over = True
+                elif self._is_new(successor.state):
+                    reached.append(ReachedState(successor.state, moves))
+                if self.is_over:
+                    return reached
+        return reached
+
+    def _is_new(self, state: ModelState) -> bool:
+        """Records a state; returns whether it was not reached before."""
+        count = len(self.fingerprints)
+        self.fingerprints.add(state.fingerprint())
+        self.is_over = len(self.fingerprints) >= self._max_states
+        return len(self.fingerprints) > count
+
+
 def _successors(state: ModelState, node_factory: NodeFactory) -> Iterator[Successor]:
     pickled = pickle.dumps(state)
     for move in state.possible_moves():
@@ -257,21 +298,10 @@
         max_states: States after which the exploration ends.
         node_factory: Makes a voter; tests use voters with a fault.
     """
-    level: list[tuple[ModelState, tuple[Move, ...]]] = [(initial_state(node_factory, move_limits), ())]
-    met: set[bytes] = set()
+    search = _Search(node_factory, max_states)
+    level = [ReachedState(initial_state(node_factory, move_limits), ())]
     for _ in range(depth):
-        next_level = []
-        for state, path in level:
-            for successor in _successors(state, node_factory):
-                moves = (*path, successor.move)
-                if successor.violation:
-                    names = ", ".join(str(move) for move in moves)
-                    return Exploration(len(met), f"{successor.violation}; after {names}")
-                fingerprint = successor.state.fingerprint()
-                if fingerprint not in met:
-                    met.add(fingerprint)
-                    next_level.append((successor.state, moves))
-                if len(met) >= max_states:
-                    return Exploration(len(met), "")
-        level = next_level
-    return Exploration(len(met), "")
+        level = search.next_level(level)
+        if search.is_over:
+            break
+    return Exploration(len(search.fingerprints), search.violation)
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -66,12 +66,15 @@
         self.request_count = 0
         self.machines_left: list[int] = []  # machines not done at the end, for each job
         self._last_checked_index = 0  # log index of the last checked transition
-        self._checker = MaintenanceChecker(
-            self.events, self.machines, self.dispatchers, self.jobs, self._report_violation
-        )
+        self._checker = self._make_checker()
         self._operators = Operators(self, self._checker)
         self._commands = Commands(self, self._checker)
 
+    def _make_checker(self) -> MaintenanceChecker:
+        return MaintenanceChecker(
+            self.events, self.machines, self.dispatchers, self.jobs, self._report_violation
+        )
+
     def _make_dispatchers(
         self, make_coordinator: Callable[[str], Coordinator], warm_up_ticks: int
     ) -> dict[str, SimulatedDispatcher]:
@@ -91,7 +94,7 @@
         return self.dispatchers[process.name]
 
     def run(self) -> "MaintenanceFleet":
-        """Runs the whole case."""
+        """Runs the case to its end."""
         for loss in self.maintenance_case.losses:
             machine = self.machines[loss.machine_id]
             self.events.schedule(loss.begin, _set_running(self, machine, False))
--- a/crankfold/simulation/traffic/backend.py
+++ b/crankfold/simulation/traffic/backend.py
@@ -57,7 +57,7 @@
         self.slowdown = 1.0  # factor on service times
         self.error_rate = 0.0  # share of the requests
         self.generation = 0  # raised by each restart; attempts of earlier generations never complete
-        self.hangs = False
+        self.unresponsive = False
         self.dead = False
         self.reports_frozen = False
 
@@ -79,7 +79,7 @@
 
     def answers_probes(self) -> bool:
         """Whether the backend answers health probes."""
-        return not self.dead and not self.hangs and self.state != EndpointState.REMOVED
+        return not self.dead and not self.unresponsive and self.state != EndpointState.REMOVED
 
     def receive(self, attempt: SimulatedAttempt) -> None:
         """Queues an attempt, or answers it at once according to the state and the faults."""
@@ -87,7 +87,7 @@
         self._check_slow_start(attempt)
         if self.state == EndpointState.REMOVED or self.dead:
             attempt.owner.backend_answered(attempt, self.index, Outcome.UNREACHABLE, ())
-        elif self.hangs:
+        elif self.unresponsive:
             pass
         elif self.error_rate and self.rng.random() < self.error_rate:
             answer = partial(attempt.owner.backend_answered, attempt, self.index, Outcome.ERROR, self.report)
--- a/crankfold/simulation/traffic/fault_script.py
+++ b/crankfold/simulation/traffic/fault_script.py
@@ -15,7 +15,7 @@
 
 DRAIN_TICKS = TICKS_PER_SECOND  # of a backend in a rolling release
 RESTART_TICKS = TICKS_PER_SECOND // 2  # from the removal of a released backend to its return
-DEPARTURE_UNITS_PER_SECOND = 10  # the factor of CLIENTS_LEAVE counts tenths of a second
+TENTHS_PER_SECOND = 10  # the unit of the factor of CLIENTS_LEAVE is a tenth of a second
 DISPATCHER_FAULTS = frozenset(
     {FaultKind.DISPATCHERS_KILLED, FaultKind.DISPATCHERS_STALLED, FaultKind.SILENT_WATCH}
 )
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class FleetConditions:
-    """Conditions of the whole fleet that faults change. Times are ticks."""
+    """Conditions of the fleet that faults change. Times are ticks."""
 
     arrival_rate: float  # requests a second at each dispatcher
     discovery_resumes_at: int = 0
@@ -128,7 +128,7 @@
             conditions.silence_duration = int(fault.factor * TICKS_PER_SECOND)
         elif fault.kind is FaultKind.CLIENTS_LEAVE:
             conditions.departure_rate = fault.share if is_on else 0.0
-            conditions.departure_delay = int(fault.factor * TICKS_PER_SECOND / DEPARTURE_UNITS_PER_SECOND)
+            conditions.departure_delay = int(fault.factor * TICKS_PER_SECOND / TENTHS_PER_SECOND)
         else:
             conditions.discovery_resumes_at = end if is_on else 0
 
@@ -139,7 +139,7 @@
     elif fault.kind is FaultKind.ERRORS:
         backend.error_rate = min(fault.factor, 1.0) if is_on else 0.0
     elif fault.kind is FaultKind.HANG:
-        backend.hangs = is_on
+        backend.unresponsive = is_on
     elif fault.kind is FaultKind.STALE_REPORTS:
         backend.reports_frozen = is_on
     else:
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -273,13 +273,11 @@
         record = self.requests[dispatcher, request_id]
         arrivals = self._recent_arrivals(now, backend, service_time)
         allowed_work = self.config.overload_factor * capacity * self.config.overload_period
-        if sum(arrival.service_time for arrival in arrivals) > allowed_work:
-            text = f"pushed the cold runner {backend} over"
-            self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
-        allowed_count = allowed_work / mean_service_time
-        chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
-        if len(arrivals) > allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
-            text = f"is call {len(arrivals)} at the cold runner {backend}, of {allowed_count:.1f}"
+        violations = (
+            _excess_work(arrivals, backend, allowed_work),
+            _excess_requests(arrivals, backend, allowed_work / mean_service_time),
+        )
+        for text in filter(None, violations):
             self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
 
     def _recent_arrivals(self, now: int, backend: int, service_time: int) -> Sequence[WarmingArrival]:
@@ -295,3 +293,18 @@
         for record in self.requests.values():
             if record.answer is None and now > record.deadline:
                 self._report_violation(now, Rule.ANSWERS, "has no answer", record)
+
+
+def _excess_work(arrivals: Sequence[WarmingArrival], backend: int, allowed_work: float) -> str:
+    """Returns the violation if the arrivals are more work than `allowed_work` ticks, or ""."""
+    if sum(arrival.service_time for arrival in arrivals) <= allowed_work:
+        return ""
+    return f"pushed the cold runner {backend} over"
+
+
+def _excess_requests(arrivals: Sequence[WarmingArrival], backend: int, allowed_count: float) -> str:
+    """Returns the violation if the number of arrivals is above `allowed_count` and chance, or ""."""
+    chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
+    if len(arrivals) <= allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
+        return ""
+    return f"is call {len(arrivals)} at the cold runner {backend}, of {allowed_count:.1f}"
--- a/crankfold/simulator_adapter/host.py
+++ b/crankfold/simulator_adapter/host.py
@@ -35,18 +35,22 @@
             elif code == EventCode.ENDPOINT_LIST:
                 list_index, entries = reader.endpoint_list()
                 self.endpoint_lists[list_index] = entries
-            elif code == EventCode.START:
-                seed, settings = reader.start()
-                self.instances[index] = RouterInstance(seed, settings, self.endpoint_lists)
-                active[index] = self.instances[index]
             elif code == EventCode.STOP:
                 self.instances.pop(index, None)
                 active.pop(index, None)
             else:
-                self.instances[index].handle_event(code, reader)
-                active[index] = self.instances[index]
+                active[index] = self._start_or_notify(index, code, reader)
         return self._reply(active)
 
+    def _start_or_notify(self, index: int, code: int, reader: FrameReader) -> RouterInstance:
+        """Starts the instance, or passes it an event, as the record says; returns the instance."""
+        if code == EventCode.START:
+            seed, settings = reader.start()
+            self.instances[index] = RouterInstance(seed, settings, self.endpoint_lists)
+        else:
+            self.instances[index].handle_event(code, reader)
+        return self.instances[index]
+
     def _reply(self, active: dict[int, RouterInstance]) -> bytes:
         parts = []
         for index, instance in active.items():
