--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -22,54 +22,61 @@
 from tests.scene import TraceTestCase
 
 
-class Family(TraceTestCase):
-    """Several successions in one trace, joined by the lines they say."""
+class ProcessChain(TraceTestCase):
+    """State machines of several processes, connected by the lines that they send, in one trace."""
 
     def setUp(self) -> None:
         super().setUp()
         self.now = 0.0
-        self.members: dict[str, Member] = {}
-        self.joined: dict[tuple[str, int], tuple[str, int]] = {}
-        self.post: list[tuple[str, int, bytes]] = []
-
-    def member(self, name: str, *held: str) -> "Member":
-        self.members[name] = Member(self, name, held)
-        return self.members[name]
-
-    def join(self, new: str, old: str) -> None:
-        """The passage is up between the two."""
-        ends = [(name, 1 + sum(kin[0] == name for kin in self.joined)) for name in (new, old)]
-        self.joined[ends[0]], self.joined[ends[1]] = ends[1], ends[0]
-        self.members[new].succession.predecessor_connected(ends[0][1])
-        self.members[old].succession.successor_connected(ends[1][1])
+        self.processes: dict[str, Process] = {}
+        self.connections: dict[tuple[str, int], tuple[str, int]] = {}
+        self.outbox: list[tuple[str, int, bytes]] = []
+
+    def add_process(self, name: str, *request_ids: str) -> "Process":
+        self.processes[name] = Process(self, name, request_ids)
+        return self.processes[name]
+
+    def connect(self, new: str, old: str) -> None:
+        """Opens the handover channel between two processes."""
+        new_end = (new, self._next_connection(new))
+        old_end = (old, self._next_connection(old))
+        self.connections[new_end] = old_end
+        self.connections[old_end] = new_end
+        self.processes[new].machine.predecessor_connected(new_end[1])
+        self.processes[old].machine.successor_connected(old_end[1])
         self.deliver()
 
-    def part(self, name: str, kin: int) -> None:
-        other = self.joined.pop((name, kin), None)
+    def _next_connection(self, name: str) -> int:
+        return 1 + sum(end[0] == name for end in self.connections)
+
+    def disconnect(self, name: str, connection: int) -> None:
+        other = self.connections.pop((name, connection), None)
         if other:
-            self.joined.pop(other, None)
-            self.members[other[0]].succession.disconnected(self.now, other[1])
+            self.connections.pop(other, None)
+            self.processes[other[0]].machine.disconnected(self.now, other[1])
 
-    def dies(self, name: str) -> None:
+    def kill(self, name: str) -> None:
         self.say(f"{name} dies")
-        for end in [end for end in self.joined if end[0] == name]:
-            self.part(*end)
+        for end in [end for end in self.connections if end[0] == name]:
+            self.disconnect(*end)
         self.deliver()
 
     def deliver(self) -> None:
-        while self.post:
-            name, kin, told = self.post.pop(0)
-            if (name, kin) in self.joined:
-                to, as_kin = self.joined[name, kin]
-                self.say(f"  {name} to {to}: {json.dumps(shown(told))}")
-                self.members[to].succession.message_received(self.now, as_kin, decode_message(told))
-
-    def takes_over(self, name: str) -> None:
-        if not self.members[name].succession.request_takeover():
+        while self.outbox:
+            name, connection, line = self.outbox.pop(0)
+            if (name, connection) in self.connections:
+                receiver, other_connection = self.connections[name, connection]
+                self.say(f"  {name} to {receiver}: {json.dumps(comparable_fields(line))}")
+                self.processes[receiver].machine.message_received(
+                    self.now, other_connection, decode_message(line)
+                )
+
+    def take_over(self, name: str) -> None:
+        if not self.processes[name].machine.request_takeover():
             self.say(f"  {name}: nobody to ask")
         self.deliver()
 
-    def asks(self, name: str, what: str, about: str) -> None:
+    def send_query(self, name: str, what: str, about: str) -> None:
         query = CallbackQuery(0, about) if what == "event" else ManualDrainQuery(0, about, what == "out")
         fields = json.loads(encode_message(query))
         del fields["ask"]  # its number comes when it is sent
@@ -78,7 +85,7 @@
         self.deliver()
 
     def query(self, name: str, query: CallbackQuery | ManualDrainQuery) -> None:
-        machine = self.members[name].succession
+        machine = self.processes[name].machine
 
         def answered(positive: bool | None) -> None:
             self.say(f"  {name} hears {positive}")
@@ -89,7 +96,7 @@
             machine.query_manual_drain(self.now, query.backend_id, query.drained, answered)
 
 
-def shown(line: bytes) -> Any:
+def comparable_fields(line: bytes) -> Any:
     """A message less what these processes, which have no sockets and no backends, can't fill."""
     fields = json.loads(line)
     for key in fields.keys() & {"yours", "holds"}:
@@ -98,131 +105,131 @@
     return {"welcome": {}} if "welcome" in fields else fields
 
 
-class Member:
-    def __init__(self, family: Family, name: str, held: tuple[str, ...]) -> None:
-        self.family, self.name, self.held = family, name, held
-        self.succession = HandoverStateMachine(self)
+class Process:
+    def __init__(self, chain: ProcessChain, name: str, request_ids: tuple[str, ...]) -> None:
+        self.chain, self.name, self.request_ids = chain, name, request_ids
+        self.machine = HandoverStateMachine(self)
 
-    def does(self, what: str) -> None:
-        self.family.say(f"  {self.name} {what} ({self.succession.role.value})")
+    def record(self, what: str) -> None:
+        self.chain.say(f"  {self.name} {what} ({self.machine.role.value})")
 
-    def send(self, kin: int, told: HandoverMessage) -> None:
-        self.family.post.append((self.name, kin, encode_message(told)))
+    def send(self, connection: int, message: HandoverMessage) -> None:
+        self.chain.outbox.append((self.name, connection, encode_message(message)))
 
-    def disconnect(self, kin: int) -> None:
-        self.family.deliver()
-        self.family.part(self.name, kin)
+    def disconnect(self, connection: int) -> None:
+        self.chain.deliver()
+        self.chain.disconnect(self.name, connection)
 
     def describe_state(self) -> ProcessState:
         return ProcessState(1, self.name, "steady", [], ManualDrainState({}, {}), [], None, {})
 
     def describe_usage(self) -> ProcessUsage:
-        return ProcessUsage(list(self.held), 0, 0)
+        return ProcessUsage(list(self.request_ids), 0, 0)
 
     def stop_accepting(self) -> None:
-        self.does("gives way")
+        self.record("gives way")
 
     def resume_accepting(self) -> None:
-        self.does("takes it up again")
+        self.record("takes it up again")
 
     def takeover_completed(self) -> None:
-        self.does("has taken over")
+        self.record("has taken over")
 
     def takeover_refused(self) -> None:
-        self.does("looks again for who serves")
+        self.record("looks again for who serves")
 
     def handle_callback(self, callback: str) -> bool:
-        return callback in self.held
+        return callback in self.request_ids
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
-        self.does(f"binds {backend_id} {'out' if drained else 'in'}")
+        self.record(f"binds {backend_id} {'out' if drained else 'in'}")
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
-        self.does(f"knows held elsewhere { {'ids': usage.request_ids} }")
-
-
-class Decided(Family):
-    def test_one_after_the_other(self) -> None:
-        a = self.member("a", "u1")
-        self.member("b", "u2")
-        self.join("b", "a")
-        self.takes_over("b")
-        self.asks("b", "event", "u1")
-        self.asks("b", "event", "nobody's")
-        self.asks("a", "event", "u2")
-        self.asks("a", "out", "r")
-        a.held = ()
-        a.succession.report_usage()
+        self.record(f"knows held elsewhere { {'ids': usage.request_ids} }")
+
+
+class HandoverStateMachineTest(ProcessChain):
+    def test_queries_and_callbacks_reach_the_processes_of_a_chain(self) -> None:
+        a = self.add_process("a", "u1")
+        self.add_process("b", "u2")
+        self.connect("b", "a")
+        self.take_over("b")
+        self.send_query("b", "event", "u1")
+        self.send_query("b", "event", "nobody's")
+        self.send_query("a", "event", "u2")
+        self.send_query("a", "out", "r")
+        a.request_ids = ()
+        a.machine.report_usage()
         self.deliver()
-        self.member("c")
-        self.join("c", "b")
-        self.takes_over("c")
+        self.add_process("c")
+        self.connect("c", "b")
+        self.take_over("c")
         self.say("a call-back for the first reaches the third")
-        a.held = ("u3",)
-        self.asks("c", "event", "u3")
-        self.asks("c", "back", "r")
-        self.dies("a")
-        self.asks("c", "event", "u3")
+        a.request_ids = ("u3",)
+        self.send_query("c", "event", "u3")
+        self.send_query("c", "back", "r")
+        self.kill("a")
+        self.send_query("c", "event", "u3")
         self.close("succession-chain")
 
-    def test_the_new_one_dies(self) -> None:
-        a = self.member("a")
-        self.member("b")
-        self.join("b", "a")
+    def test_a_predecessor_serves_on_when_its_successor_dies(self) -> None:
+        a = self.add_process("a")
+        self.add_process("b")
+        self.connect("b", "a")
         self.say("before it has taken over")
-        self.dies("b")
-        self.member("b")
-        self.join("b", "a")
-        self.takes_over("b")
+        self.kill("b")
+        self.add_process("b")
+        self.connect("b", "a")
+        self.take_over("b")
         self.say("after that, and nobody told the old one to end")
-        self.dies("b")
-        self.member("b")
-        self.join("b", "a")
-        self.takes_over("b")
+        self.kill("b")
+        self.add_process("b")
+        self.connect("b", "a")
+        self.take_over("b")
         self.say("after that, and the old one was told to end")
-        a.succession.start_shutdown()
-        self.dies("b")
-        self.say(f"  a: {a.succession.role.value}")
+        a.machine.start_shutdown()
+        self.kill("b")
+        self.say(f"  a: {a.machine.role.value}")
         self.close("succession-new-dies")
 
     def test_the_old_one_dies_or_hangs(self) -> None:
-        self.member("a", "u1")
-        b = self.member("b")
-        self.join("b", "a")
+        self.add_process("a", "u1")
+        b = self.add_process("b")
+        self.connect("b", "a")
         self.say("before it has given way")
-        self.dies("a")
-        self.say(f"  b: {b.succession.role.value}")
-        self.member("a", "u1")
-        b = self.member("b")
-        self.join("b", "a")
-        self.takes_over("b")
+        self.kill("a")
+        self.say(f"  b: {b.machine.role.value}")
+        self.add_process("a", "u1")
+        b = self.add_process("b")
+        self.connect("b", "a")
+        self.take_over("b")
         self.say("with a question open")
         self.query("b", CallbackQuery(0, "u1"))
-        self.post.clear()
-        self.dies("a")
+        self.outbox.clear()
+        self.kill("a")
         self.say("it hangs")
-        self.member("a", "u1")
-        b = self.member("b")
-        self.join("b", "a")
-        self.takes_over("b")
+        self.add_process("a", "u1")
+        b = self.add_process("b")
+        self.connect("b", "a")
+        self.take_over("b")
         self.query("b", CallbackQuery(0, "u1"))
-        self.post.clear()
+        self.outbox.clear()
         for self.now in (0.4, 0.6):
             self.say(f"  {self.now}")
-            b.succession.expire_queries(self.now)
+            b.machine.expire_queries(self.now)
         self.close("succession-old-dies")
 
-    def test_a_second_replacement_while_the_first_is_under_way(self) -> None:
-        self.member("a", "u1")
-        self.member("b")
-        self.member("c")
-        self.join("b", "a")
-        self.join("c", "a")
-        self.takes_over("b")
+    def test_a_late_successor_is_refused_and_connects_to_the_process_that_serves(self) -> None:
+        self.add_process("a", "u1")
+        self.add_process("b")
+        self.add_process("c")
+        self.connect("b", "a")
+        self.connect("c", "a")
+        self.take_over("b")
         self.say("the third is late: it has to ask whoever serves now")
-        self.takes_over("c")
-        self.join("c", "b")
-        self.takes_over("c")
+        self.take_over("c")
+        self.connect("c", "b")
+        self.take_over("c")
         self.say("what is no message of ours changes nothing")
         for odd in (
             {},
@@ -232,16 +239,16 @@
             {"holds": None},
             {"ask": 2},
         ):
-            self.post.append(("c", 1, json.dumps(odd).encode()))
+            self.outbox.append(("c", 1, json.dumps(odd).encode()))
         self.deliver()
         self.close("succession-third")
 
-    def test_lines_at_every_cut_and_garbage(self) -> None:
+    def test_lines_are_decoded_wherever_cut_and_garbage_is_rejected(self) -> None:
         data = b'{"take":true}\n{"yours":{"ids":["u1"]}}\n'
         for cut in range(len(data)):
-            side = HandoverDecoder()
+            decoder = HandoverDecoder()
             self.assertEqual(
-                side.receive_data(data[:cut]) + side.receive_data(data[cut:]),
+                decoder.receive_data(data[:cut]) + decoder.receive_data(data[cut:]),
                 [TakeoverRequest(), TakeoverGrant(ProcessUsage(["u1"], 0, 0))],
             )
         for garbage in (b"hello?\n", b"[1]\n", b"x" * (MAX_LINE_SIZE + 1)):
--- a/tests/simulation/traffic/test_fleet.py
+++ b/tests/simulation/traffic/test_fleet.py
@@ -1,4 +1,4 @@
-"""The emulator: its histories repeat, its waits are those of queueing theory, and its rule checks catch."""
+"""The simulated fleet: runs repeat, waits follow queueing theory, and the checks find broken invariants."""
 
 from dataclasses import replace
 from math import factorial
@@ -8,88 +8,101 @@
     EndpointState,
     Idempotency,
     RequestArrival,
-    RoutingConfig,
 )
 from crankfold.routing.router import Router
+from crankfold.simulation.traffic.dispatcher import SimulatedDispatcher
 from crankfold.simulation.traffic.faults import Fault, FaultKind
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
-from crankfold.simulation.traffic.scenario import PolicyFactory, Scenario
+from crankfold.simulation.traffic.scenario import ClientRequest, PolicyFactory, Scenario
 from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, TraceTestCase
 
 
 class Anyone(Router):
-    """Random choice, for comparison; and a base for policies that break a rule."""
+    """A policy of random choice, and the base of policies that violate an invariant."""
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:  # noqa: ARG002 - as the base names it
-        self.on(arrival.request_id)
+        self.handle_request(arrival.request_id)
 
-    def on(self, unit: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         ready = self.state.table.ready
         choice = ready[self.state.random.below(len(ready))]
-        self.state.actions.send_attempt(unit, choice.index)
+        self.state.actions.send_attempt(request_id, choice.index)
 
-    def attempt_started(self, now: int, unit: int, nth: int, runner: int) -> None: ...
-    def attempt_ended(self, *told: object) -> None: ...
-    def probe_ended(self, *told: object) -> None: ...
-    def timer_fired(self, now: int, label: int) -> None: ...
+    def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None: ...
+    def attempt_ended(self, *event: object) -> None: ...
+    def probe_ended(self, *event: object) -> None: ...
+    def timer_fired(self, now: int, token: int) -> None: ...
 
 
 class Twice(Anyone):
-    def on(self, unit: int) -> None:
-        self.state.actions.shed(unit, 0)
-        self.state.actions.fail_request(unit)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.shed(request_id, 0)
+        self.state.actions.fail_request(request_id)
 
 
 class AfterAnswer(Anyone):
-    def on(self, unit: int) -> None:
-        self.state.actions.shed(unit, 0)
-        self.state.actions.send_attempt(unit, 0)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.shed(request_id, 0)
+        self.state.actions.send_attempt(request_id, 0)
 
 
 class Silent(Anyone):
-    def on(self, unit: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         pass
 
 
 class Again(Anyone):
-    def on(self, unit: int) -> None:
-        self.state.actions.send_attempt(unit, 0)
-        self.state.actions.send_attempt(unit, 1)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.send_attempt(request_id, 0)
+        self.state.actions.send_attempt(request_id, 1)
 
 
 class ShedThoughSent(Anyone):
-    def on(self, unit: int) -> None:
-        self.state.actions.send_attempt(unit, 0)
-        self.state.actions.shed(unit, 0)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.send_attempt(request_id, 0)
+        self.state.actions.shed(request_id, 0)
 
 
 class ToOne(Anyone):
-    def on(self, unit: int) -> None:
-        self.state.actions.send_attempt(unit, 0)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.send_attempt(request_id, 0)
 
 
 class ForNobody(Anyone):
-    """Holds a unit for a while and forgets to ask whether its client is still there."""
+    """Delays a request and sends it although its client may have disconnected."""
 
-    def on(self, unit: int) -> None:
-        self.state.actions.set_timer(2_500, unit + 1_000)
+    def handle_request(self, request_id: int) -> None:
+        self.state.actions.set_timer(2_500, request_id + 1_000)
 
-    def timer_fired(self, now: int, label: int) -> None:  # noqa: ARG002 - as the base names it
-        if label >= 1_000:
-            self.state.actions.send_attempt(label - 1_000, 0)
+    def timer_fired(self, now: int, token: int) -> None:  # noqa: ARG002 - as the base names it
+        if token >= 1_000:
+            self.state.actions.send_attempt(token - 1_000, 0)
 
 
-class Emulated(TraceTestCase):
-    def world(self, make: PolicyFactory, scenario: Scenario, **grade: object) -> SimulatedFleet:
-        orders: RoutingConfig = replace(ROUTING_CONFIG, request_classes=[replace(REQUEST_CLASS, **grade)])  # type: ignore[arg-type]
-        return SimulatedFleet(scenario, orders, make)
+def limit_service_time(dispatcher: SimulatedDispatcher, ticks: int) -> None:
+    """Limits the service time of all requests that the dispatcher receives."""
+    receive_request = dispatcher.receive_request
 
-    def test_one_seed_one_history(self) -> None:
+    def receive_short_request(request_id: int, request: ClientRequest) -> None:
+        receive_request(request_id, replace(request, service_time=min(request.service_time, ticks)))
+
+    dispatcher.receive_request = receive_short_request  # type: ignore[method-assign]
+
+
+class SimulatedFleetTest(TraceTestCase):
+    def make_fleet(
+        self, policy: PolicyFactory, scenario: Scenario, **class_settings: object
+    ) -> SimulatedFleet:
+        request_class = replace(REQUEST_CLASS, **class_settings)  # type: ignore[arg-type]
+        config = replace(ROUTING_CONFIG, request_classes=[request_class])
+        return SimulatedFleet(scenario, config, policy)
+
+    def test_the_same_seed_gives_the_same_history(self) -> None:
         def history(seed: int) -> list[str]:
-            world = self.world(Router, Scenario(seed=seed, seconds=3))
-            world.run()
-            return [line for record in world.invariants.requests.values() for line in record.history]
+            fleet = self.make_fleet(Router, Scenario(seed=seed, seconds=3))
+            fleet.run()
+            return [line for record in fleet.invariants.requests.values() for line in record.history]
 
         self.assertEqual(history(1), history(1))
         self.assertNotEqual(history(1), history(2))
@@ -103,84 +116,82 @@
             arrival_rate=14.0,
             seconds=4000,
         )
-        world = self.world(Anyone, scenario, deadline=10**9)
-        world.run()
-        waits = world.backends[0].queue_times
-        offered = 14.0 * 0.2
-        last = offered**4 / factorial(4) / (1 - offered / 4)
-        held = last / (sum(offered**k / factorial(k) for k in range(4)) + last)  # Erlang's C
-        mean = held * 2_000 / (4 - offered)
+        fleet = self.make_fleet(Anyone, scenario, deadline=10**9)
+        fleet.run()
+        waits = fleet.backends[0].queue_times
+        offered_load = 14.0 * 0.2
+        last = offered_load**4 / factorial(4) / (1 - offered_load / 4)
+        waiting_share = last / (sum(offered_load**k / factorial(k) for k in range(4)) + last)  # Erlang's C
+        mean = waiting_share * 2_000 / (4 - offered_load)
         share = sum(wait > 0 for wait in waits) / len(waits)
-        self.say(f"share that waits within 5% of theory: {abs(share / held - 1) < 0.05}")
+        self.say(f"share that waits within 5% of theory: {abs(share / waiting_share - 1) < 0.05}")
         self.say(f"mean wait within 10% of theory: {abs(sum(waits) / len(waits) / mean - 1) < 0.1}")
         self.close("emulator-waits")
 
     def test_the_real_policy_keeps_the_rules_through_a_drain_and_a_cold_return(self) -> None:
-        world = self.world(Router, Scenario(dispatcher_count=8, backend_count=12, seconds=8))
-        for runner in range(5):
-            world.change_state(30_000, runner, EndpointState.DRAINING)
-            world.change_state(45_000, runner, EndpointState.REMOVED)
-            world.change_state(60_000, runner, EndpointState.READY, since=60_000)
-        world.run()
-        self.assertEqual(world.invariants.violations, [])
-        answers = [record.answer for record in world.invariants.requests.values()]
-        done = answers.count(Answer.COMPLETED) / len(answers)
-        self.say(f"all answered: {all(answers)}; over 95 of a hundred done: {done > 0.95}")
+        fleet = self.make_fleet(Router, Scenario(dispatcher_count=8, backend_count=12, seconds=8))
+        for backend in range(5):
+            fleet.change_state(30_000, backend, EndpointState.DRAINING)
+            fleet.change_state(45_000, backend, EndpointState.REMOVED)
+            fleet.change_state(60_000, backend, EndpointState.READY, since=60_000)
+        fleet.run()
+        self.assertEqual(fleet.invariants.violations, [])
+        answers = [record.answer for record in fleet.invariants.requests.values()]
+        completed = answers.count(Answer.COMPLETED) / len(answers)
+        self.say(f"all answered: {all(answers)}; over 95 of a hundred done: {completed > 0.95}")
         self.close("emulator-rules")
 
     def test_each_broken_rule_is_caught(self) -> None:
         small = Scenario(dispatcher_count=1, backend_count=2, seconds=4, arrival_rate=5.0)
-        for make in (Twice, AfterAnswer, Silent, Again, ShedThoughSent):
-            world = self.world(
-                make,
+        for policy in (Twice, AfterAnswer, Silent, Again, ShedThoughSent):
+            fleet = self.make_fleet(
+                policy,
                 small,
                 idempotency=Idempotency.NON_IDEMPOTENT,
                 deduplication_scope=DeduplicationScope.CELL,
                 deadline=500 * MS,
             )
-            world.run()
-            self.say(f"{make.__name__}: {self.first(world)}")
-        world = self.world(ToOne, small)
-        world.change_state(12_000, 0, EndpointState.DRAINING)
-        world.run()
-        self.say(f"ToOne, drained: {self.first(world)}")
-        world = self.world(ToOne, replace(small, arrival_rate=80.0))
-        world.change_state(10_001, 0, EndpointState.READY, since=10_001)
-        world.run()
-        self.say(f"ToOne, cold: {self.first(world)}")
+            fleet.run()
+            self.say(f"{policy.__name__}: {self.first_violation(fleet)}")
+        fleet = self.make_fleet(ToOne, small)
+        fleet.change_state(12_000, 0, EndpointState.DRAINING)
+        fleet.run()
+        self.say(f"ToOne, drained: {self.first_violation(fleet)}")
+        fleet = self.make_fleet(ToOne, replace(small, arrival_rate=80.0))
+        fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
+        fleet.run()
+        self.say(f"ToOne, cold: {self.first_violation(fleet)}")
         self.close("emulator-caught")
 
-    def test_what_the_stricter_terms_forbid_is_caught(self) -> None:
-        """A client that went, calls at a cold runner from all dispatchers together, a list not asked for."""
+    def test_violations_of_the_stricter_terms_are_caught(self) -> None:
+        """Covers disconnected clients, a backend in slow start that all dispatchers use, and late lists."""
         leave = Fault(FaultKind.CLIENTS_LEAVE, 0.0, 2.0, share=1.0, factor=0.5)
-        alone = Scenario(dispatcher_count=1, backend_count=2, seconds=3, arrival_rate=5.0, faults=(leave,))
-        world = self.world(ForNobody, alone)
-        world.run()
-        self.say(f"ForNobody: {self.first(world)}")
+        small = Scenario(dispatcher_count=1, backend_count=2, seconds=3, arrival_rate=5.0, faults=(leave,))
+        fleet = self.make_fleet(ForNobody, small)
+        fleet.run()
+        self.say(f"ForNobody: {self.first_violation(fleet)}")
         # Each of the thirty sends little; all together they send more calls than are allowed, of little work.
-        orders = replace(
+        config = replace(
             ROUTING_CONFIG, request_classes=[REQUEST_CLASS], overload_factor=3.0, overload_period=10_000
         )
-        world = SimulatedFleet(
-            Scenario(dispatcher_count=30, backend_count=2, seconds=2, arrival_rate=2.0), orders, ToOne
+        fleet = SimulatedFleet(
+            Scenario(dispatcher_count=30, backend_count=2, seconds=2, arrival_rate=2.0), config, ToOne
         )
-        for post in world.dispatchers:
-            take = post.receive_request
-            post.receive_request = lambda unit, request, take=take: take(  # type: ignore[method-assign, misc]
-                unit, replace(request, service_time=min(request.service_time, 50))
-            )
-        world.change_state(10_001, 0, EndpointState.READY, since=10_001)
-        world.run()
-        self.say(f"ToOne, thirty, small units: {self.first(world)}")
-        for late in (10.0, 3.0):  # as long as a watch once took to be given up; as long as one takes at most
-            silent = Fault(FaultKind.SILENT_WATCH, 0.0, 9.0, share=1.0, factor=late)
-            world = self.world(
+        for dispatcher in fleet.dispatchers:
+            limit_service_time(dispatcher, 50)
+        fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
+        fleet.run()
+        self.say(f"ToOne, thirty, small units: {self.first_violation(fleet)}")
+        # Too long; and as long as a dispatcher takes at most to replace a silent watch.
+        for silence_seconds in (10.0, 3.0):
+            silent = Fault(FaultKind.SILENT_WATCH, 0.0, 9.0, share=1.0, factor=silence_seconds)
+            fleet = self.make_fleet(
                 Router, Scenario(dispatcher_count=3, backend_count=4, seconds=14, faults=(silent,))
             )
-            world.change_state(20_000, 0, EndpointState.DRAINING)
-            world.run()
-            self.say(f"watches silent for {late:.0f} s: {self.first(world)}")
+            fleet.change_state(20_000, 0, EndpointState.DRAINING)
+            fleet.run()
+            self.say(f"watches silent for {silence_seconds:.0f} s: {self.first_violation(fleet)}")
         self.close("emulator-stricter")
 
-    def first(self, world: SimulatedFleet) -> str:
-        return world.invariants.violations[0] if world.invariants.violations else "nothing"
+    def first_violation(self, fleet: SimulatedFleet) -> str:
+        return fleet.invariants.violations[0] if fleet.invariants.violations else "nothing"
