--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -104,7 +104,7 @@
         self.run_command("fleet")
         self.close("commands")
 
-    def test_works(self) -> None:
+    def test_every_maintenance_command_prints_and_exits_as_before(self) -> None:
         self.use_every_maintenance_command("works")
         self.close("commands-works")
 
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -14,7 +14,7 @@
 )
 
 
-class VotersFolders(TraceTestCase):
+class StoredFoldersTest(TraceTestCase):
     def opened(self, name: str) -> tuple[RaftStorage, Path]:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
         shutil.copytree(DATA / "voters" / name, folder)
@@ -22,7 +22,7 @@
         self.addCleanup(store.close)
         return store, folder
 
-    def test_one_that_grew(self) -> None:
+    def test_a_stored_folder_is_loaded_with_its_entries(self) -> None:
         store, folder = self.opened("grown")
         stored = store.persistent_state
         self.assertEqual((store.folder_id, store.startup_notice), ("0123456789abcdef", ""))
@@ -38,7 +38,7 @@
         )
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/grown/history").read_bytes())
 
-    def test_one_that_was_compacted(self) -> None:
+    def test_a_compacted_folder_is_loaded_with_its_snapshot_and_later_entries(self) -> None:
         store, folder = self.opened("compacted")
         stored = store.persistent_state
         self.assertEqual((stored.term, stored.vote, stored.founding_member), (3, "n0", True))
@@ -52,7 +52,7 @@
         )
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/compacted/history").read_bytes())
 
-    def test_the_same_is_written_again(self) -> None:
+    def test_the_same_batches_are_written_byte_by_byte_as_before(self) -> None:
         for name, batches in (("grown", GROWN), ("compacted", COMPACTED)):
             folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
             folder.mkdir()
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -24,7 +24,7 @@
 }
 
 
-class Forms(TraceTestCase):
+class SchemaTest(TraceTestCase):
     def tried(self, what: str, *path: Any, value: Any = None, lacks: bool = False) -> None:
         given = copy.deepcopy(FILE)
         at: Any = given
@@ -41,7 +41,7 @@
         else:
             self.say(f"{what}: taken")
 
-    def test_what_a_file_must_look_like(self) -> None:
+    def test_an_invalid_file_is_rejected_with_the_path_of_the_field(self) -> None:
         request_classes = ("settings", "service-grades")
         self.tried("the same")
         for name in ("listen", "discovery", "settings", "limits", "seed", "known"):
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -54,7 +54,7 @@
         self.assertIsNone(self.leases.record_heartbeat(LATER, heartbeat(10, 5), REQUEST_DURATION))
         self.assertEqual(self.leases.holders["f"].last_applied, 6)
 
-    def test_the_state_of_a_holder(self) -> None:
+    def test_a_holder_is_suspected_when_silent_and_expired_after_its_lease(self) -> None:
         self.holder(last_applied=5)
         holder = self.leases.holders["f"]
         self.leases.grant(LATER, holder, 10_000)
@@ -117,7 +117,7 @@
 
 
 class IncarnationTrackerTest(unittest.TestCase):
-    def test_a_name_is_spoken_for_by_its_newest_incarnation(self) -> None:
+    def test_messages_of_an_earlier_incarnation_are_not_accepted(self) -> None:
         tracker = IncarnationTracker()
         self.assertEqual(
             [tracker.accept("n", incarnation) for incarnation in (1, 1, 2, 1, 2)],
--- a/tests/consensus/test_message_forms.py
+++ b/tests/consensus/test_message_forms.py
@@ -31,8 +31,8 @@
 }
 
 
-class BetweenPeers(TraceTestCase):
-    def test_each_message_is_read_and_framed_as_it_was(self) -> None:
+class MessageFormsTest(TraceTestCase):
+    def test_each_message_is_decoded_and_encoded_as_before(self) -> None:
         files = {path.stem: path.read_bytes() for path in (DATA / "messages").iterdir()}
         self.assertEqual(files.keys(), MESSAGES.keys())
         for name, data in files.items():
@@ -40,7 +40,7 @@
                 self.assertEqual(FrameDecoder().feed(data), MESSAGES[name])
                 self.assertEqual(b"".join(encode_frame(one) for one in FrameDecoder().feed(data)), data)
 
-    def test_tags_and_the_order_of_fields(self) -> None:
+    def test_each_message_has_its_tag_and_its_number_of_fields(self) -> None:
         for name, messages in MESSAGES.items():
             data = (DATA / "messages" / f"{name}.frames").read_bytes()
             for _ in messages:
--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -166,12 +166,12 @@
         super().setUp()
         self.state = (OF_DOCUMENTS / "state.msgpack").read_bytes()
 
-    def test_a_state_is_read_and_kept_as_it_was(self) -> None:
+    def test_a_stored_state_is_decoded_and_encoded_as_before(self) -> None:
         docs = VersionedDocuments(self.state)
         self.assertEqual(docs.replicated, KNOWN)
         self.assertEqual(docs.encode(), self.state)
 
-    def test_what_is_acted_on(self) -> None:
+    def test_a_stored_state_gives_the_same_effective_content(self) -> None:
         docs = VersionedDocuments(self.state)
         self.assertEqual(
             docs.version_numbers(),
@@ -209,7 +209,7 @@
         )
         self.assertEqual(docs.max_request_duration(), 50_000)
 
-    def test_the_history_makes_the_same_state(self) -> None:
+    def test_the_stored_history_gives_the_stored_state(self) -> None:
         data = (OF_DOCUMENTS / "history.msgpack").read_bytes()
         history = msgspec.msgpack.decode(data, type=list[LogEntry])
         self.assertEqual(history, HISTORY)
@@ -244,7 +244,7 @@
             ],
         )
 
-    def test_works(self) -> None:
+    def test_stored_maintenance_jobs_are_decoded_and_encoded_as_before(self) -> None:
         data = (OF_DOCUMENTS / "works.json").read_bytes()
         jobs = parse_jobs(msgspec.json.decode(data))
         self.assertEqual(jobs, WORKS)
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -29,7 +29,7 @@
             self.say(f"counts {number}: out {self.drained_backends(documents)}")
         self.close("consensus-drained-and-restored")
 
-    def test_an_encoded_state_is_restored_with_all_versions_that_are_kept(self) -> None:
+    def test_an_encoded_state_is_restored_with_all_retained_versions(self) -> None:
         documents = VersionedDocuments()
         for number in range(1, 70):
             data = {
--- a/tests/fault_injection/test_trials.py
+++ b/tests/fault_injection/test_trials.py
@@ -36,7 +36,7 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-class Played(unittest.IsolatedAsyncioTestCase):
+class PlayedTrialsTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_plans_under_trials_hold_every_promise(self) -> None:
         """Side by side; each starts its own processes on addresses of its own."""
         plans = sorted(TRIALS.glob("*.toml"))
@@ -282,8 +282,8 @@
 ]
 
 
-class Checked(TraceTestCase):
-    def test_a_story_without_fault_holds_and_each_planted_one_is_told_by_its_promise(self) -> None:
+class TrialCheckerTest(TraceTestCase):
+    def test_records_without_a_fault_pass_and_each_planted_fault_fails_its_check(self) -> None:
         for promise in PROMISES:
             verdict = TrialChecker(trial_record()).judge(promise)
             self.assertTrue(verdict.satisfied, verdict)
@@ -295,7 +295,7 @@
             self.say(f"{plant.__name__}: {promise}: {verdict.detail}")
         self.close("trial-planted")
 
-    def test_plans_that_can_not_be_used(self) -> None:
+    def test_an_invalid_plan_is_rejected_with_the_reason(self) -> None:
         good = (TRIALS / "leader-sleeps.toml").read_text()
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "plan.toml"
--- a/tests/maintenance/test_scheduler.py
+++ b/tests/maintenance/test_scheduler.py
@@ -27,7 +27,7 @@
         for (uid, job), why in sorted(result.wait_reasons.items())[:3]:
             self.say(f"  {uid} for {job} waits: {why}")
 
-    def test_who_goes_out_and_who_waits_for_which_bound(self) -> None:
+    def test_machines_go_out_within_the_bounds_and_others_wait_with_the_reason(self) -> None:
         job = MaintenanceJob("disks", max_out=3, max_out_per_zone=1)
         self.show([job])
         self.show([replace(job, min_remaining_zone_share=0.9)])
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -38,7 +38,7 @@
 }
 
 
-class Calls(Loopback):
+class AdminCallsTest(Loopback):
     async def test_calls_whole_and_cut_at_every_byte(self) -> None:
         for what, request in CALLS.items():
             response = await self.responses([request])
@@ -113,7 +113,7 @@
         self.assertEqual(await waiting, "200 offline")
 
 
-class AtTheLimit(Loopback):
+class SocketLimitTest(Loopback):
     async def test_clients_that_use_up_their_places_leave_the_operators_theirs(self) -> None:
         given: dict[str, Any] = {"limits": {"sockets": 120}}
         with_admin_server, without = divide_socket_limit(given, True)[1], divide_socket_limit(given, False)[1]
--- a/tests/network/test_handover_channel.py
+++ b/tests/network/test_handover_channel.py
@@ -19,8 +19,8 @@
 HELLO = Hello(1, ("127.0.0.1", 18080), "n0")
 
 
-class Passages(Loopback):
-    async def test_what_a_killed_or_foreign_process_left_behind(self) -> None:
+class HandoverChannelTest(Loopback):
+    async def test_remains_of_a_killed_or_foreign_process_are_ignored_and_replaced(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         folder /= "deep" * 40  # too long for the path of a socket
         folder.mkdir()
--- a/tests/protocol/test_handover_messages.py
+++ b/tests/protocol/test_handover_messages.py
@@ -57,7 +57,7 @@
 ]
 
 
-class HandoverMessages(unittest.TestCase):
+class HandoverMessagesTest(unittest.TestCase):
     def test_each_message_is_decoded_from_its_line(self) -> None:
         for message in MESSAGES:
             decoded = decode_message(encode_message(message))
@@ -71,7 +71,7 @@
         with self.assertRaises(ValueError):
             decode_drain_record(b'{"of"')
 
-    def test_what_is_not_as_it_should_be_is_left_out_of_a_state(self) -> None:
+    def test_malformed_fields_are_left_out_of_a_state(self) -> None:
         fields = {
             "form": 1,
             "of": "n0",
@@ -94,7 +94,7 @@
         )
         self.assertEqual(message, Welcome(expected))
 
-    def test_what_is_no_greeting_is_no_message(self) -> None:
+    def test_a_malformed_message_is_decoded_as_unknown(self) -> None:
         malformed: tuple[dict[str, object], ...] = (
             {"hello": 1},
             {"hello": "1", "at": ["h", 1], "of": "n0"},
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -4,7 +4,7 @@
 from tests.scene import MS, RouterTestCase
 
 
-class Pacing(RouterTestCase):
+class AdmissionTest(RouterTestCase):
     def test_held_units_go_richest_then_newest_and_are_shed_when_late(self) -> None:
         self.open(backend_count=1)
         self.router.limit.limit = 1.0
--- a/tests/routing/test_config_changes.py
+++ b/tests/routing/test_config_changes.py
@@ -6,7 +6,7 @@
 from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
 
 
-class Renewed(RouterTestCase):
+class ConfigChangesTest(RouterTestCase):
     def fails(self, request_id: int) -> None:
         """Where it was sent first."""
         sent_to = next(line for line in self.lines if f"unit {request_id} -> runner" in line)
@@ -34,7 +34,7 @@
         self.fails(3)
         self.close("renewal-units")
 
-    def test_what_is_known_of_runners_and_runs_stays(self) -> None:
+    def test_measurements_of_backends_and_classes_outlast_a_change(self) -> None:
         self.open(backend_count=3)
         self.router.state.classes[0].typical_run, self.router.limit.limit = 77.0, 5.0
         self.backends[1].reported_queue, self.backends[2].ejection_time = 4.5, 10_000
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -4,15 +4,15 @@
 from tests.scene import MS, RouterTestCase
 
 
-class Health(RouterTestCase):
-    def test_at_a_unit_a_second_no_news_is_not_silence(self) -> None:
+class OutlierEjectionTest(RouterTestCase):
+    def test_a_request_is_not_hedged_for_want_of_reports_within_900_ms(self) -> None:
         self.open(backend_count=30, instance_count=60)
         self.receive_request(0)
         self.advance_to(900)
         self.say("no copy so far")
         self.close("no-news")
 
-    def test_a_unit_done_in_no_time_fails_no_survey(self) -> None:
+    def test_a_request_completed_in_no_time_does_not_break_the_periodic_refresh(self) -> None:
         self.open(backend_count=1)
         self.receive_request(0)
         self.start_attempt(0, 0)
@@ -20,7 +20,7 @@
         self.advance_to(600)
         self.close("no-time")
 
-    def test_a_slow_runner_loses_weight(self) -> None:
+    def test_a_slow_backend_loses_weight(self) -> None:
         self.open(backend_count=5)
         for n in range(8):
             self.receive_request(n, work=100)
@@ -36,7 +36,7 @@
         )
         self.close("slow")
 
-    def test_quick_errors_lead_to_doubt_and_one_trial_at_a_time(self) -> None:
+    def test_a_backend_that_errs_quickly_is_ejected_and_tried_with_one_request_at_a_time(self) -> None:
         self.open(backend_count=4, free_slots=0, seed=15)
         self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
         for n in range(2):
@@ -54,7 +54,7 @@
         self.receive_request(9)
         self.close("errors")
 
-    def test_full_is_no_fault_but_rests(self) -> None:
+    def test_an_overloaded_backend_is_avoided_for_a_while_and_not_ejected(self) -> None:
         self.open(backend_count=1)
         self.receive_request(0)
         self.end_attempt(0, 0, Outcome.OVERLOADED)
@@ -64,7 +64,7 @@
         self.router.probe_ended(self.now, 0, True, (1.0, 2.0))
         self.close("full")
 
-    def test_a_silent_runner_is_doubted_and_its_unit_copied(self) -> None:
+    def test_a_silent_backend_is_ejected_and_its_request_hedged(self) -> None:
         self.open(backend_count=3)
         self.receive_request(0, work=2000)
         self.advance_to(600)
@@ -73,7 +73,7 @@
         self.end_attempt(0, 2, Outcome.CANCELLED, last=True)
         self.close("hang")
 
-    def test_a_busy_runner_is_no_reason_for_a_copy(self) -> None:
+    def test_a_busy_backend_is_no_reason_for_a_hedge(self) -> None:
         self.open(backend_count=2)
         self.receive_request(0, work=2000)
         self.advance_to(20)
@@ -81,7 +81,7 @@
         self.advance_to(400)
         self.close("busy")
 
-    def test_when_nearly_all_look_bad_the_suspicion_is_distrusted(self) -> None:
+    def test_when_nearly_all_backends_are_ejected_the_ejections_are_ignored(self) -> None:
         self.open(backend_count=3)
         for r in range(3):
             self.router.ejection.eject(self.now, self.backends[r])
@@ -95,8 +95,8 @@
         first = int(self.lines[-1][-1])
         self.end_attempt(0, first, Outcome.STALE_CONNECTION)
         errors = [backend.error_rate for backend in self.backends]
-        doubt = [backend.ejection_time for backend in self.backends]
-        self.say(f"errors {errors}, doubt {doubt}")
+        ejection_times = [backend.ejection_time for backend in self.backends]
+        self.say(f"errors {errors}, doubt {ejection_times}")
         for r in {0, 1, 2} - {first}:
             self.router.ejection.record_outcome(self.now, self.backends[r], Outcome.UNREACHABLE)
         self.router.ejection.eject(self.now, self.backends[first])
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -4,7 +4,7 @@
 from tests.scene import MS, RouterTestCase
 
 
-class Rules(RouterTestCase):
+class RetriesTest(RouterTestCase):
     def test_every_unit_is_answered_by_its_cutoff(self) -> None:
         self.open(idempotency=Idempotency.NON_IDEMPOTENT)
         self.receive_request(0)
@@ -26,7 +26,7 @@
         self.say(f"slots still counted as out: {sum(backend.own_slots for backend in self.backends):.0f}")
         self.close("ended")
 
-    def test_no_runner_ready(self) -> None:
+    def test_without_a_ready_backend_requests_wait_and_are_shed(self) -> None:
         self.open(backend_count=0, free_slots=0)
         self.receive_request(0)
         self.advance_to(470)
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -1,11 +1,11 @@
-"""Which backends have room, which are left out for a long queue, and when a warming one goes first."""
+"""Which backends have capacity, which are avoided for a long queue, and when one in slow start goes first."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from tests.routing.rule_scene import RuleScene, ready, request_class
 from tests.scene import MS
 
 
-class RoomRules(RuleScene):
+class CapacityRules(RuleScene):
     def test_backend_has_room_for_a_quarter_slot_more_than_its_capacity_at_most(self) -> None:
         for slots, backend in ((4.25, 0), (4.5, 1)):
             self.open_with(ready(0, zone=0), ready(1, zone=1, type_=1))
@@ -25,7 +25,7 @@
         )
         self.change_endpoints([ready(0, weight=1.0), ready(1, weight=4.0)])
 
-    def backends_in_turn(self, key: int) -> set[int]:
+    def backends_of_eight_requests(self, key: int) -> set[int]:
         """The backends of eight requests, one after the other; with keys from `key` on, 0 for none."""
         chosen = set()
         for request in range(8):
@@ -35,11 +35,11 @@
 
     def test_backend_with_a_long_listed_queue_gets_requests_where_the_whole_fleet_is_used(self) -> None:
         self.open_one_busy()
-        self.assertEqual(self.backends_in_turn(key=0), {0, 1})
+        self.assertEqual(self.backends_of_eight_requests(key=0), {0, 1})
 
     def test_backend_with_a_long_listed_queue_gets_no_request_with_a_key(self) -> None:
         self.open_one_busy()
-        self.assertEqual(self.backends_in_turn(key=1), {1})
+        self.assertEqual(self.backends_of_eight_requests(key=1), {1})
 
 
 class WarmingFirstRules(RuleScene):
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -5,8 +5,8 @@
 from tests.scene import MS, ROUTING_CONFIG, RouterTestCase
 
 
-class Choice(RouterTestCase):
-    def test_least_load_for_its_weight(self) -> None:
+class SelectionTest(RouterTestCase):
+    def test_the_backend_with_the_least_load_for_its_weight_is_chosen(self) -> None:
         self.open(backend_count=0, free_slots=0)
         self.change_endpoints(
             [Endpoint(0, EndpointState.READY, 1.0, 0, 0, 0), Endpoint(1, EndpointState.READY, 2.0, 0, 0, 0)]
@@ -38,7 +38,7 @@
         self.say(f"load {self.backends[0].load:.2f}")
         self.close("late-report")
 
-    def test_without_a_young_report_the_mean_of_the_others_counts(self) -> None:
+    def test_without_a_fresh_report_the_mean_of_the_others_counts(self) -> None:
         self.open(backend_count=3)
         self.advance_to(4900)
         for r in (0, 1):
@@ -52,7 +52,7 @@
         self.lines = [line for line in self.lines if "probe" not in line]
         self.close("stale")
 
-    def test_a_small_circle_is_steady_and_widened_only_when_bare(self) -> None:
+    def test_a_small_subset_is_stable_and_widened_only_when_all_its_backends_are_unavailable(self) -> None:
         self.open(backend_count=0, free_slots=0, instance_count=60)
         self.router.state.averages.total_work = 10_000.0  # long runs
         self.change_endpoints([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(30)])
@@ -100,7 +100,7 @@
         drawn = {Router(ROUTING_CONFIG, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
         self.assertEqual(len(drawn), 2)
 
-    def test_a_trace_of_others_work_is_not_held_against_room(self) -> None:
+    def test_a_little_load_of_other_instances_does_not_hide_free_capacity(self) -> None:
         self.open(backend_count=3, free_slots=1.0)
         self.router.probe_ended(self.now, 0, True, (1.0, 0.0))  # one busy report moves the load by an eighth
         self.router.probe_ended(self.now, 2, True, (9.0, 0.0))
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -6,7 +6,7 @@
 from tests.scene import MS, REQUEST_CLASS, RouterTestCase
 
 
-class Moved(RouterTestCase):
+class WeightsAndKeysTest(RouterTestCase):
     def change_weights(self, *weights: float) -> None:
         self.change_endpoints(
             [
@@ -26,7 +26,7 @@
         self.say(f"sizes {sizes}, held for each core {self.backends[0].utilization:.1f}")
         self.close("move-sizes")
 
-    def test_in_sparse_sight_a_long_listed_queue_is_left_out(self) -> None:
+    def test_where_sparse_a_backend_with_a_long_listed_queue_is_avoided(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         self.change_weights(*[4.0] * 30)
         member = self.members[0]
@@ -66,7 +66,7 @@
         self.lines = [line for line in self.lines if ": " in line]
         self.close("move-homes")
 
-    def test_keys_tell_nothing_where_nothing_is_kept(self) -> None:
+    def test_keys_are_ignored_without_key_affinity(self) -> None:
         self.open(backend_count=0, free_slots=0, key_affinity=False, start_notifications=False)
         self.change_weights(4.0, 4.0)
         for n in range(4):
@@ -87,7 +87,7 @@
         self.say(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
         self.close("move-limit")
 
-    def test_a_wait_that_expected_times_allow_cuts_no_limit(self) -> None:
+    def test_a_wait_within_the_latency_objective_does_not_lower_the_limit(self) -> None:
         self.open(
             backend_count=0,
             free_slots=0,
@@ -111,7 +111,7 @@
         self.receive_request(2, timeout=4900, work=0, is_retry=True)
         self.close("move-frantic")
 
-    def test_a_cold_runner_outside_the_circle_gets_nothing(self) -> None:
+    def test_a_backend_in_slow_start_outside_the_subset_gets_no_request(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         start = self.now - 1000 * MS
         self.change_endpoints(
--- a/tests/service/cluster/test_admin_messages.py
+++ b/tests/service/cluster/test_admin_messages.py
@@ -28,7 +28,7 @@
     def check(self, content: Struct, body: str) -> None:
         self.assertEqual(encode_answer(HTTPStatus.CONFLICT, content), (409, body))
 
-    def test_outcomes_of_calls(self) -> None:
+    def test_outcomes_of_calls_keep_their_keys(self) -> None:
         self.check(CallOutcome(False, "no"), '{"well":false,"text":"no"}')
         self.check(MembershipOutcome(True, "", {"n": "x:1"}), '{"well":true,"text":"","voters":{"n":"x:1"}}')
         self.check(PublishOutcome(True, "", 3), '{"well":true,"text":"","number":3}')
@@ -37,14 +37,14 @@
             '{"well":true,"text":"","number":3,"counts":false,"lag":["f"]}',
         )
 
-    def test_documents(self) -> None:
+    def test_documents_keep_their_keys(self) -> None:
         self.check(ErrorAnswer("no such document"), '{"text":"no such document"}')
         self.check(
             DocumentAnswer("settings", 1, 2, True, {"a": 1}, [{"number": 1}]),
             '{"doc":"settings","counts":1,"newest":2,"acts":true,"acting":{"a":1},"versions":[{"number":1}]}',
         )
 
-    def test_maintenance(self) -> None:
+    def test_maintenance_answers_keep_their_keys(self) -> None:
         job = JobStatus("disks", "go", "", 2, {"m0": MaintenancePhase.RETURNING}, ["m1"])
         phase = MaintenancePhase.RETURNING.value
         self.check(
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -17,7 +17,7 @@
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
 
-class Upgrades(DispatcherTestCase):
+class ReplacementTest(DispatcherTestCase):
     """Real processes that follow one another, between stand-ins."""
 
     async def start(self) -> None:
--- a/tests/service/handover/test_stored_lines.py
+++ b/tests/service/handover/test_stored_lines.py
@@ -24,13 +24,13 @@
 HANDOVER = DATA / "handover"
 
 
-class Handovers(HandoverScene):
+class StoredLinesTest(HandoverScene):
     """A process of this revision beside one that says what 82f8a95 said."""
 
     def scratch(self) -> Path:
         return Path(self.enterContext(tempfile.TemporaryDirectory()))
 
-    def test_lines_are_read_and_written_as_they_were(self) -> None:
+    def test_lines_are_decoded_and_encoded_as_before(self) -> None:
         for name in ("predecessor", "successor"):
             data = (HANDOVER / f"{name}.lines").read_bytes()
             messages = HandoverDecoder().receive_data(data)
@@ -42,13 +42,13 @@
             else:
                 self.assertEqual(messages[0], Hello(1, ("127.0.0.1", 18080), "n0"))
 
-    async def test_it_says_what_a_predecessor_said(self) -> None:
+    async def test_a_predecessor_sends_the_same_lines_as_before(self) -> None:
         await self.prepare(self.scratch(), (HANDOVER / "bans.json").read_bytes())
         lines = await self.as_predecessor([HELLO, TAKEOVER_REQUEST, *QUERIES])
         self.assertEqual(lines, (HANDOVER / "predecessor.lines").read_bytes().splitlines(True))
         self.assertEqual((EVENT["id"], CALLBACK_QUERY[:9]), ("u7", b'{"ask":5,'))
 
-    async def test_it_follows_a_predecessor_and_says_what_a_successor_said(self) -> None:
+    async def test_a_successor_takes_over_and_sends_the_same_lines_as_before(self) -> None:
         await self.prepare(self.scratch(), b'{"of":"n0","bans":{},"assumed":{}}')
         self.config["known"] = None  # the list comes from the predecessor alone
         lines = (HANDOVER / "predecessor.lines").read_bytes().splitlines(True)
@@ -91,7 +91,7 @@
             ],
         )
 
-    async def test_the_record_of_bans(self) -> None:
+    async def test_the_record_of_manual_drains_is_read_and_written_as_before(self) -> None:
         data = (HANDOVER / "bans.json").read_bytes()
         folder = self.scratch()
         await self.prepare(folder, data)
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -27,8 +27,8 @@
     return message.state
 
 
-class Carried(TraceTestCase):
-    def test_only_what_means_the_same(self) -> None:
+class TransferredStateTest(TraceTestCase):
+    def test_only_weights_and_reports_of_the_same_meaning_are_inherited(self) -> None:
         self.lines = []
         for name, state, weights_follow_load in (
             ("alike", welcome(), True),
@@ -64,8 +64,8 @@
         self.close("carry-settings")
 
 
-class FirstSeconds(RouterTestCase):
-    def test_after_the_switch_with_units_in_hand_and_cold_runners(self) -> None:
+class FirstListTest(RouterTestCase):
+    def test_requests_sent_before_the_first_list_still_count_when_weights_arrive(self) -> None:
         self.open(
             backend_count=0,
             free_slots=0,
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -10,7 +10,7 @@
 from tests.scene import read_request
 
 
-class InService(DispatcherTestCase):
+class AdminServiceTest(DispatcherTestCase):
     """A dispatcher with an admin server, between stand-ins."""
 
     async def start_with_admin_server(self, **entry: object) -> None:  # noqa: ARG002 - as the base names it
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -64,11 +64,11 @@
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
                 writer.write(OK)
 
-        asked: list[str] = []
+        polls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await read_request(reader))[0].split()[1])
-            if len(asked) < 3:
+            polls.append((await read_request(reader))[0].split()[1])
+            if len(polls) < 3:
                 return
             body = orjson.dumps(self.discovery_answer())
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -81,7 +81,7 @@
         await self.until(lambda: self.application.metrics.counters["discovery-snapshots"] == 1)
         self.assertEqual(await self.send_request("u1"), ("HTTP/1.1 200 OK", b"result"))
         self.assertEqual(
-            (asked, self.application.metrics.counters["discovery-failed"]), (["/v1/servers"] * 3, 2)
+            (polls, self.application.metrics.counters["discovery-failed"]), (["/v1/servers"] * 3, 2)
         )
 
     async def test_a_backend_that_vanished_holds_no_request_past_its_deadline(self) -> None:
@@ -225,10 +225,10 @@
 
         await self.begin(silent, **{"service-grades": [NON_IDEMPOTENT]})
         await self.start_in_process()
-        asked = [asyncio.create_task(self.send_request("sent"))]
+        pending = [asyncio.create_task(self.send_request("sent"))]
         await self.until(lambda: self.application.metrics.counters["attempts"] == 1)
         self.application.request_handler.routing.limit.limit = 0.0  # what comes from here on is held
-        asked.append(asyncio.create_task(self.send_request("held")))
+        pending.append(asyncio.create_task(self.send_request("held")))
         await self.until(lambda: self.application.request_handler.open_request_count() == 2)
         self.application.request_handler.answer_all_open()
-        self.assertEqual([(await one)[0].split()[1] for one in asked], ["504", "503"])
+        self.assertEqual([(await one)[0].split()[1] for one in pending], ["504", "503"])
--- a/tests/service/test_lifecycle.py
+++ b/tests/service/test_lifecycle.py
@@ -4,7 +4,7 @@
 from tests.scene import TraceTestCase
 
 
-class Decided(TraceTestCase):
+class LifecycleTest(TraceTestCase):
     def test_duty_from_start_to_end(self) -> None:
         lifecycle = Lifecycle()
 
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -59,8 +59,8 @@
         await self.send_callback(id="u3", **{"from": "a"}, state="done", result="3")
         await asyncio.sleep(0.6)  # past the moment: call-backs are received all the same
         await self.send_callback(id="u1", **{"from": "a"}, state="done", result="1")
-        for asked in (pending, late, never):
-            head, body = await asked
+        for response in (pending, late, never):
+            head, body = await response
             self.say(f"{head} {body.decode()}")
         printed = await lines
         self.assertEqual(self.process.returncode, 0, printed)
@@ -88,14 +88,14 @@
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
             while True:
-                asked.append(f"{name} {(await read_request(reader))[0].split()[1]}")
-                if "after=" in asked[-1]:
+                polls.append(f"{name} {(await read_request(reader))[0].split()[1]}")
+                if "after=" in polls[-1]:
                     await reader.read()
                 entry = {"uid": name, "endpoint": f"127.0.0.1:{ports[name]}", "state": "in_service"}
                 body = orjson.dumps({"rev": 3, "all": True, "targets": [entry]})
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-        asked: list[str] = []
+        polls: list[str] = []
         sent = asyncio.Event()
         await self.begin(partial(backend, name="a"))
         ports = {name: await self.stand_in(partial(backend, name=name)) for name in "bc"}
@@ -113,8 +113,8 @@
             self.config_file.write_bytes(orjson.dumps(self.config))
             self.process.send_signal(signal.SIGHUP)
             self.process.send_signal(signal.SIGHUP)
-            await self.until(lambda name=name: f"{name} /v1/servers" in asked)  # type: ignore[misc]
-            await self.until(lambda name=name: any(f"{name} /v1/servers?" in a for a in asked))  # type: ignore[misc]
+            await self.until(lambda name=name: f"{name} /v1/servers" in polls)  # type: ignore[misc]
+            await self.until(lambda name=name: any(f"{name} /v1/servers?" in poll for poll in polls))  # type: ignore[misc]
             self.assertEqual((await self.send_request(f"u{name}"))[1].decode(), name)
         await self.send_callback(id="held", **{"from": "a"}, state="done", result="held")
         self.assertEqual((await pending)[1], b"held")  # a unit in hand outlives it, though its runner is gone
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -10,7 +10,7 @@
 from tests.scene import read_request
 
 
-class UnderWay(DispatcherTestCase):
+class ReloadTest(DispatcherTestCase):
     async def test_files_of_every_bad_kind_then_a_good_one(self) -> None:
         sent: list[str] = []
 
--- a/tests/service/test_socket_budget.py
+++ b/tests/service/test_socket_budget.py
@@ -9,7 +9,7 @@
 from tests.scene import TraceTestCase
 
 
-class TwoProcesses(TraceTestCase):
+class SocketBudgetTest(TraceTestCase):
     """What the one that goes leaves to the one that comes."""
 
     def test_descriptors_of_both_stay_under_the_limit(self) -> None:
--- a/tests/simulation/traffic/test_comparison.py
+++ b/tests/simulation/traffic/test_comparison.py
@@ -26,7 +26,7 @@
 """
 
 
-class Studies(TraceTestCase):
+class ComparisonTest(TraceTestCase):
     def test_all_policies_keep_the_rules_whatever_the_grade(self) -> None:
         for effect in Idempotency:
             request_class = replace(
@@ -58,7 +58,7 @@
         self.assertEqual(out[0], out[1])
         self.assertEqual(out[0].count(b"\n"), 1 + len(comparison.POLICIES))
 
-    def test_sees_all_is_better_than_random_and_random_than_itself_is_no_verdict(self) -> None:
+    def test_verdicts_rank_sees_all_over_random_and_find_no_difference_of_random_to_itself(self) -> None:
         shares = {
             name: [
                 comparison.simulate_day(name, SMALL, comparison.DEFAULT_CONFIG, seed).on_time_share
--- a/tests/simulation/traffic/test_experiment.py
+++ b/tests/simulation/traffic/test_experiment.py
@@ -30,7 +30,7 @@
 """
 
 
-class Experiments(TraceTestCase):
+class ExperimentTest(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -60,7 +60,7 @@
         written = sorted(path.name for path in (self.folder / "bare").iterdir())
         self.assertEqual(written, ["small.csv", "small.txt"])
 
-    def test_what_can_not_be_played_is_said_in_a_line(self) -> None:
+    def test_an_invalid_experiment_is_reported_in_one_line(self) -> None:
         for what, plan in {
             "no TOML": "name = ",
             "no case": 'name = "x"',
--- a/tests/simulation/traffic/test_faults.py
+++ b/tests/simulation/traffic/test_faults.py
@@ -15,7 +15,7 @@
 )
 
 
-class Faults(TraceTestCase):
+class FaultsTest(TraceTestCase):
     def play(self, *faults: Fault, **day: object) -> tuple[SimulatedFleet, float]:
         world = SimulatedFleet(
             replace(DAY, faults=faults, **day),  # type: ignore[arg-type]
@@ -47,7 +47,7 @@
             )
         self.close("emulator-faults")
 
-    def test_what_a_fault_does(self) -> None:
+    def test_a_fault_changes_the_fleet_as_its_kind_says(self) -> None:
         def errors(share: float) -> int:
             world, _ = self.play(Fault(FaultKind.ERRORS, 1.0, 7.0, 1.0, factor=share))
             return sum(record.answer != Answer.COMPLETED for record in world.invariants.requests.values())
@@ -66,7 +66,7 @@
         far, near = self.play(cross_zone_delay=300)[1], self.play(cross_zone_delay=0)[1]
         self.assertLess(far, near)
 
-    def test_whom_it_hits_depends_on_the_seed_alone(self) -> None:
+    def test_the_affected_indices_depend_on_the_seed_alone(self) -> None:
         fault = Fault(FaultKind.SLOW, 1.0, 2.0, 0.25)
         self.assertEqual(affected_indices(fault, 1, 40), affected_indices(fault, 1, 40))
         self.assertNotEqual(affected_indices(fault, 1, 40), affected_indices(fault, 2, 40))
--- a/tests/simulator_adapter/test_host.py
+++ b/tests/simulator_adapter/test_host.py
@@ -33,7 +33,7 @@
 QUERY = struct.pack("<HIHHQQIffB", 3, 77, 0, 0, 0, 6_000_000, 12_000, 1.0, 0.0, 1)
 
 
-class Adapter(unittest.TestCase):
+class SimulatorHostTest(unittest.TestCase):
     def test_a_unit_is_passed_on_and_an_unknown_outcome_taken_as_possibly_run(self) -> None:
         host = SimulatorHost()
         host.handle_frame(frame(CENSUS, TO, INIT, MEMBERS))
@@ -66,7 +66,7 @@
             self.assertEqual((done.returncode, done.stdout, done.stderr.count(b"\n")), (1, b"", 1))
 
 
-class RecordedExchanges(unittest.TestCase):
+class RecordedExchangesTest(unittest.TestCase):
     """Days of the simulator with the adapter of 82f8a95: frames in, replies out.
 
     Their settings: a polled list with probes and hedges allowed; weights that follow the load; keys.
--- a/tests/terms/test_requests.py
+++ b/tests/terms/test_requests.py
@@ -69,7 +69,7 @@
         self.assertEqual(self.process.returncode, 0, printed)
 
 
-class HeldUpTest(DispatcherTestCase):
+class DelayedWriteTest(DispatcherTestCase):
     async def attempts_after_break(self, *, broken_after: float) -> int:
         """How often a request with key goes out whose first attempt breaks so late in its window of 0.4 s."""
         attempts = 0
