--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -69,15 +69,10 @@
         "why-not": inactive_reason,
         "applied": consensus.last_applied,
         "lease-ms": max(consensus.lease_expires_at - now, 0) // TICKS_PER_MILLISECOND,
-        "versions": {
-            name: {"counts": active, "newest": newest}
-            for name, (active, newest) in consensus.documents.version_numbers().items()
-        },
+        "versions": _document_versions(consensus),
     }
     if isinstance(consensus, Follower):
-        status["voter"] = consensus.voter
-        status["leader"] = ""
-        return status
+        return {**status, "voter": consensus.voter, "leader": ""}
     status["leader"] = consensus.raft.leader
     status["term"] = consensus.raft.term
     status["voters"] = dict(consensus.raft.voters)
@@ -88,6 +83,13 @@
     return status
 
 
+def _document_versions(consensus: Voter | Follower) -> dict[str, VersionNumbers]:
+    return {
+        name: {"counts": active, "newest": newest}
+        for name, (active, newest) in consensus.documents.version_numbers().items()
+    }
+
+
 def _granted_leases(leader: Voter, now: int) -> dict[str, int]:
     """The milliseconds until the leases that the leader granted expire, by voter."""
     return {
