--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -184,8 +184,11 @@
         self.consensus.propose(boottime_ticks(), proposal_id, kind, data)
         self._process_output()
 
-    def admission_error(self, hello: Hello) -> str:
-        """The reason why the sender of a hello is not admitted; empty if it is."""
+    def admit(self, hello: Hello) -> str:
+        """Admits the sender of a hello; returns the reason if it is not admitted, else an empty string.
+
+        Records the storage folder of a voter that is admitted for the first time.
+        """
         if not isinstance(self.consensus, Voter):
             return "no voter"
         return self.consensus.admit(hello.name, hello.folder_id) if hello.folder_id else ""
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -40,8 +40,8 @@
 class TransportHandler(Protocol):
     """The member that receives the messages."""
 
-    def admission_error(self, hello: Hello) -> str:
-        """The reason why the sender of a hello is not admitted; empty if it is."""
+    def admit(self, hello: Hello) -> str:
+        """Admits the sender of a hello; returns the reason if it is not admitted, else an empty string."""
 
     def handle_message(self, sender: str, message: Message) -> None:
         """Handles a message from `sender`."""
@@ -72,7 +72,7 @@
         self._incoming: dict[str, asyncio.StreamWriter] = {}
         self._accepted: set[asyncio.StreamWriter] = set()  # also those whose hello is awaited
         self._closed = False
-        self._connecting: set[str] = set()
+        self._active_receivers: set[str] = set()
         self._reconnect_not_before: dict[str, float] = {}
         self._reconnect_delay: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -111,8 +111,8 @@
     def _connect(self, receiver: str) -> None:
         known = receiver in self.addresses
         due = self._loop.time() >= self._reconnect_not_before.get(receiver, 0)
-        if known and due and receiver not in self._connecting:
-            self._connecting.add(receiver)
+        if known and due and receiver not in self._active_receivers:
+            self._active_receivers.add(receiver)
             self._spawn(self._run_outgoing(receiver))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -134,7 +134,7 @@
         except (OSError, TimeoutError):
             pass  # the connection failed or was reset: a later message connects again
         finally:
-            self._connecting.discard(receiver)
+            self._active_receivers.discard(receiver)
             self._outgoing.pop(receiver, None)
             if writer:
                 writer.close()
@@ -191,7 +191,7 @@
         """
         if not isinstance(hello, Hello) or hello.protocol_version != PROTOCOL_VERSION:
             raise ProtocolError(f"the first message is not a hello of protocol version {PROTOCOL_VERSION}")
-        error = self._handler.admission_error(hello)
+        error = self._handler.admit(hello)
         if error:
             logger.warning("%s not admitted: %s", hello.name, error, extra=LOG_CATEGORY)
             writer.write(encode_frame(Rejection(error)))
@@ -221,10 +221,10 @@
             messages = decoder.feed(data)
 
     async def close(self) -> None:
-        """Stops listening and closes all connections, also those whose sender has not said its name yet.
+        """Stops listening and closes all connections, also accepted ones that have not sent a hello yet.
 
-        Otherwise the sender would keep such a connection, and never connect to a voter that this process
-        opens on the same address.
+        If these stayed open, their senders would go on using them, and would not connect to the next voter at
+        the same address.
         """
         self._closed = True
         if self._acceptor:
--- a/crankfold/consensus/reported_fleet.py
+++ b/crankfold/consensus/reported_fleet.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the fleet by the reports of its members, for decisions on maintenance."""
+"""Adds the reports of the members to the leader's view of the fleet, for decisions on maintenance."""
 
 from dataclasses import replace
 
--- a/crankfold/consensus/timing.py
+++ b/crankfold/consensus/timing.py
@@ -76,7 +76,7 @@
         return with_drift_margin(self.lease_duration)
 
     def earlier_leases_until(self, granter_since: int) -> int:
-        """The latest time at which leases of the granter before this one expire.
+        """The latest expiry of leases that were granted before `granter_since`.
 
         Args:
             granter_since: When the present granter took over: the start of a voter's process, whose earlier
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -128,7 +128,7 @@
     }
 
 
-def encode_snapshot(entries: Sequence[DiscoveryEntry]) -> EndpointDocument:
+def snapshot_document(entries: Sequence[DiscoveryEntry]) -> EndpointDocument:
     """A snapshot of the endpoint list in the form of a response; its revision is 0."""
     return {"rev": 0, "all": True, "targets": [encode_entry(entry) for entry in entries]}
 
--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -14,8 +14,8 @@
 from crankfold.time_units import TICKS_PER_SECOND
 
 REFRESH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_UNSENT_REQUESTS = 3  # that may find no backend in a drain of the queue; the next one ends the drain
-IMPATIENT_DEADLINE_SHARE = 0.5  # of the class's deadline; a shorter one is the client's own
+MAX_UNSENT_REQUESTS = 3  # with one more that finds no backend, the pass over the queue ends
+SHORT_DEADLINE_SHARE = 0.5  # of the class's deadline; a shorter one was chosen by the client
 MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
 
 
@@ -31,8 +31,8 @@
         settings: Of its class.
     """
     time_left = arrival.deadline - now
-    is_impatient = not arrival.is_retry and time_left < IMPATIENT_DEADLINE_SHARE * settings.deadline
-    return now if is_impatient else min(arrival.deadline - settings.deadline, now)
+    has_own_deadline = not arrival.is_retry and time_left < SHORT_DEADLINE_SHARE * settings.deadline
+    return now if has_own_deadline else min(arrival.deadline - settings.deadline, now)
 
 
 def latest_useful_start(request: PendingRequest) -> int:
--- a/crankfold/routing/backend_table.py
+++ b/crankfold/routing/backend_table.py
@@ -28,6 +28,7 @@
     """One backend, by the endpoint list, its load reports and this instance's own attempts."""
 
     __slots__ = (
+        "backoff_until",
         "capacity",
         "ejected_until",
         "ejection_time",
@@ -37,8 +38,6 @@
         "index",
         "last_seen_at",
         "load",
-        "overloaded_until",
-        "own_share",
         "own_slots",
         "probe_in_flight",
         "recent_changes",
@@ -48,6 +47,7 @@
         "run_time_sum",
         "score_factor",
         "slow_start_next",
+        "slow_start_share",
         "state",
         "unstarted",
         "utilization",
@@ -82,9 +82,9 @@
         self.error_rate = 0.0  # moving average, from 0 to 1
         self.ejection_time = 0  # length of the present ejection; 0 for a trusted backend
         self.ejected_until = 0
-        self.overloaded_until = 0  # end of its backoff after it refused a request or was unreachable
+        self.backoff_until = 0  # end of its backoff after it refused a request or was unreachable
         self.unstarted = 0  # own attempts whose start the backend has not notified
-        self.own_share = 0.0  # of the slow-start budget that all instances share
+        self.slow_start_share = 0.0  # of the slow-start budget that all instances share
         self.slow_start_next = 0  # when the budget allows the next request; 0 until the first is drawn
 
     def add_slots(self, now: int, slots: float) -> None:
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -1,22 +1,22 @@
 """Candidates: the steps that narrow the ready backends down to those that are scored for a request.
 
-The steps apply in this order. Each has its own answer to the case that it would leave no backend.
+The steps apply in this order. The third column says what happens where a step leaves no backend.
 
 | step | keeps | where that leaves none |
 | --- | --- | --- |
 | `initial_pool` | all ready backends for a key, else the subset | - |
 | (attempt scope) | in place of it the zone or cell that earlier attempts bind the request to | no candidate |
-| `not_overloaded` | backends that have not recently refused work or been unreachable | no candidate |
+| `not_in_backoff` | backends that have not recently refused work or been unreachable | no candidate |
 | `within_slow_start_budget` | warm backends, and warming ones with budget saved up | no candidate |
 | `OutlierEjection.trusted` | backends that are not ejected | see there |
-| `not_overutilized` | backends whose listed load is low, where lists show it | does without the step |
+| `not_overutilized` | backends whose listed load is low, where lists show it | the step is skipped |
 | `prefer_unattempted` | backends without an earlier attempt | all, unless an attempt is in flight |
 | (all ready backends) | where a subset leaves none, the fleet by the steps above | no candidate |
-| `finishing_in_time` | warm backends, and warming ones fast enough | does without the step |
+| `finishing_in_time` | warm backends, and warming ones fast enough | the step is skipped |
 | `with_capacity` | backends with free slots | `with_bounded_wait`, but not for a hedge |
 | `warming_in_time` | at the concurrency limit: warming backends alone, if fast enough | no candidate |
-| `warming_first` | warming backends, for hinted work if running times are known | does without it |
-| `same_zone` | backends of the own zone | does without the step |
+| `warming_first` | warming backends, for hinted work if running times are known | the step is skipped |
+| `same_zone` | backends of the own zone | the step is skipped |
 | `KeyAffinity.preferred` | for a key, in all zones, the backends with its data | the result of `same_zone` |
 """
 
@@ -39,9 +39,9 @@
     return preferred or otherwise
 
 
-def not_overloaded(now: int, pool: Backends) -> Backends:
+def not_in_backoff(now: int, pool: Backends) -> Backends:
     """Returns the backends that have not recently refused a request or been unreachable."""
-    return [b for b in pool if b.overloaded_until <= now]
+    return [b for b in pool if b.backoff_until <= now]
 
 
 def not_overutilized(pool: Backends) -> Backends:
@@ -52,9 +52,9 @@
 def prefer_unattempted(request: PendingRequest, pool: Backends) -> Backends:
     """Returns the backends without an earlier attempt of the request.
 
-    Where every backend has had one, a retry may go to any of them. A hedge may not, as it would wait for the
-    backend that it hedges against. This is a preference: whether the service may send a second attempt to a
-    backend at all is decided by `Attempts._callback_would_be_ambiguous`.
+    For a retry this is a preference: where every backend has had an attempt, it may go to any of them. A
+    hedge goes to another backend or is not sent. Whether the service may send a second attempt to a backend
+    at all is decided by `Attempts._callback_would_be_ambiguous`.
     """
     if not request.attempts:
         return pool
@@ -170,7 +170,7 @@
         return initial
 
     def _available(self, now: int, request: PendingRequest, pool: Backends, work: float) -> Backends:
-        pool = not_overloaded(now, pool)
+        pool = not_in_backoff(now, pool)
         self._slow_start.draw_first_send_times(now, pool, work)
         pool = self.within_slow_start_budget(now, pool, work)
         pool = self._ejection.trusted(now, pool)
--- a/crankfold/routing/hedging.py
+++ b/crankfold/routing/hedging.py
@@ -18,7 +18,7 @@
 
 
 def min_time_left(request: PendingRequest) -> float:
-    """Returns the ticks to its latency objective that an attempt of the request needs to end in time."""
+    """Returns the least time to the objective, in ticks, at which another attempt may still be in time."""
     return MIN_TIME_LEFT_WORK_SHARE * request.expected_work
 
 
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -10,7 +10,7 @@
 MIN_EJECTION_TICKS = TICKS_PER_SECOND
 MAX_EJECTION_TICKS = 8 * TICKS_PER_SECOND
 EJECTION_GROWTH_FACTOR = 2  # with each further ejection before an attempt is completed
-EJECTION_JITTER_DIVISOR = 4  # of the ejection time: the longest jitter, which keeps instances apart
+EJECTION_JITTER_DIVISOR = 4  # the longest jitter is the ejection time by this; it keeps instances apart
 OVERLOADED_BACKOFF_TICKS = TICKS_PER_SECOND // 4  # without attempts, after a backend refused one
 UNREACHABLE_BACKOFF_TICKS = TICKS_PER_SECOND
 ERROR_WEIGHT = 0.3  # of the latest outcome in the error rate
@@ -56,10 +56,10 @@
             backend.error_rate *= 1.0 - ERROR_WEIGHT
             backend.ejection_time = 0
         elif outcome == Outcome.OVERLOADED:
-            backend.overloaded_until = now + OVERLOADED_BACKOFF_TICKS
+            backend.backoff_until = now + OVERLOADED_BACKOFF_TICKS
         elif outcome == Outcome.UNREACHABLE:
             # The backoff applies even where `trusted` disregards ejection: a dead backend gets few attempts.
-            backend.overloaded_until = now + UNREACHABLE_BACKOFF_TICKS
+            backend.backoff_until = now + UNREACHABLE_BACKOFF_TICKS
         if outcome in FAILURES:
             # A backend that fails fast has a short queue, and without ejection would attract more attempts.
             backend.error_rate = exponential_average(backend.error_rate, 1.0, ERROR_WEIGHT)
@@ -70,9 +70,9 @@
     def trusted(self, now: int, backends: Backends) -> Backends:
         """Returns the backends that are not ejected, or all where too few would be left.
 
-        A backend whose ejection is over gets one attempt at a time until one is completed. Where most
-        backends are ejected, they probably have a common cause, so none is left out. Of one or two backends,
-        an ejected one is returned only if there is no other.
+        A backend whose ejection is over gets one attempt at a time until one is completed. Where at most
+        `1 / MIN_TRUSTED_DIVISOR` of the backends are trusted, the failures probably have a common cause, so
+        all are returned. Of one or two backends, an ejected one is returned only if there is no other.
 
         Args:
             now: Ticks.
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -5,7 +5,7 @@
 from crankfold.routing.state import RoutingState
 
 BUDGET_SHARE = 0.5  # of what the settings allow all instances together; the other half is a reserve
-MIN_PACE_RATIO = 1.0  # lowest ratio of work sent to present capacity
+MIN_PACE_RATIO = 1.0  # lowest budget, as a ratio to the present capacity
 
 
 class SlowStart:
@@ -46,9 +46,9 @@
         if now >= self.all_warm_from:
             return
         for backend in backends:
-            is_due = backend.warm_from > now and not backend.slow_start_next
-            if is_due and self._fits_budget(now, backend, work):
-                interval = int(work / (self._budget(now, backend) * backend.own_share)) + 1
+            is_undrawn = backend.warm_from > now and not backend.slow_start_next
+            if is_undrawn and self._fits_budget(now, backend, work):
+                interval = int(work / (self._budget(now, backend) * backend.slow_start_share)) + 1
                 backend.slow_start_next = now + self._state.random.below(interval)
 
     def admits(self, now: int, backend: Backend, work: float) -> bool:
@@ -65,13 +65,13 @@
 
     def _fits_budget(self, now: int, backend: Backend, work: float) -> bool:
         """Whether the backend has no unstarted attempt, and its budget can save up as much as the work."""
-        if backend.unstarted or not backend.own_share:
+        if backend.unstarted or not backend.slow_start_share:
             return False
         return work <= self._max_burst * self._budget(now, backend)
 
     def charge(self, now: int, backend: Backend, work: float) -> None:
         """Takes `work` slot-ticks from the budget: the next attempt waits until as much is saved up again."""
-        backend.slow_start_next = now + int(work / (self._budget(now, backend) * backend.own_share))
+        backend.slow_start_next = now + int(work / (self._budget(now, backend) * backend.slow_start_share))
 
     def ends_in_time(self, now: int, request: PendingRequest, backend: Backend) -> bool:
         """Whether the backend, if idle, would complete a hinted request within its latency objective.
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -110,7 +110,7 @@
         senders = min(MAX_SLOW_START_SENDERS, count)
         for backend in ready:
             position = (self._state.instance_index + int(backend.endpoint.hash_position * count)) % count
-            backend.own_share = (position < senders) / senders
+            backend.slow_start_share = (position < senders) / senders
 
     def _draw(self, now: int) -> None:
         bound = self._short_share / SHARE_STEPS
@@ -141,12 +141,12 @@
         segment = 0
         next_drawn_at = self._position_in_segment(0) * segment_weight
         for backend in ring:
-            backend.own_share = 0.0
+            backend.slow_start_share = 0.0
             passed_weight += backend.weight
             if passed_weight > next_drawn_at:
                 drawn.append(backend)
                 instances_per_sender = max(segment_weight / backend.weight, 1.0)
-                backend.own_share = min(instances_per_sender / self._state.instance_count, 1.0)
+                backend.slow_start_share = min(instances_per_sender / self._state.instance_count, 1.0)
             while passed_weight > next_drawn_at:
                 segment += 1
                 next_drawn_at = (segment + self._position_in_segment(segment)) * segment_weight
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -106,7 +106,7 @@
                 self.cluster_node,
                 metrics=self.metrics,
                 endpoint_list_age=self.endpoint_list_age,
-                machines_out_changed=self._apply_manual_drains,
+                machines_out_changed=self._apply_cluster_drains,
             )
         return self.maintenance
 
@@ -127,12 +127,12 @@
             return False
         has_lease = self.cluster_node.has_lease()
         if not has_lease:
-            self._record_isolated_action()
+            self._record_isolation()
         self.was_isolated = not has_lease
         return has_lease or self.acts_when_isolated
 
-    def _record_isolated_action(self) -> None:
-        """Logs the first action after the loss of the lease, and counts the permitted ones."""
+    def _record_isolation(self) -> None:
+        """Logs the loss of the lease at the first action after it, and counts the permitted actions."""
         if not self.was_isolated:
             logger.warning(
                 "%s; %s",
@@ -202,7 +202,7 @@
         if member.documents.document(MAINTENANCE).versions or replicated.maintenance.machines:
             self._maintenance_agent()
         if names & {DRAINED_BACKENDS, EXCLUDED_BACKENDS, MACHINES}:
-            self._apply_manual_drains()
+            self._apply_cluster_drains()
         if self.maintenance and names & {MACHINES, MAINTENANCE}:
             self.maintenance.state_changed()
         if QUOTAS in names:
@@ -213,7 +213,7 @@
             self.record_event(RecordedEvent.CONFIG_APPLIED, "", "")
             self.event_log.record_transitions(member)
 
-    def _apply_manual_drains(self) -> None:
+    def _apply_cluster_drains(self) -> None:
         member = self.cluster_node.consensus
         drained = {
             backend_id
--- a/crankfold/service/handover/state_machine.py
+++ b/crankfold/service/handover/state_machine.py
@@ -1,8 +1,8 @@
 """The handover state machine: decides which of several processes of a dispatcher serves. No I/O.
 
-Processes are numbered as they connect. One may be the predecessor, and several may request to succeed this
-one; the first of them takes over. A query (a callback or a manual drain) is forwarded to all processes except
-its sender; it is answered when all of them have answered, or after `QUERY_TIMEOUT`.
+Processes are numbered as they connect. At most one is the predecessor; several may request to succeed this
+process, and the first of them takes over. A query (a callback or a manual drain) is forwarded to all
+processes except its sender; it is answered when all of them have answered, or after `QUERY_TIMEOUT`.
 
 Role transitions:
 
@@ -214,7 +214,7 @@
 
         match query:
             case ManualDrainQuery():
-                # The answer waits until the processes behind this one have applied the drain as well.
+                # Sent once the processes behind this one have applied the drain; always negative for drains.
                 self.actions.apply_manual_drain(query.backend_id, query.drained)
                 self._forward_query(now, query, lambda _: answer(False), sender=process)
             case CallbackQuery():
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from crankfold.protocol.discovery import DiscoveryEntry, EndpointDocument, encode_snapshot, without_weights
+from crankfold.protocol.discovery import DiscoveryEntry, EndpointDocument, snapshot_document, without_weights
 from crankfold.protocol.handover_messages import (
     DYNAMIC_WEIGHTS,
     FORMAT_VERSION,
@@ -80,7 +80,7 @@
         for backend, record in enumerate(registry.records)
         if record.endpoint.state != EndpointState.REMOVED
     ]
-    return encode_snapshot(entries) if entries else None
+    return snapshot_document(entries) if entries else None
 
 
 def _transferred_entry(request_handler: RequestHandler, backend: int) -> DiscoveryEntry:
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -168,10 +168,10 @@
         now = self.clock.now()
         window = request_class.deduplication_window
         return all(
-            earlier is attempt
-            or not earlier.may_have_run
-            or within_deduplication_window(now, earlier.created_at, window, STALL_ALLOWANCE_TICKS)
-            for earlier in request.attempts
+            other is attempt
+            or not other.may_have_run
+            or within_deduplication_window(now, other.created_at, window, STALL_ALLOWANCE_TICKS)
+            for other in request.attempts
         )
 
     # --- responses ---
--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -65,7 +65,7 @@
 
     def _respond_to_forwarded(self, client: ClientChannel, handled: bool | None) -> None:
         if not handled:
-            self._count_unknown_request()
+            self._count_unmatched_callback()
         if client.is_awaiting_response():
             # If no process knows the request, the callback is acknowledged, as a retry would change nothing.
             # If a process has not answered, the status makes the backend retry.
@@ -76,7 +76,7 @@
         """Handles the report that the backend has started to execute the request."""
         found = self._find_attempt(request_id, backend_id)
         if not found:
-            self._count_unknown_request()
+            self._count_unmatched_callback()
         elif not found.attempt.started:
             found.attempt.started = True
             self._notify_routing(self.owner.routing.attempt_started, found)
@@ -92,7 +92,7 @@
         if found:
             self._notify_routing(self.owner.routing.attempt_progressed, found)
         else:
-            self._count_unknown_request()
+            self._count_unmatched_callback()
 
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
@@ -108,7 +108,7 @@
         """
         found = self._find_attempt(request_id, backend_id)
         if not found:
-            self._count_unknown_request()
+            self._count_unmatched_callback()
             self.request_table.end_abandoned_attempts(request_id, self.backends.backend_ids.find(backend_id))
             self.cluster.abandoned_attempt_finished(request_id, backend_id)
             return
@@ -129,6 +129,6 @@
         backend = self.backends.backend_ids.find(backend_id)
         return self.request_table.find_active_attempt(request_id, backend)
 
-    def _count_unknown_request(self) -> None:
+    def _count_unmatched_callback(self) -> None:
         """Counts a callback for a request that has no attempt in flight at its backend, or is not in hand."""
         self.metrics.increment("callbacks-unknown-request")
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -25,7 +25,7 @@
         self.admitted: list[str] = []
         self.messages: list[tuple[str, Message]] = []
 
-    def admission_error(self, hello: Hello) -> str:
+    def admit(self, hello: Hello) -> str:
         self.admitted.append(hello.name)
         return ""
 
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -7,7 +7,7 @@
     DiscoveryEntry,
     DiscoveryError,
     decode_endpoints,
-    encode_snapshot,
+    snapshot_document,
     without_weights,
 )
 from crankfold.routing.interface import Endpoint, EndpointState
@@ -27,7 +27,7 @@
             "state": "terminating",
             "capacity_hint": 1.5,
         }
-        self.assertEqual(encode_snapshot([entry]), {"rev": 0, "all": True, "targets": [target]})
+        self.assertEqual(snapshot_document([entry]), {"rev": 0, "all": True, "targets": [target]})
 
     def test_without_weights_all_else_in_a_list_stays(self) -> None:
         document = {
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -184,7 +184,7 @@
         )
         for r in (0, 1):
             self.router.probe_ended(self.now, r, True, (0.0, 4.0))
-        self.backends[2].own_share = 1.0
+        self.backends[2].slow_start_share = 1.0
         for n in range(4):  # makes typical running times known
             self.receive_request(n, work=200)
             backend = int(self.lines[-1][-1])
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -73,7 +73,7 @@
         self.open_with(ready(0), instance_count=1)
         self.change(Endpoint(1, EndpointState.READY, 1.0, 0, 0, self.now))
         backend = self.router.state.table.backends[1]
-        backend.own_share = 1.0
+        backend.slow_start_share = 1.0
         random = self.router.state.random
         slow_start = self.router.slow_start
         before = random.state
@@ -93,7 +93,7 @@
         self.open_with(ready(0), instance_count=1)
         self.change(Endpoint(1, EndpointState.READY, 1.0, 0, 0, self.now))
         warm, warming = self.router.state.table.backends
-        warming.own_share = 1.0
+        warming.slow_start_share = 1.0
         warming.unstarted = 1
         before = self.router.state.random.state
         self.router.slow_start.draw_first_send_times(self.now, [warm, warming], 50.0 * MS)
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -65,7 +65,7 @@
             self.router.ejection.eject(self.now, self.backends[r])
         self.receive_request(0)
         for r in self.members:
-            self.backends[r].overloaded_until = self.now + 100 * MS
+            self.backends[r].backoff_until = self.now + 100 * MS
         self.receive_request(1)
         outside = int(self.lines[-1][-2:]) not in self.members
         self.say(f"outside the circle: {outside}")
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -119,7 +119,7 @@
         )
         for r in range(30):
             if not r % 2:
-                self.backends[r].overloaded_until = self.now + 10_000 * MS
+                self.backends[r].backoff_until = self.now + 10_000 * MS
             self.backends[r].slow_start_next = 1  # saved up long since
         for n in range(20):
             self.receive_request(n, work=20)
