--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request is sent, queued, hedged or answered, at its arrival and at later events."""
+"""Admission: whether a request is sent, queued, hedged or answered, on arrival and at later events."""
 
 from crankfold.routing.completion import Completion
 from crankfold.routing.concurrency_limit import ConcurrencyLimit
@@ -14,13 +14,13 @@
 from crankfold.time_units import TICKS_PER_SECOND
 
 REFRESH_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_UNSENT_REQUESTS = 3  # with one more that finds no backend, the pass over the queue ends
-SHORT_DEADLINE_SHARE = 0.5  # of the class's deadline; a shorter one was chosen by the client
-MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # since the first try, before a request counts as overdue
+MAX_UNSENT_REQUESTS = 3  # a pass over the queue ends when more requests than these find no backend
+SHORT_DEADLINE_SHARE = 0.5  # part of the class's deadline; a shorter one must be the client's own choice
+MIN_OVERDUE_AGE_TICKS = TICKS_PER_SECOND // 2  # a younger request, by its first try, is never overdue
 
 
 def first_try_at(now: int, arrival: RequestArrival, settings: RequestClass) -> int:
-    """Returns when the client first sent the request; the latency objective counts from there.
+    """Returns the tick at which the client first sent the request; its latency objective counts from then.
 
     A retry keeps the deadline of its first try, so the deadline shows how long ago that was. A request
     that is not marked as a retry and has little time left is the first try of a client with a short deadline.
@@ -28,7 +28,7 @@
     Args:
         now: Ticks.
         arrival: The request.
-        settings: Of its class.
+        settings: The settings of its class.
     """
     time_left = arrival.deadline - now
     has_own_deadline = not arrival.is_retry and time_left < SHORT_DEADLINE_SHARE * settings.deadline
@@ -41,10 +41,10 @@
 
 
 def is_too_late(now: int, request: PendingRequest, first_try: int) -> bool:
-    """Whether every response to a new request would come too late to have a value.
+    """Whether any response to a new request would come too late to have a value.
 
-    True if late responses have no value in its class, and its latest useful start has passed. As that start
-    depends on the expected work, it is relied on only if the work is hinted or the request is overdue.
+    That holds if late responses have no value in its class, and its latest useful start has passed. As that
+    start depends on the expected work, it counts only if the work is hinted or the request is overdue.
 
     Args:
         now: Ticks.
@@ -58,7 +58,7 @@
 
 
 class Admission:
-    """Sends, queues, hedges, retries and answers requests; each gets one final answer, by its deadline."""
+    """Sends, queues, hedges, retries and answers requests; each gets one final answer by its deadline."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._refresh_timer_set = False
 
     def admit(self, now: int, arrival: RequestArrival) -> None:
-        """Sends a new request, queues it, or answers it at once where no response can have a value.
+        """Sends a new request, queues it, or answers it at once if no response can have a value.
 
         Args:
             now: Ticks.
@@ -94,17 +94,17 @@
         if now >= request.deadline or is_too_late(now, request, first_try):
             self.completion.answer(request)
             return
-        warming_only = bool(self.queue) or self._limit.reached()  # queued ones go first
+        warming_only = bool(self.queue) or self._limit.reached()  # queued requests go first
         if not self._selection.try_send(now, request, warming_only):
             self._enqueue(now, request)
 
     def attempt_ended(self, now: int, request: PendingRequest, *, request_over: bool) -> None:
-        """Closes a request that is over, or retries one without an attempt in flight.
+        """Closes a request that is over, or retries one that has no attempt in flight.
 
         Args:
             now: Ticks.
             request: The request of the attempt.
-            request_over: Whether the client has its answer or waits for none.
+            request_over: Whether the client has its answer or does not wait for one.
         """
         if request.answered:
             self.completion.forget_if_over(request)
@@ -120,7 +120,7 @@
             self._enqueue(now, request)
 
     def review(self, now: int, request: PendingRequest) -> None:
-        """On the request's timer: answers it if its time is over, keeps it queued, or hedges it.
+        """Answers a request whose time is over, keeps it queued, or hedges it; called on the request's timer.
 
         Args:
             now: Ticks.
@@ -143,12 +143,12 @@
 
     def _enqueue(self, now: int, request: PendingRequest) -> None:
         self.queue.add(request)
-        if not self._refresh_timer_set:  # without it, only the end of an own attempt would drain the queue
+        if not self._refresh_timer_set:  # otherwise only the end of an own attempt would drain the queue
             self._set_refresh_timer()
         self._state.set_request_timer(now, request, latest_useful_start(request))
 
     def drain_queue_on_timer(self, now: int) -> None:
-        """Drains the queue, and sets the timer again unless it was empty.
+        """Drains the queue, and sets the timer again unless the queue was empty before.
 
         Args:
             now: Ticks.
@@ -159,7 +159,7 @@
             self._set_refresh_timer()
 
     def drain_queue(self, now: int) -> None:
-        """Sends queued requests that a backend has capacity for, the highest priority first.
+        """Sends the queued requests that a backend has capacity for, highest priority first.
 
         Args:
             now: Ticks.
@@ -171,7 +171,7 @@
             if self._selection.try_send(now, request, self._limit.reached()):
                 self.queue.discard(request)
             else:
-                unsent += 1  # the next may have a backend: this one may be bound to a full zone or cell
+                unsent += 1  # goes on to the next: this one may be restricted to a full zone or cell
             if unsent > MAX_UNSENT_REQUESTS:
                 return
 
--- a/crankfold/routing/retries.py
+++ b/crankfold/routing/retries.py
@@ -1,4 +1,4 @@
-"""Retry permission: whether, and where, a request may be attempted again."""
+"""Retry permission: whether a request may be attempted again, and at which backends."""
 
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.interface import DeduplicationScope, Idempotency
@@ -7,7 +7,7 @@
 
 
 def within_deduplication_window(now: int, sent_at: int, window: int, margin: int) -> bool:
-    """Whether backends still know the idempotency key of an attempt and would not execute it twice.
+    """Whether backends still know the idempotency key of an attempt, and so would not execute it twice.
 
     Args:
         now: Ticks.
@@ -19,7 +19,7 @@
 
 
 def scope_around(scope: DeduplicationScope, backend: Backend) -> AttemptScope:
-    """Returns the backends that know the idempotency keys which the given backend has seen."""
+    """Returns the scope of the backends that know the idempotency keys which the given backend has seen."""
     if scope == DeduplicationScope.ZONE:
         return AttemptScope(zone=backend.zone)
     if scope == DeduplicationScope.CELL:
@@ -28,21 +28,21 @@
 
 
 class RetryPolicy:
-    """Permits further attempts of a request that would not be executed twice."""
+    """Permits another attempt of a request if a second execution is impossible or harmless."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
 
     def permitted_scope(self, now: int, request: PendingRequest) -> AttemptScope | None:
-        """Returns where another attempt may go; None where none is permitted.
+        """Returns the backends that another attempt may be sent to; None if no attempt is permitted.
 
-        Permitted while attempts are left and each earlier attempt has certainly not been executed, is of an
-        idempotent request, or has a key that is still within its deduplication window. In the last case the
-        attempt has to stay within the deduplication scope.
+        An attempt is permitted while attempts are left and each earlier one was certainly not executed, is of
+        an idempotent request, or has an idempotency key within its deduplication window. In the last case the
+        new attempt has to stay within the deduplication scope.
 
         Args:
             now: Ticks.
-            request: With its attempts so far.
+            request: The request, with its attempts so far.
         """
         if not self._attempts_left(request):
             return None
@@ -59,9 +59,9 @@
         return scope
 
     def _attempts_left(self, request: PendingRequest) -> bool:
-        """Whether the request has attempts left, by the settings at its arrival and by those now in force."""
+        """Whether the request has attempts left under the settings at its arrival and the present ones."""
         return len(request.attempts) < min(request.max_attempts, self._state.config.max_attempts)
 
     def _is_deduplicated(self, now: int, attempt: Attempt, window: int) -> bool:
-        # The margin covers a late timer: the decision may be acted on that much later than `now`.
+        # The margin covers late timers: the attempt may be sent that much later than `now`.
         return within_deduplication_window(now, attempt.sent_at, window, self._state.clock_margin)
--- a/crankfold/routing/scoring.py
+++ b/crankfold/routing/scoring.py
@@ -1,12 +1,12 @@
-"""Scoring: the backend with the least outstanding work for its weight, ties at random.
+"""Scoring: chooses the backend with the least outstanding work for its weight, ties at random.
 
 The score of a backend is
 
     (reported queue + own slots in flight + slots of the request) / weight
 
-`Backend.load` is the reported queue and the own slots together. `Backend.score_factor` is one over the
-weight, larger for a backend that is slow or warming up. Two kinds of requests are scored otherwise: in a
-subset of a large fleet only the queue beyond the backend's slots counts, and with a key the fetch of its data
+`Backend.load` is the sum of the reported queue and the own slots. `Backend.score_factor` is one over the
+weight, and larger for a backend that is slow or warming up. There are two exceptions: in a subset of a large
+fleet only the queue beyond the backend's slots counts, and for a request with a key the fetch of its data
 counts too.
 """
 
@@ -14,21 +14,21 @@
 from crankfold.routing.random_generator import RandomGenerator
 from crankfold.routing.records import PendingRequest
 
-FETCH_COST_SLOTS = 3.0  # of work that fetching the data of a key counts as
+FETCH_COST_SLOTS = 3.0  # fetching the data of a key counts as this much load
 
 
 def least_loaded(
-    request: PendingRequest, backends: Backends, random: RandomGenerator, *, sparse: bool
+    request: PendingRequest, backends: Backends, random: RandomGenerator, *, uses_subset: bool
 ) -> Backend:
-    """Returns the backend with the smallest score; equal scores are decided at random.
+    """Returns the backend with the smallest score; ties are broken at random.
 
     Args:
-        request: The request to be sent.
+        request: The request to send.
         backends: One or more candidates; for a request with a key the most preferred one first.
-        random: Decides ties.
-        sparse: Whether this instance knows little of what the others send.
+        random: Breaks ties.
+        uses_subset: Whether this instance sends to a subset, and so knows little about the load of others.
     """
-    if sparse:
+    if uses_subset:
         scores = _scores_by_queue(backends)
     elif request.key:
         scores = _scores_with_fetch_cost(request.slots, backends)
@@ -44,15 +44,15 @@
 
 
 def _scores_with_fetch_cost(slots: float, backends: Backends) -> list[float]:
-    """Scores by load, and by the fetch of the key's data at all but the most preferred backend."""
+    """Scores by load, plus the cost of fetching the key's data at all but the most preferred backend."""
     preferred = backends[0]
     return [(b.load + slots + FETCH_COST_SLOTS * (b is not preferred)) * b.score_factor for b in backends]
 
 
 def _scores_by_queue(backends: Backends) -> list[float]:
-    """Scores by the load beyond the backend's slots, and by the own slots there.
+    """Scores by the load beyond the backend's slots, plus this instance's own slots there.
 
-    All instances see the same busy slots, late, and by them would all choose the backend with the largest
-    weight.
+    Busy slots below the capacity do not count: all instances see the same outdated number of them, and would
+    all choose the backend with the largest weight.
     """
     return [(max(b.load - b.capacity, 0.0) + b.own_slots) * b.score_factor for b in backends]
--- a/crankfold/routing/selection.py
+++ b/crankfold/routing/selection.py
@@ -31,7 +31,7 @@
 
         Args:
             now: Ticks.
-            request: The request; it gets one attempt more if this succeeds.
+            request: The request to send.
             warming_only: Whether only a backend in slow start may take it.
 
         Returns:
@@ -46,6 +46,6 @@
         eligible = self.candidates.eligible(now, request, scope, work, warming_only=warming_only)
         if not eligible:
             return False
-        backend = least_loaded(request, eligible, self._state.random, sparse=self._state.sparse)
+        backend = least_loaded(request, eligible, self._state.random, uses_subset=self._state.uses_subset)
         self._sender.send(now, request, backend)
         return True
--- a/crankfold/routing/slow_start.py
+++ b/crankfold/routing/slow_start.py
@@ -4,27 +4,29 @@
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
-BUDGET_SHARE = 0.5  # of what the settings allow all instances together; the other half is a reserve
-MIN_PACE_RATIO = 1.0  # lowest budget, as a ratio to the present capacity
+BUDGET_SHARE = 0.5  # part of what the settings allow all instances together; the other half is a reserve
+MIN_BUDGET_RATIO = 1.0  # lowest budget, as a ratio to the present capacity
 
 
 class SlowStart:
-    """Limits what is sent to a warming backend to this instance's share of a budget that grows with time."""
+    """Limits what this instance sends to a warming backend to its share of a budget that grows with time."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
         self._initial_capacity = state.config.initial_capacity  # share of the full capacity
         self._warm_up_time = state.config.warm_up_time  # ticks
-        self._pace = max(BUDGET_SHARE * state.config.overload_factor, MIN_PACE_RATIO)
+        self._budget_ratio = max(BUDGET_SHARE * state.config.overload_factor, MIN_BUDGET_RATIO)
         self._max_burst = state.config.overload_period  # ticks of budget that one request may take
         self.all_warm_from = 0  # ticks; from then on no ready backend is in slow start
 
     def capacity_share(self, now: int, backend: Backend) -> float:
         """Returns the share of its full capacity that a backend has at least.
 
+        The share grows linearly during the warm-up and is 1 afterwards.
+
         Args:
             now: Ticks.
-            backend: Warm, or anywhere in its warm-up, along which the share grows evenly.
+            backend: A warm or warming backend.
         """
         if backend.warm_from <= now:
             return 1.0
@@ -32,16 +34,16 @@
         return self._initial_capacity + (1.0 - self._initial_capacity) * max(age, 0) / self._warm_up_time
 
     def draw_first_send_times(self, now: int, backends: Backends, work: float) -> None:
-        """Draws when each warming backend may be sent its first request, where that is not drawn yet.
+        """Draws the time from which each warming backend may be sent its first request, once per backend.
 
-        The time is random within the first interval between two requests: without it, the first requests of
-        hundreds of instances would overload the backend together. None is drawn for a backend that may not
-        be sent this request at all.
+        The time is random within the first interval between two requests. Otherwise the simultaneous first
+        requests of hundreds of instances would overload the backend. No time is drawn for a backend that
+        cannot be sent this request at all.
 
         Args:
             now: Ticks.
             backends: The candidates; times are drawn in their order.
-            work: Slot-ticks that an attempt is charged as.
+            work: Slot-ticks that an attempt is charged for.
         """
         if now >= self.all_warm_from:
             return
@@ -52,25 +54,26 @@
                 backend.slow_start_next = now + self._state.random.below(interval)
 
     def admits(self, now: int, backend: Backend, work: float) -> bool:
-        """Whether a warming backend may be sent an attempt now, once its first send time is drawn.
+        """Whether a warming backend may be sent an attempt now.
 
-        Permitted if the backend has started all its earlier attempts, and its budget has saved up the work.
+        An attempt is permitted if the backend has started all earlier ones, and the budget has had time to
+        cover the work that was charged before.
 
         Args:
             now: Ticks.
-            backend: A backend in slow start.
-            work: Slot-ticks that an attempt is charged as.
+            backend: A backend in slow start whose first send time has been drawn.
+            work: Slot-ticks that an attempt is charged for.
         """
         return now >= backend.slow_start_next and self._fits_budget(now, backend, work)
 
     def _fits_budget(self, now: int, backend: Backend, work: float) -> bool:
-        """Whether the backend has no unstarted attempt, and its budget can save up as much as the work."""
+        """Whether the backend has no unstarted attempt, and its budget can save up enough for the work."""
         if backend.unstarted or not backend.slow_start_share:
             return False
         return work <= self._max_burst * self._budget(now, backend)
 
     def charge(self, now: int, backend: Backend, work: float) -> None:
-        """Takes `work` slot-ticks from the budget: the next attempt waits until as much is saved up again."""
+        """Takes `work` slot-ticks from the budget; the next attempt waits until they are saved up again."""
         backend.slow_start_next = now + int(work / (self._budget(now, backend) * backend.slow_start_share))
 
     def ends_in_time(self, now: int, request: PendingRequest, backend: Backend) -> bool:
@@ -79,12 +82,12 @@
         Args:
             now: Ticks.
             request: A request with hinted work.
-            backend: A backend in slow start; it runs slower by its share of capacity.
+            backend: A backend in slow start; its present share of capacity lengthens the run.
         """
         run = request.work * self._state.averages.run_per_work * (backend.capacity or 1.0)
         return now + run / (backend.weight * self.capacity_share(now, backend)) <= request.objective_at
 
     def _budget(self, now: int, backend: Backend) -> float:
-        """Returns how many slots of the backend all instances together may keep busy."""
+        """Returns how many slots of the backend all instances together may keep busy while it warms up."""
         share = self.capacity_share(now, backend)
-        return self._pace * self._state.averages.slots_per_weight * backend.weight * share
+        return self._budget_ratio * self._state.averages.slots_per_weight * backend.weight * share
--- a/crankfold/routing/state.py
+++ b/crankfold/routing/state.py
@@ -29,7 +29,7 @@
         has_own_index: Whether the index is configured, so that no other instance has the same.
         clock_margin: Ticks by which timers may be late, before and after an event.
         keys_seen: Whether a request had an affinity key.
-        sparse: Whether the subset is a small part of the fleet, so that little is known of other instances.
+        uses_subset: Whether requests go to a part of the fleet, so that little is known of other instances.
     """
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions, short_share: float) -> None:
@@ -55,7 +55,7 @@
         self.weights_follow_load = config.weights_follow_load
         self.key_affinity = config.key_affinity
         self.keys_seen = False
-        self.sparse = False
+        self.uses_subset = False
 
     def set_config(self, config: RoutingConfig, new_rows: Collection[int]) -> None:
         """Applies a changed configuration; the classes at `new_rows` replace unrelated ones."""
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -1,8 +1,8 @@
 """Subsetting: the part of a large fleet that this instance sends to (deterministic aperture).
 
-One of many instances knows little of what the others send. It sends to as many backends as its own traffic
-keeps busy, so that its own attempts are a large part of their load. All instances order the backends in the
-same ring, and each draws its subset evenly along it.
+Each of many instances knows little about what the others send. It therefore sends only to as many backends
+as its own traffic keeps busy, so that its own attempts are a large part of their load. All instances order
+the backends in the same ring, and each draws its subset evenly along the ring.
 """
 
 from math import ceil, gcd, inf
@@ -13,24 +13,24 @@
 from crankfold.routing.state import RoutingState
 
 MIN_SUBSET_BACKENDS = 5
-MIN_SHORT_SUBSET_BACKENDS = 3  # of the subset, for short requests
+MIN_SHORT_SUBSET_BACKENDS = 3  # members of the subset that are kept for short requests
 MAX_SLOW_START_SENDERS = 5  # instances that share the budget of one warming backend
-MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to which each knows enough of the load of all backends
-SHARE_STEPS = 64  # in which the share of short requests is counted
-SHARE_TOLERANCE_STEPS = 8  # by which it may change before the subset is drawn anew
-MIN_SHORT_SHARE = 0.25  # of the fleet, for short requests
-MIN_OBSERVED_REQUESTS = 10  # before their slots decide whether short requests need separate backends
-# The size of a subset changes only if the wanted size is under 3/5 or over 6/5 of it, as little is known of
-# the load of new members. In integers, so that the comparison is exact.
+MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to this number, each knows enough about the load of all backends
+SHARE_STEPS = 64  # the share of short requests is a multiple of 1 / SHARE_STEPS
+SHARE_TOLERANCE_STEPS = 8  # a smaller change of that share does not cause a new draw
+MIN_SHORT_SHARE = 0.25  # part of the fleet that is kept for short requests
+MIN_OBSERVED_REQUESTS = 10  # needed before their slots decide whether short requests get separate backends
+# The size of a subset changes only if the wanted size is under 3/5 or over 6/5 of it, as little is known
+# about the load of new members. The ratios are integers so that the comparison is exact.
 SIZE_RATIO_DENOMINATOR = 5
 MIN_SIZE_RATIO_NUMERATOR = 3
 MAX_SIZE_RATIO_NUMERATOR = 6
 GOLDEN_RATIO_32 = 0x9E3779B1  # 2^32 over the golden ratio: multiples of it are spread evenly
-MIDDLE = 0.5  # of the part of a segment that belongs to an instance
+MIDDLE = 0.5  # an instance draws at the middle of its part of a segment
 
 
 class Subset:
-    """Draws the subset, within it the backends for short requests, and shares of slow-start budgets."""
+    """Draws the subset, its members for short requests, and the own shares of slow-start budgets."""
 
     def __init__(self, state: RoutingState, slow_start: SlowStart, limit: ConcurrencyLimit) -> None:
         self._state = state
@@ -45,13 +45,13 @@
         self._is_current = False
 
     def endpoints_changed(self) -> None:
-        """Orders the ring anew, zone by zone, so that each subset has its share of each zone."""
+        """Sorts the ring again, zone by zone, so that each subset has its share of each zone."""
         ready = self._state.table.ready
         self._ring = sorted(ready, key=lambda backend: (backend.zone, backend.endpoint.hash_position))
         self._is_current = False
 
     def refresh(self, now: int) -> None:
-        """Draws the members anew if the endpoints, the size or the share of short requests have changed.
+        """Redraws the members if the endpoints, the wanted size or the share of short requests have changed.
 
         Args:
             now: Ticks.
@@ -63,8 +63,8 @@
         self._size = size
         self._short_share = share
         self._is_current = now >= self._slow_start.all_warm_from
-        self._state.sparse = self._needs_subset()
-        if self._state.sparse:
+        self._state.uses_subset = self._needs_subset()
+        if self._state.uses_subset:
             self._draw(now)
         else:
             self._use_all_ready_backends()
@@ -72,12 +72,15 @@
         self._limit.scale(sum(b.weight * self._slow_start.capacity_share(now, b) for b in ready))
 
     def _needs_subset(self) -> bool:
-        """Whether instances are many, the fleet is larger than the subset, and no keys restrict requests."""
+        """Whether instances are many, the fleet exceeds the subset, and no request had an affinity key."""
         many_instances = self._state.instance_count > MAX_INSTANCES_WITHOUT_SUBSETS
         return len(self._state.table.ready) > self._size and many_instances and not self._state.keys_seen
 
     def _wanted_size(self) -> int:
-        """Returns how many backends the traffic keeps busy: arrivals per tick, times their mean work."""
+        """Returns how many backends the traffic keeps busy: arrivals per tick times their mean work.
+
+        Returns the present size if the result is close to it.
+        """
         averages = self._state.averages
         mean_work = averages.total_work / averages.request_count
         busy = ceil(averages.arrivals / (averages.observed_time or inf) * mean_work)
@@ -88,10 +91,10 @@
         return self._size if min_scaled <= scaled <= max_scaled else size
 
     def _wanted_short_share(self) -> int:
-        """Returns the share of backends for short requests, in steps; 0 where all requests share backends.
+        """Returns the share of backends for short requests, in steps; 0 if all requests share the backends.
 
-        The score of a backend does not count how long its requests run. Where an instance cannot see which
-        backends execute a long request, or one of several slots, short requests would wait behind it.
+        The score of a backend does not consider how long its requests run. An instance cannot see which
+        backends execute a long request, or one of several slots, and short requests would wait behind it.
         """
         averages = self._state.averages
         few_observed = averages.request_count < MIN_OBSERVED_REQUESTS
@@ -134,8 +137,8 @@
 
         Args:
             now: Ticks.
-            ring: Backends in ring order. Those that are not drawn have no share of the slow-start budget.
-            size: Backends to be drawn, if all are warm.
+            ring: Backends in ring order. Those that are not drawn get no share of the slow-start budget.
+            size: Number of backends to draw if all are warm.
         """
         total = sum(b.weight for b in ring)
         warm = sum(b.weight for b in ring if b.warm_from <= now)
@@ -159,8 +162,8 @@
         """Returns this instance's share of the slow-start budget of a backend that it has drawn.
 
         Args:
-            instances_per_sender: One in so many instances draws the backend, where indices are configured.
-                Instances that chose their index at random may all draw it.
+            instances_per_sender: With configured indices, one in this many instances draws the backend.
+                Instances with random indices may all draw it, so each gets an equal share.
         """
         if not self._state.has_own_index:
             return 1.0 / self._state.instance_count
@@ -169,8 +172,8 @@
     def _position_in_segment(self, segment: int) -> float:
         """Returns this instance's position within a segment of the ring, from 0 to 1.
 
-        The positions of the instances are evenly spaced, in another order in each segment, so that no two
-        instances share all their backends.
+        The positions of the instances are evenly spaced, in a different order in each segment, so that no
+        two instances share all their backends.
         """
         count = self._state.instance_count
         factor = (2 * segment + 1) * GOLDEN_RATIO_32 % count
