--- a/crankfold/routing/__init__.py
+++ b/crankfold/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: which backend gets a request, when and how often; the types by which they are called."""
+"""Routing decisions: which backend gets a request, when and how often, and the types that callers use."""
--- a/crankfold/routing/affinity.py
+++ b/crankfold/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: the backends that keep the data of a request's key, by rendezvous hashing."""
+"""Affinity: the preferred backends of a key, which cache its data, by rendezvous hashing."""
 
 from crankfold.routing.backend_table import Backends
 from crankfold.routing.concurrency_limit import max_load_ratio
@@ -6,24 +6,24 @@
 from crankfold.routing.records import PendingRequest
 from crankfold.routing.state import RoutingState
 
-PREFERRED_BACKENDS = 2  # for each key
+PREFERRED_BACKENDS = 2  # per key
 
 
 class KeyAffinity:
-    """Finds the preferred backends of a key; every instance derives the same order."""
+    """Finds the preferred backends of a key; all instances derive the same order."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
         self._order_of_key: dict[int, Backends] = {}
 
     def endpoints_changed(self) -> None:
-        """Forgets the orders, which follow the ready backends and their weights."""
+        """Drops the cached orders, which depend on the ready backends and their weights."""
         self._order_of_key.clear()
 
     def preferred(self, request: PendingRequest, candidates: Backends) -> Backends:
-        """Returns the key's first backends in rendezvous order, most preferred first.
+        """Returns the first candidates in the rendezvous order of the key, most preferred first.
 
-        Backends with more load than `max_load_ratio` allows are passed over, so the result may be empty.
+        Backends with more load than `max_load_ratio` allows are skipped, so the result may be empty.
 
         Args:
             request: A request with a key.
@@ -36,12 +36,12 @@
         return [b for b in order if b in with_short_wait][:PREFERRED_BACKENDS]
 
     def _rendezvous_order(self, key: int) -> Backends:
-        """All ready backends; each is first for a share of all keys in proportion to its weight."""
+        """Returns all ready backends; each is first for a share of all keys proportional to its weight."""
         order = self._order_of_key.get(key)
         if order is None:
             ready = self._state.table.ready
             order = sorted(
-                ready, key=lambda each: hash_weight(key, each.endpoint.hash_position) / each.weight
+                ready, key=lambda backend: hash_weight(key, backend.endpoint.hash_position) / backend.weight
             )
             self._order_of_key[key] = order
         return order
--- a/crankfold/routing/attempt_sender.py
+++ b/crankfold/routing/attempt_sender.py
@@ -7,11 +7,11 @@
 from crankfold.routing.slow_start import SlowStart
 from crankfold.routing.state import RoutingState
 
-UNHINTED_WORK_FACTOR = 2  # on the typical running time, which unhinted work may exceed
+UNHINTED_WORK_FACTOR = 2  # unhinted work may exceed the typical running time, so it is charged by this factor
 
 
 def charged_work(request: PendingRequest) -> float:
-    """Returns the work, in slot-ticks, that is charged to the budgets for an attempt of the request."""
+    """Returns the work, in slot-ticks, that an attempt of the request is charged for."""
     return request.slots * (request.work or UNHINTED_WORK_FACTOR * request.request_class.typical_run)
 
 
@@ -31,9 +31,9 @@
 
         Args:
             now: Ticks.
-            request: Gets one attempt more.
-            backend: Where the attempt goes. In slow start, its budget is charged in place of the concurrency
-                limit.
+            request: The request; the attempt is added to it.
+            backend: The backend. An attempt in slow start is charged to the slow-start budget instead of the
+                concurrency limit.
         """
         work = charged_work(request)
         in_slow_start = backend.warm_from > now
@@ -43,7 +43,7 @@
         if self._state.start_notifications:
             backend.unstarted += 1
         elif backend.load <= backend.capacity:
-            attempt.started_at = now  # a backend with a free slot starts at once
+            attempt.started_at = now  # a backend with a free slot starts it at once
         if in_slow_start:
             self._slow_start.charge(now, backend, work)
         else:
--- a/crankfold/routing/completion.py
+++ b/crankfold/routing/completion.py
@@ -1,4 +1,4 @@
-"""Completion: final answers to requests without a response, and the end of answered requests."""
+"""Completion: final answers to requests without a response, and the removal of answered requests."""
 
 from crankfold.routing.final_answer import FinalAnswer, final_answer
 from crankfold.routing.records import PendingRequest
@@ -10,7 +10,7 @@
 
 
 class Completion:
-    """Answers and closes requests."""
+    """Answers, closes and removes requests."""
 
     def __init__(self, state: RoutingState, queue: RequestQueue) -> None:
         self._state = state
@@ -28,13 +28,13 @@
         self.close(request)
 
     def close(self, request: PendingRequest) -> None:
-        """Closes a request that needs no further answer; cancels its attempts, which would occupy slots."""
+        """Closes a request that needs no further answer, and cancels its attempts, which occupy slots."""
         request.answered = True
         self._queue.discard(request)
         self._state.cancel_attempts(request)
         self.forget_if_over(request)
 
     def forget_if_over(self, request: PendingRequest) -> None:
-        """Drops the record of an answered request without attempts in flight."""
+        """Removes the record of an answered request that has no attempt in flight."""
         if request.answered and not request.in_flight:
             self._state.requests.pop(request.request_id, None)
--- a/crankfold/routing/final_answer.py
+++ b/crankfold/routing/final_answer.py
@@ -1,4 +1,4 @@
-"""The final answer of a request that ends without a response of a backend: shed or failed."""
+"""Final answer: whether a request without a response from a backend is shed or failed."""
 
 from enum import Enum, auto
 
@@ -6,20 +6,20 @@
 
 
 class FinalAnswer(Enum):
-    """The answer to the client of a request without a result."""
+    """The answer to the client of a request that has no result."""
 
     SHED = auto()  # a retry is harmless
     FAILED = auto()  # the request may have been executed, and a retry may execute it again
 
 
 def final_answer(settings: RequestClass, *, may_have_executed: bool) -> FinalAnswer:
-    """Returns which answer is due.
+    """Returns the answer to a request that has no result.
 
-    Shed promises that a retry is harmless. That holds if no attempt can have been executed, if executing the
+    SHED promises that a retry is harmless. That holds if no attempt can have been executed, if executing the
     request again does no harm, or if all backends know its idempotency key.
 
     Args:
-        settings: Of the request's class.
+        settings: The settings of the request's class.
         may_have_executed: Whether an attempt of the request may have been executed.
     """
     if not may_have_executed or settings.idempotency == Idempotency.IDEMPOTENT:
--- a/crankfold/routing/hashing.py
+++ b/crankfold/routing/hashing.py
@@ -1,9 +1,9 @@
-"""Hash weights for rendezvous hashing, the same in every process."""
+"""Hash weights for rendezvous hashing, equal in every process."""
 
 from math import log
 
 _POSITION_STEPS = 0x100000  # a hash position is rounded to 20 bits
-# Multipliers are those of SplitMix64.
+# The multipliers are those of SplitMix64.
 _GOLDEN_GAMMA = 0x9E3779B97F4A7C15
 _FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
 _SECOND_MULTIPLIER = 0x94D049BB133111EB
@@ -15,9 +15,10 @@
 
 
 def hash_weight(key: int, position: float) -> float:
-    """Gives a key and a backend's hash position an exponentially distributed weight, mean 1.
+    """Returns an exponentially distributed hash, with mean 1, of a key and a backend's hash position.
 
-    Divided by the backend's weight and sorted, these put each backend first for its part of all keys.
+    If backends are sorted by this value divided by their weight, each is first for a share of all keys
+    proportional to its weight.
     """
     mixed = (key ^ int(position * _POSITION_STEPS) * _GOLDEN_GAMMA) * _FIRST_MULTIPLIER
     mixed &= _MASK_64
--- a/crankfold/routing/load_reports.py
+++ b/crankfold/routing/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: the estimate of each backend's load and its score factor, and which backends are probed."""
+"""Load reports: the estimated load and the score factor of each backend, and which backends are probed."""
 
 from collections.abc import Sequence
 
@@ -8,14 +8,15 @@
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-REPORT_MAX_AGE_TICKS = 5 * TICKS_PER_SECOND  # an older report is no basis to compare backends
-REPORT_WEIGHT = 0.12  # of one report in the estimate
+REPORT_MAX_AGE_TICKS = 5 * TICKS_PER_SECOND  # backends are not compared by older reports
+REPORT_WEIGHT = 0.12  # weight of one report in the estimated load
 PROBE_INTERVAL_TICKS = 2 * TICKS_PER_SECOND  # between two probes of a backend
-SLOWNESS_TOLERANCE_RATIO = 2.0  # of running time to the median, by which types of backends differ anyway
+# Running times of instance types differ by up to this ratio, so only a slower backend gets a worse score.
+SLOWNESS_TOLERANCE_RATIO = 2.0
 
 
 class LoadReports:
-    """Keeps the estimates of load and the factors by which backends are scored."""
+    """Updates the estimated load and the score factors of backends, and probes backends for reports."""
 
     def __init__(self, state: RoutingState, slow_start: SlowStart) -> None:
         self._state = state
@@ -27,14 +28,14 @@
         self._last_probed = 0  # index among the members of the subset
 
     def record(self, now: int, backend: Backend, report: Sequence[float]) -> None:
-        """Updates the estimate of a backend's load and capacity by a report.
+        """Updates the estimated load and the capacity of a backend from a report.
 
-        A report equal to the last one is ignored: it may be the same report again, which does not include the
-        attempts sent since.
+        A report equal to the previous one is ignored: it may be the same report again, which does not include
+        the attempts sent since then.
 
         Args:
             now: Ticks.
-            backend: Whose report it is.
+            backend: The backend that sent the report.
             report: Values in the order of the configured fields.
         """
         if report == backend.report:
@@ -46,19 +47,19 @@
         self._state.table.learn_capacity(backend, max(free, own_busy))
         if not (self._state.weights_follow_load and self._state.keys_seen):
             busy = max(backend.capacity - free, 0.0)
-            backend.blend_queue(now, max(self._fields.queue(report), 0.0) + busy, REPORT_WEIGHT)
+            backend.update_reported_queue(now, max(self._fields.queue(report), 0.0) + busy, REPORT_WEIGHT)
 
     def refresh(self, now: int, members: Backends) -> None:
-        """Updates the averages over the members of the subset, and their score factors, at `now` ticks."""
+        """Updates the averages over the members of the subset, and their score factors, at tick `now`."""
         with_fresh_report = [b for b in members if now - b.reported_at < REPORT_MAX_AGE_TICKS]
         self._state.averages.refresh(now, with_fresh_report, members)
         self.update_scores(now, members)
 
     def update_scores(self, now: int, backends: Backends) -> None:
-        """Replaces expired reports by the mean queue, and computes the score factors anew, at `now` ticks.
+        """Replaces expired reports by the mean queue, and recomputes the score factors, at tick `now`.
 
-        The score factor is one over the weight. It is larger for a backend that is slow against the median,
-        or in slow start.
+        The score factor is one over the weight. It is larger for a backend that is in slow start, or slow
+        compared with the median.
         """
         averages = self._state.averages
         for backend in backends:
@@ -70,10 +71,10 @@
             backend.score_factor = penalty / (backend.weight * self._slow_start.capacity_share(now, backend))
 
     def probe(self, now: int, members: Backends, interval: int) -> None:
-        """Probes the next members in turn, as many as are due in an interval.
+        """Probes the next members in turn, so that each has its turn once per `PROBE_INTERVAL_TICKS`.
 
-        Where reports come by probe alone, each of them is probed, elsewhere only those that have given no
-        response for `PROBE_INTERVAL_TICKS`.
+        If load reports come from probes, each member is probed in its turn, else only a member that has not
+        responded for `PROBE_INTERVAL_TICKS`.
 
         Args:
             now: Ticks.
--- a/crankfold/routing/membership.py
+++ b/crankfold/routing/membership.py
@@ -1,4 +1,4 @@
-"""Membership: which backends there are, their size, and the load that listed weights may show."""
+"""Membership: which backends exist, their size, and the load if listed weights follow it."""
 
 from collections.abc import Sequence
 
@@ -8,8 +8,8 @@
 from crankfold.routing.state import RoutingState
 from crankfold.time_units import TICKS_PER_SECOND
 
-MIN_LISTED_LIMIT_ATTEMPTS = 1.0  # where the limit is adjusted by listed weights
-ADJUST_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # between two adjustments of the limit by listed weights
+MIN_LISTED_LIMIT_ATTEMPTS = 1.0  # lowest limit if listed weights adjust it
+ADJUST_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # shortest time between two such adjustments
 
 
 class Membership:
@@ -26,7 +26,7 @@
         Args:
             now: Ticks.
             endpoints: All endpoints, or those that have changed.
-            snapshot: Whether the list is complete; backends that it does not name are removed.
+            snapshot: Whether the list is complete; backends that are not in it are removed.
         """
         table = self._state.table
         table.update(now, endpoints, snapshot=snapshot)
@@ -37,19 +37,19 @@
     def _separate_load_from_size(self, now: int) -> None:
         """Reads size and load of each backend from weights that follow the load, and adjusts the limit.
 
-        All instances see the same weights, late, and would all choose the same backends by them. So the
-        weights count as load reports only where keys restrict the choice.
+        All instances see the same outdated weights, and would all choose the same backends by them. So
+        weights count as load reports only if requests have affinity keys, which restrict the choice.
         """
         for backend in self._state.table.ready:
-            self._state.table.separate_load(backend)
+            self._state.table.derive_size_and_utilization(backend)
             if self._state.keys_seen and backend.capacity:
-                backend.blend_queue(now, backend.utilization * backend.capacity, 1.0)
+                backend.update_reported_queue(now, backend.utilization * backend.capacity, 1.0)
                 backend.reported_at = now
         if now - self._limit.adjusted_at >= ADJUST_INTERVAL_TICKS:
             self._adjust_limit(now)
 
     def _adjust_limit(self, now: int) -> None:
-        """Shrinks the limit where the warm backends hold more work than latency objectives allow."""
+        """Shrinks the limit if the warm backends have more work than latency objectives allow."""
         load = 0.0
         size = 0.0
         for backend in self._state.table.ready:
--- a/crankfold/routing/outlier_ejection.py
+++ b/crankfold/routing/outlier_ejection.py
@@ -17,9 +17,7 @@
 ERROR_WEIGHT = 0.3  # weight of the latest outcome in the error rate
 MAX_ERROR_RATE = 0.45  # a backend with a higher rate is ejected
 FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN, Outcome.UNREACHABLE)
-MIN_TRUSTED_DIVISOR = (
-    3  # ejections are ignored if at most 1 / MIN_TRUSTED_DIVISOR of the backends are trusted
-)
+MIN_TRUSTED_DIVISOR = 3  # ejections are ignored if at most one in this many backends is trusted
 MIN_COMPARABLE_BACKENDS = 3  # with fewer, a majority of ejected backends does not show a common cause
 
 MAX_SILENCE_TICKS = TICKS_PER_SECOND  # a backend that is silent for longer after an attempt is ejected
--- a/crankfold/routing/random_generator.py
+++ b/crankfold/routing/random_generator.py
@@ -1,4 +1,4 @@
-"""The random numbers of the routing: seeded, so that the same events give the same actions."""
+"""Random numbers of the router, seeded so that the same events lead to the same actions."""
 
 _MASK_64 = 0xFFFFFFFFFFFFFFFF
 _MULTIPLIER = 6364136223846793005
--- a/crankfold/routing/records.py
+++ b/crankfold/routing/records.py
@@ -1,4 +1,4 @@
-"""The records of requests in hand, of their attempts and of the request classes.
+"""The records of pending requests, of their attempts and of the request classes.
 
 Times, durations and work are ticks.
 """
@@ -6,18 +6,18 @@
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.interface import RequestClass
 
-DEADLINE_RUNS = 10  # typical running times that a deadline is assumed to cover, before any was seen
+ASSUMED_RUNS_PER_DEADLINE = 10  # typical running times that a deadline covers, until one was measured
 MIN_TYPICAL_RUN_TICKS = 1.0
-UNKNOWN = -1  # tick of an event that is not known
+NOT_STARTED = -1  # in place of the tick of a start that is not known
 
 
 class ClassRecord:
     """A request class: its settings in force, and figures of its requests.
 
     Attributes:
-        settings: In force.
-        offered_value: Of the requests that came in, decaying.
-        earned_value: Of those completed in time, decaying.
+        settings: The settings in force.
+        offered_value: Decaying sum of the values of received requests.
+        earned_value: Decaying sum of the values of requests completed in time.
         typical_run: Moving average of the running time.
     """
 
@@ -28,23 +28,23 @@
         self.offered_value = 0.0
         self.earned_value = 0.0
         self.typical_run = 0.0
-        self.forget_run()
+        self.reset_typical_run()
 
-    def forget_run(self) -> None:
-        """Resets the typical running time to an assumption from the deadline."""
-        self.typical_run = max(self.settings.deadline / DEADLINE_RUNS, MIN_TYPICAL_RUN_TICKS)
+    def reset_typical_run(self) -> None:
+        """Resets the typical running time to a value assumed from the deadline."""
+        self.typical_run = max(self.settings.deadline / ASSUMED_RUNS_PER_DEADLINE, MIN_TYPICAL_RUN_TICKS)
 
 
 class Attempt:
     """One attempt to have a request executed by a backend.
 
     Attributes:
-        backend: Where it was sent.
+        backend: The backend that it was sent to.
         sent_at: When it was sent.
-        last_seen_at: When the backend last notified its start or progress.
-        started_at: When it started, UNKNOWN before.
-        slow_start: Charged to the slow-start budget, and not to the concurrency limit.
-        in_flight: Whether its end is still expected.
+        last_seen_at: When the backend last notified its start or progress; at first, when it was sent.
+        started_at: When it started; NOT_STARTED before.
+        slow_start: Whether it is charged to the slow-start budget instead of the concurrency limit.
+        in_flight: Whether it has not ended yet.
         may_have_executed: Whether the backend may have executed the request.
     """
 
@@ -62,7 +62,7 @@
         self.backend = backend
         self.sent_at = now
         self.last_seen_at = now
-        self.started_at = UNKNOWN
+        self.started_at = NOT_STARTED
         self.slow_start = slow_start
         self.in_flight = True
         self.may_have_executed = True
@@ -75,14 +75,14 @@
         request_id: Index of the request.
         request_class: Its class.
         deadline: When its final answer is due, less the margin for late timers.
-        objective_at: When its latency objective ends: a later response is late.
-        work: As hinted; 0 without a hint.
-        slots: That it occupies at a backend.
-        max_attempts: By the settings at its arrival.
-        key: Of the data that it works on; 0 for none.
-        attempts: In the order of their numbers.
+        objective_at: When its latency objective ends; a later response is late.
+        work: Work as hinted by the client; 0 without a hint.
+        slots: Slots that it occupies at a backend.
+        max_attempts: Highest number of attempts, by the settings at its arrival.
+        key: Affinity key of the data that it needs; 0 for none.
+        attempts: Its attempts, in the order of their numbers.
         answered: Whether it has its final answer, or needs none.
-        hedge_delay: Until the next check of its attempts for a stall.
+        hedge_delay: Time until its attempts are next checked for a stall.
     """
 
     __slots__ = (
@@ -125,25 +125,27 @@
 
     @property
     def expected_work(self) -> float:
-        """The work as hinted, else the typical running time of the class."""
+        """The hinted work, or the typical running time of the class without a hint."""
         return self.work or self.request_class.typical_run
 
     @property
     def in_flight(self) -> bool:
         """Whether any attempt is in flight."""
-        return True in [attempt.in_flight for attempt in self.attempts]  # faster than any() for so few
+        return True in [
+            attempt.in_flight for attempt in self.attempts
+        ]  # faster than any() for a few attempts
 
     def value(self, *, by_work: bool) -> float:
-        """The value of completing the request: its priority weight, times its work where that counts."""
+        """Returns the value of completing the request: its priority weight, times its work if `by_work`."""
         weight = self.request_class.settings.priority_weight
         return weight * (self.slots * self.expected_work if by_work else 1.0)
 
 
-ANY = -1  # zone or cell
+ANY = -1  # any zone or any cell
 
 
 class AttemptScope:
-    """The backends to which a further attempt may go: those of a zone, of a cell, or all (ANY)."""
+    """The backends that another attempt may be sent to: those of a zone, of a cell, or all."""
 
     __slots__ = ("cell", "zone")
 
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -1,8 +1,8 @@
-"""The router: passes each event to the rules that decide, and refreshes their averages.
+"""The router: passes each event to the rules that decide on it, and refreshes the averages that they use.
 
-A `Router` is made from a `RoutingConfig`, a seed and the `RoutingActions`. Its owner reports events by the
-methods of `RoutingEvents`, and the router calls the actions. It reads no clock and no socket: the same events
-give the same actions. Times are ticks. docs/decisions.md lists the rules.
+A `Router` is created from a `RoutingConfig`, a seed and the `RoutingActions`. Its owner reports events by
+calling the methods of `RoutingEvents`, and the router calls the actions. It reads no clock and no socket, so
+the same events lead to the same actions. Times are ticks. docs/decisions.md lists the rules.
 """
 
 from collections.abc import Collection, Sequence
@@ -35,11 +35,11 @@
 from crankfold.routing.state import RoutingState
 from crankfold.routing.subsetting import MIN_SHORT_SHARE, Subset
 
-NEVER_REFRESHED = -1  # ticks
+NEVER_REFRESHED = -1  # a tick before every event
 
 
 class Router:
-    """Implements `RoutingEvents` by the rules of the other modules."""
+    """Implements `RoutingEvents` with the rules of the other modules of this package."""
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions) -> None:
         state = RoutingState(config, seed, actions, MIN_SHORT_SHARE)
@@ -69,15 +69,15 @@
         self.polling.start()
 
     def config_changed(self, now: int, config: RoutingConfig, new_rows: Collection[int] = ()) -> None:
-        """Applies a changed configuration; the classes at `new_rows` replace unrelated ones.
+        """Applies a changed configuration; the classes at the indices `new_rows` replace unrelated ones.
 
-        Requests in hand keep their class and bounds, and the records of backends stay.
+        Pending requests keep their class and limits, and the records of backends stay.
         """
         self.state.set_config(config, new_rows)
         self.admission.drain_queue(now)
 
     def endpoints_changed(self, now: int, endpoints: Sequence[Endpoint], snapshot: bool) -> None:
-        """Applies a list of endpoints: all of them if it is a snapshot, else those that have changed."""
+        """Applies a list of endpoints: all endpoints if it is a snapshot, else those that have changed."""
         self.polling.succeeded()
         self.membership.update(now, endpoints, snapshot=snapshot)
         self.affinity.endpoints_changed()
@@ -86,7 +86,7 @@
         self.admission.drain_queue(now)
 
     def discovery_failed(self, now: int) -> None:  # noqa: ARG002 - every event has the time
-        """Schedules the next poll after a failed one."""
+        """Schedules the next poll of the endpoint list after a failed one."""
         self.polling.failed()
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:
@@ -96,17 +96,17 @@
         self.admission.admit(now, arrival)
 
     def client_disconnected(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
-        """Closes a request whose client has disconnected, without an answer."""
+        """Closes a request without an answer, as its client has disconnected."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
             self.admission.completion.close(request)
 
     def request_aborted(self, now: int, request_id: int) -> None:  # noqa: ARG002 - every event has the time
-        """Answers a request at once, as the process ends: shed if a retry is harmless, else failed."""
+        """Answers a request at once because the process ends: shed if a retry is harmless, else failed."""
         if (request := self.state.requests.get(request_id)) and not request.answered:
             self.admission.completion.answer(request)
 
     def timer_fired(self, now: int, token: int) -> None:
-        """Polls the endpoint list, drains the queue or reviews a request, by the timer's token."""
+        """Polls the endpoint list, drains the queue or reviews a request, depending on the timer's token."""
         if token == POLL_TIMER:
             self.state.actions.poll_endpoints()
         elif token == REFRESH_TIMER:
@@ -116,7 +116,7 @@
             self.admission.review(now, request)
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """Records that a backend has started an attempt, and cancels the unstarted others if permitted."""
+        """Records the start of an attempt, and cancels unstarted ones if the settings permit it."""
         record = self.state.table.backends[backend]
         record.last_seen_at = now
         request = self.state.requests.get(request_id)
@@ -134,7 +134,7 @@
             self.state.cancel_attempts(request, unstarted_only=True)
 
     def attempt_progressed(self, now: int, request_id: int, attempt_number: int, backend: int) -> None:
-        """Records that an attempt makes progress."""
+        """Records that a backend has notified progress of an attempt."""
         self.state.table.backends[backend].last_seen_at = now
         if request := self.state.requests.get(request_id):
             request.attempts[attempt_number].last_seen_at = now
@@ -142,7 +142,7 @@
     def attempt_ended(
         self, now: int, request_id: int, attempt_number: int, backend: int, end: AttemptEnd
     ) -> None:
-        """Records the outcome of an attempt and its load report; the request may be retried."""
+        """Records the outcome and the load report of an attempt; may retry the request."""
         record = self.state.table.backends[backend]
         request = self.state.requests.get(request_id)
         if request and request.attempts[attempt_number].in_flight:
@@ -173,28 +173,28 @@
             self.admission.drain_queue(now)
 
     def backend_weight(self, backend: int) -> float:
-        """The size of a backend: its listed weight, without the load where weights follow the load."""
+        """Returns the size of a backend: its listed weight, less the load if weights follow the load."""
         return self.state.table.backends[backend].weight
 
     def refresh_if_due(self, now: int) -> None:
-        """Refreshes averages, subset and scores once in a refresh interval, at an event: never while idle."""
+        """Refreshes averages, subset and scores if an interval has passed; called only on events."""
         if now - self.refreshed_at >= REFRESH_INTERVAL_TICKS:
             self._refresh(now)
             if self.reports.probing:
                 self.reports.probe(now, self.subset.members, REFRESH_INTERVAL_TICKS)
 
     def _refresh(self, now: int) -> None:
-        """Updates the figures that depend on time, which is too slow for each request."""
+        """Updates the figures that depend on time, which would be too slow for each request."""
         state = self.state
-        factor = state.averages.decay_arrivals(
+        decay = state.averages.decay_arrivals(
             now - self.refreshed_at if self.refreshed_at != NEVER_REFRESHED else 0
         )
         self.refreshed_at = now
         self.subset.refresh(now)
-        served = []
-        for known in state.classes:
-            known.offered_value *= factor
-            known.earned_value *= factor
-            served.append(known.earned_value / known.offered_value if known.offered_value else 1.0)
-        state.worst_class = min(range(len(served)), key=served.__getitem__, default=0)
+        earned_shares = []
+        for record in state.classes:
+            record.offered_value *= decay
+            record.earned_value *= decay
+            earned_shares.append(record.earned_value / record.offered_value if record.offered_value else 1.0)
+        state.worst_class = min(range(len(earned_shares)), key=earned_shares.__getitem__, default=0)
         self.reports.refresh(now, self.subset.members)
--- a/crankfold/routing/smoothing.py
+++ b/crankfold/routing/smoothing.py
@@ -1,4 +1,4 @@
-"""Exponential smoothing: averages and sums in which older samples count ever less."""
+"""Exponential smoothing: averages and sums in which older samples count less and less."""
 
 
 def exponential_average(average: float, sample: float, weight: float) -> float:
@@ -7,7 +7,7 @@
     Args:
         average: The average so far.
         sample: The latest value, in the unit of the average.
-        weight: Of the sample, from 0 (no effect) to 1 (the sample alone counts).
+        weight: Weight of the sample, from 0 (no effect) to 1 (only the sample counts).
     """
     return average + weight * (sample - average)
 
@@ -18,6 +18,6 @@
     Args:
         total: The sum so far.
         sample: The latest value, in the unit of the sum.
-        decay: The part of the sum so far that still counts, from 0 to 1.
+        decay: Share of the sum so far that still counts, from 0 to 1.
     """
     return decay * total + sample
--- a/crankfold/routing/state.py
+++ b/crankfold/routing/state.py
@@ -1,4 +1,4 @@
-"""The state that the rules of the routing share: settings in force, records and random numbers."""
+"""The state that the routing rules share: settings in force, records and random numbers."""
 
 from collections.abc import Collection, Sequence
 
@@ -14,26 +14,27 @@
 from crankfold.routing.random_generator import RandomGenerator
 from crankfold.routing.records import Attempt, ClassRecord, PendingRequest
 
-MARGIN_RESOLUTIONS = 2  # timer resolutions: an event may be late by one, and a decision by another
+# An event may be late by one timer resolution, and the decision on it by another.
+CLOCK_MARGIN_RESOLUTIONS = 2
 
 
 class RoutingState:
-    """Settings and records.
+    """The settings in force and the records of requests, request classes and backends.
 
     Attributes:
-        config: In force.
-        requests: Requests in hand, by index.
-        classes: Records of the request classes, by row.
-        worst_class: Row of the class that earns the smallest share of its offered value.
-        mean_objective: Mean latency objective of the classes, ticks.
+        config: The configuration in force.
+        requests: Pending requests, by index.
+        classes: Records of the request classes, by index.
+        worst_class: Index of the class that earns the smallest share of its offered value.
+        mean_objective: Mean latency objective of the classes, in ticks.
         has_own_index: Whether the index is configured, so that no other instance has the same.
-        clock_margin: Ticks by which timers may be late, before and after an event.
-        keys_seen: Whether a request had an affinity key.
+        clock_margin: Ticks by which an event and the decision on it may be late together.
+        keys_seen: Whether any request had an affinity key.
         uses_subset: Whether requests go to a part of the fleet, so that little is known of other instances.
     """
 
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions, short_share: float) -> None:
-        """Starts without requests; `short_share` is the assumed share of short requests in the work."""
+        """Starts without requests, and assumes that short requests are `short_share` of the work."""
         self.config = config
         self.actions = actions
         self.random = RandomGenerator(seed)
@@ -43,14 +44,16 @@
         self.worst_class = 0
         self.mean_objective = 0.0
         self.set_classes(config.request_classes)
-        self.averages = TrafficAverages([known.typical_run for known in self.classes], short_share)
-        # Fixed at the start; a reload does not change these:
+        self.averages = TrafficAverages([record.typical_run for record in self.classes], short_share)
+        # A reload of the configuration does not change these:
         self.zone = config.zone
-        self.clock_margin = MARGIN_RESOLUTIONS * config.timer_resolution
+        self.clock_margin = CLOCK_MARGIN_RESOLUTIONS * config.timer_resolution
         self.instance_count = config.instance_count
-        given = config.instance_index
-        self.has_own_index = given >= 0
-        self.instance_index = given if self.has_own_index else self.random.below(config.instance_count)
+        configured_index = config.instance_index
+        self.has_own_index = configured_index >= 0
+        self.instance_index = (
+            configured_index if self.has_own_index else self.random.below(config.instance_count)
+        )
         self.start_notifications = config.start_notifications
         self.weights_follow_load = config.weights_follow_load
         self.key_affinity = config.key_affinity
@@ -58,34 +61,36 @@
         self.uses_subset = False
 
     def set_config(self, config: RoutingConfig, new_rows: Collection[int]) -> None:
-        """Applies a changed configuration; the classes at `new_rows` replace unrelated ones."""
+        """Applies a changed configuration; the classes at the indices `new_rows` replace unrelated ones."""
         self.config = config
         self.set_classes(config.request_classes, new_rows)
 
     def set_classes(self, classes: Sequence[RequestClass], new_rows: Collection[int] = ()) -> None:
-        """Applies the settings of the classes; figures of a class stay only if its settings are unchanged."""
+        """Applies the settings of the classes; a typical running time is kept only for unchanged settings."""
         self.worst_class = 0
-        self.mean_objective = sum(given.latency_objective for given in classes) / max(len(classes), 1)
+        self.mean_objective = sum(request_class.latency_objective for request_class in classes) / max(
+            len(classes), 1
+        )
         for row, settings in enumerate(classes):
             if row == len(self.classes):
                 self.classes.append(ClassRecord(settings))
                 continue
-            known = self.classes[row]
-            changed = known.settings != settings or row in new_rows
-            known.settings = settings
-            known.offered_value = 0.0
-            known.earned_value = 0.0
+            record = self.classes[row]
+            changed = record.settings != settings or row in new_rows
+            record.settings = settings
+            record.offered_value = 0.0
+            record.earned_value = 0.0
             if changed:
-                known.forget_run()
+                record.reset_typical_run()
 
     def set_request_timer(self, now: int, request: PendingRequest, at: int) -> None:
-        """Sets the timer of the request to `at`, or to its deadline if that is sooner; all in ticks."""
+        """Sets a timer of the request for tick `at`, or for its deadline if that is earlier."""
         self.actions.set_timer(
             max(min(at, request.deadline) - now, 0), FIRST_REQUEST_TIMER + request.request_id
         )
 
     def record_completion(self, now: int, request: PendingRequest, attempt: Attempt) -> None:
-        """Counts the value and the running time of an attempt that is completed at `now` ticks."""
+        """Counts the value and the running time of an attempt that was completed at tick `now`."""
         if now <= request.objective_at and not request.answered:
             request.request_class.earned_value += request.value(by_work=self.config.priority_by_work)
         if attempt.started_at >= 0:
@@ -96,7 +101,7 @@
 
         Args:
             arrival: The request.
-            first_try_at: Ticks, from which its latency objective counts.
+            first_try_at: Ticks, when the client first sent it; its latency objective counts from then.
         """
         request_class = self.classes[arrival.class_index]
         settings = request_class.settings
