--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from crankfold.cli.main import main
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 VERSIONS = [
     {"number": n, "made_from": n - 1, "author": "o", "reason": f"why {n}", "text": {"a": n}} for n in (1, 2)
@@ -68,7 +68,7 @@
         at = 1 if arguments[0] == "fleet" else 2
         result = CliRunner().invoke(main, [*arguments[:at], "--door", address, *arguments[at:]], input=text)
         shown = re.sub("--call [0-9a-f]+", "--call ...", result.output).replace(address, "DOOR")
-        self.say(f"{' '.join(arguments)}: exit {result.exit_code}")
+        self.record(f"{' '.join(arguments)}: exit {result.exit_code}")
         self.lines += ["    " + line for line in shown.splitlines()]
 
     def test_what_commands_print_and_how_they_exit(self) -> None:
@@ -102,11 +102,11 @@
         self.run_command("fleet", "voters")
         self.answers.clear()
         self.run_command("fleet")
-        self.close("commands")
+        self.assert_matches_trace("commands")
 
     def test_every_maintenance_command_prints_and_exits_as_before(self) -> None:
         self.use_every_maintenance_command("works")
-        self.close("commands-works")
+        self.assert_matches_trace("commands-works")
 
     def test_maintenance_is_the_standard_name_of_works(self) -> None:
         self.use_every_maintenance_command("works")
@@ -170,8 +170,8 @@
         shown = CliRunner().invoke(main, ["check", "--config", str(example)])
         self.assertEqual(shown.exit_code, 0)
         for line in shown.output.splitlines():
-            self.say(line)
-        self.close("commands-check")
+            self.record(line)
+        self.assert_matches_trace("commands-check")
 
     def use_every_maintenance_command(self, group: str) -> None:
         work = 'name = "disks"\nat-once = 2\n'
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -1,7 +1,7 @@
 """The `peers` part of the configuration: what is wrong is told with its field."""
 
 from crankfold.cluster.config import ClusterConfigError, read_cluster_config
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 VOTERS = ("n0", "n1", "n2")
 
@@ -20,5 +20,5 @@
         ):
             with self.assertRaises(ClusterConfigError) as raised:
                 read_cluster_config(given)
-            self.say(str(raised.exception))
-        self.close("cluster-config")
+            self.record(str(raised.exception))
+        self.assert_matches_trace("cluster-config")
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -7,7 +7,7 @@
 from crankfold.cluster.raft_storage import RaftStorage
 from crankfold.consensus.messages import LogEntry, Snapshot
 from tests.data.write_fixtures import DATA
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 from tests.stored_forms import (
     COMPACTED,
     GROWN,
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from crankfold.config import schema
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 FILE: dict[str, Any] = {
     "listen": "127.0.0.1:1",
@@ -37,9 +37,9 @@
         try:
             schema.validate(given, FILE)
         except schema.SchemaError as wrong:
-            self.say(f"{what}: {wrong}")
+            self.record(f"{what}: {wrong}")
         else:
-            self.say(f"{what}: taken")
+            self.record(f"{what}: taken")
 
     def test_an_invalid_file_is_rejected_with_the_path_of_the_field(self) -> None:
         request_classes = ("settings", "service-grades")
@@ -61,4 +61,4 @@
         self.tried("an effect unknown", *request_classes, 0, "effect", value="harmless")
         self.tried("settings a list", "settings", value=[])
         self.tried("a grade no object", *request_classes, 0, value="a")
-        self.close("renewal-forms")
+        self.assert_matches_trace("renewal-forms")
--- a/tests/consensus/test_cluster_safety.py
+++ b/tests/consensus/test_cluster_safety.py
@@ -15,7 +15,7 @@
     random_scenario,
 )
 from tests.consensus.planted_faults import CASES, planted_clusters
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 # By planted fault, a seed of its case at which it shows.
 CAUGHT_AT = {
--- a/tests/consensus/test_conservative_merge.py
+++ b/tests/consensus/test_conservative_merge.py
@@ -6,13 +6,13 @@
 
 from crankfold.consensus.conservative_merge import conservative_merge
 from crankfold.document_names import QUOTAS, SETTINGS
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class ConservativeMergeTest(TraceTestCase):
     def test_the_merge_permits_only_what_both_versions_permit(self) -> None:
         def show(doc: str, old: dict[str, Any], new: dict[str, Any]) -> None:
-            self.say(f"{doc}: {msgspec.json.encode(conservative_merge(doc, old, new)).decode()}")
+            self.record(f"{doc}: {msgspec.json.encode(conservative_merge(doc, old, new)).decode()}")
 
         def request_class(**more: Any) -> dict[str, Any]:
             return {"service-grades": [{"name": "g", "effect": "safe", "cut-off": 5, **more}], "allowed": {}}
@@ -34,4 +34,4 @@
         show("runners-out", {"runners": {"a": "why"}}, {"runners": {"b": "why"}})
         show("limits", {"limits": {"grade:g": 5}}, {"limits": {"grade:g": 3, "tenant:t": 2}})
         show(QUOTAS, {"shares": {"l": {"a": 5, "b": 1, "c": 2}}}, {"shares": {"l": {"a": 1, "b": 5}}})
-        self.close("consensus-merge")
+        self.assert_matches_trace("consensus-merge")
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -18,7 +18,7 @@
 from crankfold.consensus.voter import Voter
 from crankfold.document_names import SETTINGS
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class PickyHost(IdleHost):
@@ -102,7 +102,7 @@
     def say_responses(self, voter: Voter) -> None:
         self.run_until(voter, self.now + 200)
         for response in voter.proposal_responses:
-            self.say(
+            self.record(
                 f"{response.proposal_id}: "
                 f"{'version ' + str(response.version_number) if response.accepted else response.reason}"
             )
@@ -110,20 +110,20 @@
 
     def test_a_publish_has_one_outcome_however_often_it_is_proposed(self) -> None:
         voter = self.voter()
-        self.say(f"at first {voter.documents.version_numbers()}")
+        self.record(f"at first {voter.documents.version_numbers()}")
         self.publish(voter, "a", 1)
         self.publish(voter, "b", 1)  # another operator at the same moment
         self.say_responses(voter)
         self.publish(voter, "a", 1)  # its answer was lost
         self.say_responses(voter)
-        self.say(
+        self.record(
             f"then {voter.documents.version_numbers()}, "
             f"{len(voter.documents.document(SETTINGS).versions)} in the history"
         )
         rejecting = self.voter("settings.service-grades: missing")
         self.publish(rejecting, "c", 1)
         self.say_responses(rejecting)
-        self.close("consensus-publish")
+        self.assert_matches_trace("consensus-publish")
 
     def test_a_follower_is_sent_a_snapshot_and_a_name_has_one_holder(self) -> None:
         voter = self.voter()
@@ -182,20 +182,20 @@
 
     def test_voters_change_one_at_a_time(self) -> None:
         voter = self.voter()
-        self.say(self.change_voters_error(voter, {"v0": "", "v1": "", "v2": ""}))
-        self.say(self.change_voters_error(voter, {}))
-        self.say(self.change_voters_error(voter, {"v0": "", "v1": "x"}) or "taken")
-        self.say(self.change_voters_error(voter, {"v0": "", "v1": "x", "v2": ""}))
-        self.say(f"voters {sorted(voter.raft.voters)}")
-        self.close("consensus-voters")
+        self.record(self.change_voters_error(voter, {"v0": "", "v1": "", "v2": ""}))
+        self.record(self.change_voters_error(voter, {}))
+        self.record(self.change_voters_error(voter, {"v0": "", "v1": "x"}) or "taken")
+        self.record(self.change_voters_error(voter, {"v0": "", "v1": "x", "v2": ""}))
+        self.record(f"voters {sorted(voter.raft.voters)}")
+        self.assert_matches_trace("consensus-voters")
 
     def test_a_voter_with_another_folder_is_not_admitted(self) -> None:
         voter = self.voter()
-        self.say(voter.admit("v0", "here") or "admitted")
-        self.say(voter.admit("v0", "elsewhere"))
+        self.record(voter.admit("v0", "here") or "admitted")
+        self.record(voter.admit("v0", "elsewhere"))
         voter.documents.apply(99, LogEntry(1, "voters", {"voters": {}}))  # taken out
-        self.say(voter.admit("v0", "elsewhere") or "admitted anew")
-        self.close("consensus-folders")
+        self.record(voter.admit("v0", "elsewhere") or "admitted anew")
+        self.assert_matches_trace("consensus-folders")
 
     def test_senseless_messages_of_strangers_change_nothing(self) -> None:
         voter = self.voter()
--- a/tests/consensus/test_message_forms.py
+++ b/tests/consensus/test_message_forms.py
@@ -4,7 +4,7 @@
 
 from crankfold.cluster.framing import FrameDecoder, encode_frame
 from tests.data.write_fixtures import DATA
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 from tests.stored_forms import (
     MESSAGES,
 )
--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -14,7 +14,7 @@
 from crankfold.maintenance.state import MachineInMaintenance, MaintenanceState, TransitionRecord
 from crankfold.maintenance.transitions import MaintenancePhase, Placement
 from tests.data.write_fixtures import DATA
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 from tests.stored_forms import (
     HISTORY,
     LOCATION,
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -4,7 +4,7 @@
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.document_names import SETTINGS
 from crankfold.simulation.consensus.cluster import settings_document
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class VersionedDocumentsTest(TraceTestCase):
@@ -23,11 +23,11 @@
                 "reason": "",
             }
             documents.apply(number, LogEntry(1, "publish", {**data, "at": 0, "text": {"runners": drained}}))
-            self.say(f"published {number}: out {self.drained_backends(documents)}")
+            self.record(f"published {number}: out {self.drained_backends(documents)}")
         for number in (1, 2, 3):
             documents.apply(3 + number, LogEntry(1, "count", {"doc": "runners-out", "number": number}))
-            self.say(f"counts {number}: out {self.drained_backends(documents)}")
-        self.close("consensus-drained-and-restored")
+            self.record(f"counts {number}: out {self.drained_backends(documents)}")
+        self.assert_matches_trace("consensus-drained-and-restored")
 
     def test_an_encoded_state_is_restored_with_all_retained_versions(self) -> None:
         documents = VersionedDocuments()
--- a/tests/fault_injection/test_trials.py
+++ b/tests/fault_injection/test_trials.py
@@ -31,7 +31,7 @@
     TrialRecord,
     parse_record,
 )
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 TRIALS = Path(__file__).parents[2] / "trials"
 
@@ -292,8 +292,8 @@
             plant(one)
             verdict = TrialChecker(one).judge(promise)
             self.assertFalse(verdict.satisfied, plant.__name__)
-            self.say(f"{plant.__name__}: {promise}: {verdict.detail}")
-        self.close("trial-planted")
+            self.record(f"{plant.__name__}: {promise}: {verdict.detail}")
+        self.assert_matches_trace("trial-planted")
 
     def test_an_invalid_plan_is_rejected_with_the_reason(self) -> None:
         good = (TRIALS / "leader-sleeps.toml").read_text()
@@ -313,7 +313,7 @@
                 path.write_text(good.replace(old, new))
                 with self.assertRaises(PlanError) as wrong:
                     load_plan(path)
-                self.say(re.sub(r"^.*plan\.toml: ", "", str(wrong.exception)))
+                self.record(re.sub(r"^.*plan\.toml: ", "", str(wrong.exception)))
             with self.assertRaisesRegex(PlanError, "No such file"):
                 load_plan(Path(folder) / "none.toml")
-        self.close("trial-unfit")
+        self.assert_matches_trace("trial-unfit")
--- a/tests/scene.py
+++ b/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Test cases that record events and actions as a trace and compare it with its file in `traces/`."""
+"""Base classes of tests that record events and actions and compare them with a trace in `traces/`."""
 
 import asyncio
 import difflib
@@ -22,15 +22,22 @@
 )
 from crankfold.routing.router import Router
 
-MS = 10
+TICKS_PER_MS = 10
 REQUEST_CLASS = RequestClass(
-    Idempotency.IDEMPOTENT, DeduplicationScope.GLOBAL, 0, 300 * MS, 2.0, 5000 * MS, 1.0, 0.0
+    Idempotency.IDEMPOTENT,
+    DeduplicationScope.GLOBAL,
+    0,
+    300 * TICKS_PER_MS,
+    2.0,
+    5000 * TICKS_PER_MS,
+    1.0,
+    0.0,
 )
 ROUTING_CONFIG = RoutingConfig(
     request_classes=[REQUEST_CLASS],
     instance_count=2,
     zone=0,
-    timer_resolution=2 * MS,
+    timer_resolution=2 * TICKS_PER_MS,
     priority_by_work=False,
     worst_class_weight=0.2,
     cancellation_allowed=True,
@@ -44,34 +51,34 @@
     start_notifications=True,
     progress_interval=0,
     discovery_by_poll=False,
-    poll_within=10000 * MS,
+    poll_within=10000 * TICKS_PER_MS,
     initial_capacity=0.2,
-    warm_up_time=10000 * MS,
+    warm_up_time=10000 * TICKS_PER_MS,
     overload_factor=3.0,
-    overload_period=1000 * MS,
+    overload_period=1000 * TICKS_PER_MS,
     instance_index=0,
 )
 
 
-async def read_request(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """The head and the body of a request or of a response."""
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, bytes]:
+    """Reads one HTTP request or response; returns its head and its body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     length = re.search(r"(?i)content-length: (\d+)", head)
     return head, await reader.readexactly(int(length[1]) if length else 0)
 
 
 class TraceTestCase(unittest.TestCase):
-    """Records lines of text and compares them with those of an earlier run."""
+    """Records lines of text and compares them with the trace that an earlier run recorded."""
 
     def setUp(self) -> None:
         self.lines: list[str] = []
 
-    def say(self, text: str) -> None:
-        """Adds a line to the trace."""
+    def record(self, text: str) -> None:
+        """Adds a line to the recorded trace."""
         self.lines.append(text)
 
-    def close(self, name: str) -> None:
-        """Compares the trace with `traces/NAME.txt`; writes that file if `KEEP_TRACES` is set."""
+    def assert_matches_trace(self, name: str) -> None:
+        """Compares the recorded lines with `traces/NAME.txt`; `KEEP_TRACES` writes it first."""
         trace_file = Path(__file__).parent / "traces" / f"{name}.txt"
         if os.environ.get("KEEP_TRACES"):
             trace_file.write_text("\n".join(self.lines) + "\n")
@@ -81,7 +88,10 @@
 
 
 class RouterTestCase(TraceTestCase):
-    """A router whose actions are recorded and whose events the test sends. Times of helpers: milliseconds."""
+    """A router whose actions are recorded and to which the test sends events.
+
+    The methods of this class take times in milliseconds; the router takes ticks.
+    """
 
     def open(
         self,
@@ -94,7 +104,17 @@
         seed: int = 7,
         **settings: object,
     ) -> None:
-        """Starts a router whose backends are ready and have reported `free_slots` each; 0 for no report."""
+        """Starts a router with backends that are ready.
+
+        Args:
+            backend_count: The number of backends.
+            free_slots: What each backend has reported; 0 for no report.
+            idempotency: That of the request class.
+            deduplication_scope: That of the request class.
+            deduplication_window: That of the request class, in milliseconds.
+            seed: Of the router's random numbers.
+            **settings: Fields of the `RoutingConfig` to replace.
+        """
         self.lines: list[str] = []
         self.now = 100_000
         self.timers: list[tuple[int, int]] = []
@@ -102,56 +122,59 @@
             REQUEST_CLASS,
             idempotency=idempotency,
             deduplication_scope=deduplication_scope,
-            deduplication_window=deduplication_window * MS,
+            deduplication_window=deduplication_window * TICKS_PER_MS,
         )
         config = replace(ROUTING_CONFIG, **{"request_classes": [request_class], **settings})  # type: ignore[arg-type]
         self.router = Router(config, seed, self)
         if backend_count:
             self.change_endpoints(
-                [Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(backend_count)]
+                [
+                    Endpoint(backend, EndpointState.READY, 1.0, backend % 2, backend % 2, 0)
+                    for backend in range(backend_count)
+                ]
             )
         if free_slots:
-            for r in range(backend_count):
-                self.router.probe_ended(self.now, r, True, (0.0, free_slots))
+            for backend in range(backend_count):
+                self.router.probe_ended(self.now, backend, True, (0.0, free_slots))
 
     @property
     def backends(self) -> list[Backend]:
         return self.router.state.table.backends
 
     @property
-    def members(self) -> list[int]:
-        """The indices of the backends in the subset."""
+    def subset(self) -> list[int]:
+        """The indices of the backends in the subset of this instance."""
         return [backend.index for backend in self.router.subset.members]
 
-    def say(self, text: str) -> None:
-        self.lines.append(f"{(self.now - 100_000) / MS:7.1f}  {text}")
+    def record(self, text: str) -> None:
+        self.lines.append(f"{(self.now - 100_000) / TICKS_PER_MS:7.1f}  {text}")
 
-    # RoutingActions: each is recorded.
+    # The actions of the router (`RoutingActions`) are recorded with the texts of the stored traces.
     def send_attempt(self, request_id: int, backend: int) -> None:
-        self.say(f"unit {request_id} -> runner {backend}")
+        self.record(f"unit {request_id} -> runner {backend}")
 
-    def shed(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 - as the base names it
-        self.say(f"unit {request_id} shed")
+    def shed(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 - a parameter of `RoutingActions`
+        self.record(f"unit {request_id} shed")
 
     def fail_request(self, request_id: int) -> None:
-        self.say(f"unit {request_id} given up")
+        self.record(f"unit {request_id} given up")
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        self.say(f"unit {request_id} dispatch {attempt_number} called off")
+        self.record(f"unit {request_id} dispatch {attempt_number} called off")
 
     def set_timer(self, delay: int, token: int) -> None:
         self.timers.append((self.now + delay, token))
 
     def probe(self, backend: int) -> None:
-        self.say(f"probe of runner {backend}")
+        self.record(f"probe of runner {backend}")
 
     def poll_endpoints(self) -> None:
-        self.say("asks for the list")
+        self.record("asks for the list")
 
-    # RoutingEvents, with the current time.
-    def advance_to(self, ms: float) -> None:
-        """Moves the clock and fires the timers that are due until then."""
-        end = 100_000 + int(ms * MS)
+    # Events for the router (`RoutingEvents`), at the present time.
+    def advance_to(self, time_ms: float) -> None:
+        """Moves the clock to that time since the start and fires the timers that are due by then."""
+        end = 100_000 + int(time_ms * TICKS_PER_MS)
         while due := [timer for timer in self.timers if timer[0] <= end]:
             fires_at, token = min(due)
             self.timers.remove((fires_at, token))
@@ -172,12 +195,12 @@
         key: int = 0,
         is_retry: bool = False,
     ) -> None:
-        self.say(f"  takes unit {request_id}" + (f" of grade {request_class}" if request_class else ""))
+        self.record(f"  takes unit {request_id}" + (f" of grade {request_class}" if request_class else ""))
         arrival = RequestArrival(
             request_id,
             request_class,
-            deadline=self.now + int(timeout * MS),
-            work=int(work * MS),
+            deadline=self.now + int(timeout * TICKS_PER_MS),
+            work=int(work * TICKS_PER_MS),
             slots=slots,
             key=key,
             is_retry=is_retry,
@@ -185,7 +208,7 @@
         self.router.request_received(self.now, arrival)
 
     def start_attempt(self, request_id: int, backend: int, attempt_number: int = 0) -> None:
-        self.say(f"  unit {request_id} starts on runner {backend}")
+        self.record(f"  unit {request_id} starts on runner {backend}")
         self.router.attempt_started(self.now, request_id, attempt_number, backend)
 
     def end_attempt(
@@ -198,11 +221,11 @@
         last: bool = False,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.say(f"  unit {request_id} on runner {backend}: {outcome.name.lower()}")
+        self.record(f"  unit {request_id} on runner {backend}: {outcome.name.lower()}")
         end = AttemptEnd(outcome, last or outcome == Outcome.COMPLETED, report)
         self.router.attempt_ended(self.now, request_id, attempt_number, backend, end)
 
     def report_busy(self, backend: int) -> None:
-        """Sends reports of a long queue and no free slot, so that the backend is not chosen."""
-        for n in range(40):
-            self.router.probe_ended(self.now, backend, True, (0.5 + n / 100, 0.0))
+        """Sends reports of a long queue and no free slot, so that the router does not choose the backend."""
+        for report in range(40):
+            self.router.probe_ended(self.now, backend, True, (0.5 + report / 100, 0.0))
--- a/tests/handover_scene.py
+++ b/tests/handover_scene.py
@@ -13,8 +13,8 @@
 import orjson
 
 from crankfold.service.application import Application
+from tests.fixtures import read_message
 from tests.loopback import DispatcherTestCase
-from tests.scene import read_request
 
 DISPATCHER_PORT, BACKEND_PORT = 18080, 19001
 EVENT = {"id": "u7", "from": "a", "state": "done", "result": "x"}
@@ -74,7 +74,7 @@
         self.sent = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             self.sent.set()
             await gone(reader)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 
 from crankfold.network.signals import OPERATOR_SIGNALS
 from crankfold.service.application import Application
-from tests.scene import TraceTestCase, read_request
+from tests.fixtures import TraceTestCase, read_message
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 REQUEST = (
@@ -33,7 +33,7 @@
 async def accepting(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A backend that takes whatever it is sent."""
     while True:
-        await read_request(reader)
+        await read_message(reader)
         writer.write(OK)
 
 
@@ -60,7 +60,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{method} /control/{path} HTTP/1.1\r\nHost: b\r\n\r\n".encode())
         async with asyncio.timeout(5):
-            head, body = await read_request(reader)
+            head, body = await read_message(reader)
             self.assertEqual(await reader.read(), b"")  # one call a connection
         writer.close()
         return f"{head.split()[1]} {body.decode().strip()}"
@@ -88,7 +88,7 @@
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                if "after=" in (await read_request(reader))[0]:
+                if "after=" in (await read_message(reader))[0]:
                     await self.endpoints_changed.wait()
                     self.endpoints_changed.clear()
                 body = orjson.dumps(self.discovery_answer())
@@ -142,7 +142,7 @@
         )
         try:
             async with asyncio.timeout(5):
-                head, body = await read_request(reader)
+                head, body = await read_message(reader)
         finally:
             writer.close()
         return head.split("\r\n")[0], body
@@ -154,8 +154,8 @@
         writer.write(
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
-        head, _ = await read_request(reader)
-        self.say(f"  {fields} {head.split()[1]}")
+        head, _ = await read_message(reader)
+        self.record(f"  {fields} {head.split()[1]}")
         writer.close()
 
     async def start_process(self, command: list[str], folder: str = "") -> asyncio.Task[str]:
--- a/tests/maintenance/test_coordinator.py
+++ b/tests/maintenance/test_coordinator.py
@@ -9,8 +9,8 @@
 from crankfold.maintenance.specification import JobSpecification, JobState, OverduePolicy, WorkMethod
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.maintenance.transitions import coordinator_document
+from tests.fixtures import TraceTestCase
 from tests.maintenance.machines import MACHINES
-from tests.scene import TraceTestCase
 
 
 class CoordinatorDecisions(TraceTestCase):
@@ -20,11 +20,11 @@
         at = f"{view.now // 10_000} s:"
         transitions = coordinator.propose(view)
         for one in transitions:
-            self.say(f"{at} {one.phase} {one.machine_id or one.job} {one.reason}".rstrip())
+            self.record(f"{at} {one.phase} {one.machine_id or one.job} {one.reason}".rstrip())
         documents = [coordinator_document(one) for one in transitions]
         view.state.apply(view.now, {"steps": documents}, view.jobs_version)
         for wait in coordinator.wait_reasons[:2]:
-            self.say(f"{at} {wait.machine_id or wait.job} waits: {wait.text}")
+            self.record(f"{at} {wait.machine_id or wait.job} waits: {wait.text}")
 
     def view(self, **more: Any) -> FleetView:
         job = JobSpecification(
@@ -58,7 +58,7 @@
         self.look(view, coordinator)
         view.now = 120_000
         self.look(view, coordinator)
-        self.close("works-load")
+        self.assert_matches_trace("works-load")
 
     def test_a_command_whose_dispatcher_died_and_a_machine_that_does_not_come_back(self) -> None:
         for repeatable in (True, False):
@@ -73,7 +73,7 @@
             for second in range(4, 8):
                 view.now = 10_000 * second
                 self.look(view, coordinator)
-        self.close("works-died")
+        self.assert_matches_trace("works-died")
 
     def test_a_clock_that_is_set_back_undoes_nothing_and_a_stale_list_lets_nothing_out(self) -> None:
         view, coordinator = self.view(not_before_ms=5000, max_out=1), Coordinator("n0")
@@ -88,7 +88,7 @@
         view.state.machines.clear()
         view.now = 50_000
         self.look(view, coordinator)
-        self.close("works-clock")
+        self.assert_matches_trace("works-clock")
 
     def test_a_job_stopped_halfway_brings_back_what_is_not_begun_and_finishes_the_rest(self) -> None:
         view, coordinator = self.view(max_out=2), Coordinator("n0")
@@ -106,12 +106,12 @@
         for second in range(6, 12):
             view.now = 10_000 * second
             self.look(view, coordinator)
-        self.say(f"{to_builtins(view.state.completed)} {to_builtins(view.state.machines)}")
-        self.close("works-stopped")
+        self.record(f"{to_builtins(view.state.completed)} {to_builtins(view.state.machines)}")
+        self.assert_matches_trace("works-stopped")
 
     def test_retries_of_keyed_requests_keep_a_machine_in_their_deduplication_scope(self) -> None:
         view, coordinator = self.view(max_out=2, min_remaining_share=0.0), Coordinator("n0")
         view.jobs = {"w": structs.replace(view.jobs["w"], machines=["m00", "m06"])}  # a cell of two
         view.deduplication_scopes = [Area.CELL]
         self.look(view, coordinator)
-        self.close("works-group")
+        self.assert_matches_trace("works-group")
--- a/tests/maintenance/test_forecast.py
+++ b/tests/maintenance/test_forecast.py
@@ -2,8 +2,8 @@
 
 from crankfold.maintenance.forecast import ForecastInputs, forecast_job
 from crankfold.maintenance.specification import JobSpecification
+from tests.fixtures import TraceTestCase
 from tests.maintenance.machines import MACHINES
-from tests.scene import TraceTestCase
 
 
 class ForecastTest(TraceTestCase):
@@ -36,8 +36,8 @@
             )
             for departure in result.departures:
                 times = f"{departure.begin_seconds:.0f} to {departure.end_seconds:.0f} s"
-                self.say(
+                self.record(
                     f"{name}: {times} {departure.machine_id} {departure.zone} {departure.waited_for}".rstrip()
                 )
-            self.say(f"{name} never: {result.wait_reasons}")
-        self.close("works-plan")
+            self.record(f"{name} never: {result.wait_reasons}")
+        self.assert_matches_trace("works-plan")
--- a/tests/maintenance/test_scheduler.py
+++ b/tests/maintenance/test_scheduler.py
@@ -10,8 +10,8 @@
     infeasibility_reason,
     schedule,
 )
+from tests.fixtures import TraceTestCase
 from tests.maintenance.machines import MACHINES
-from tests.scene import TraceTestCase
 
 
 class SchedulerTest(TraceTestCase):
@@ -23,9 +23,9 @@
         now: int = 0,
     ) -> None:
         result = schedule(jobs, SchedulingFacts(machines, out, completed=(), now_ms=now))
-        self.say(f"go {[tuple(pair) for pair in result.departures]}")
+        self.record(f"go {[tuple(pair) for pair in result.departures]}")
         for (uid, job), why in sorted(result.wait_reasons.items())[:3]:
-            self.say(f"  {uid} for {job} waits: {why}")
+            self.record(f"  {uid} for {job} waits: {why}")
 
     def test_machines_go_out_within_the_bounds_and_others_wait_with_the_reason(self) -> None:
         job = MaintenanceJob("disks", max_out=3, max_out_per_zone=1)
@@ -42,7 +42,7 @@
         self.show([job, replace(racks, exclusive_with=frozenset({"disks"}))])
         self.show([job, replace(racks, after=frozenset({"disks"}))])
         self.show([replace(job, max_out=2), racks], out=(("m00", "disks"), ("m05", "disks")))
-        self.close("works-order")
+        self.assert_matches_trace("works-order")
 
     def test_a_job_that_could_never_go_on_is_refused_with_its_bound(self) -> None:
         for job in (
@@ -52,8 +52,8 @@
             MaintenanceJob("w", not_before_ms=5, not_after_ms=5),
             MaintenanceJob("w", min_remaining_share=0.8, max_out=4),
         ):
-            self.say(infeasibility_reason(job, MACHINES) or "can be done")
-        self.close("works-impossible")
+            self.record(infeasibility_reason(job, MACHINES) or "can be done")
+        self.assert_matches_trace("works-impossible")
 
     def test_bounds_hold_at_every_moment_through_losses_and_every_machine_is_done(self) -> None:
         for seed in range(30):
--- a/tests/maintenance/test_specification.py
+++ b/tests/maintenance/test_specification.py
@@ -1,8 +1,8 @@
 """Jobs are checked as a whole when they are handed in."""
 
 from crankfold.maintenance.specification import validation_error
+from tests.fixtures import TraceTestCase
 from tests.maintenance.machines import MACHINES
-from tests.scene import TraceTestCase
 
 
 class SpecificationTest(TraceTestCase):
@@ -19,9 +19,9 @@
             {"w": {**fine, "stays": 1.0}},
             {"w": {**fine, "machines": ["m99"]}},
         ):
-            self.say(validation_error({"works": jobs}, {}, MACHINES) or "fits")
+            self.record(validation_error({"works": jobs}, {}, MACHINES) or "fits")
         # Handed in once, a job may be held though its machines are gone by now.
         gone = {"works": {"w": {**fine, "machines": ["m99"]}}}
         on_hold = {"works": {"w": {**fine, "machines": ["m99"], "state": "hold", "called": 1}}}
-        self.say(validation_error(on_hold, gone, MACHINES) or "fits")
-        self.close("works-forms")
+        self.record(validation_error(on_hold, gone, MACHINES) or "fits")
+        self.assert_matches_trace("works-forms")
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -5,7 +5,7 @@
 from msgspec import to_builtins
 
 from crankfold.maintenance.state import MaintenanceState
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class TransitionsTest(TraceTestCase):
@@ -31,7 +31,7 @@
         }
         void = self.state.apply(self.index, {"steps": [document]}, 1)
         record = self.state.machines.get(machine_id)
-        self.say(
+        self.record(
             f"{step} {machine_id}: {void or 'taken'}; {record.phase if record else 'carries work'}"
             + (f" under {record.drain_number}" if record and record.drain_number else "")
         )
@@ -58,8 +58,8 @@
         self.apply("a", "ended")
         self.apply("a", "back")
         self.apply("a", "well")
-        self.say(f"{to_builtins(self.state.completed)} {self.state.unhealthy_streaks}")
-        self.close("works-steps")
+        self.record(f"{to_builtins(self.state.completed)} {self.state.unhealthy_streaks}")
+        self.assert_matches_trace("works-steps")
 
     def test_a_step_of_an_unknown_name_is_void_and_the_others_of_its_entry_count(self) -> None:
         known = {"uid": "a", "work": "w", "step": "out", "by": "n0", "why": "", "plan": 0, "made_from": 0}
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -42,12 +42,12 @@
     async def test_calls_whole_and_cut_at_every_byte(self) -> None:
         for what, request in CALLS.items():
             response = await self.responses([request])
-            self.say(f"{what}: {response}")
+            self.record(f"{what}: {response}")
             for cut in range(1, min(len(request), 400)):
                 self.assertEqual(
                     await self.responses([request[:cut], request[cut:]]), response, f"{what} at {cut}"
                 )
-        self.close("operators-calls")
+        self.assert_matches_trace("operators-calls")
 
     async def responses(self, pieces: list[bytes]) -> str:
         calls: list[str] = []
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -7,8 +7,8 @@
 from crankfold.network.metrics import Metrics
 from crankfold.network.pooled_connection import REUSE_COOLDOWN
 from crankfold.protocol.backend_connection import BackendConnection
+from tests.fixtures import read_message
 from tests.loopback import OK, Loopback
-from tests.scene import read_request
 
 
 class ConnectionPoolTest(Loopback):
@@ -38,30 +38,30 @@
     async def test_how_an_exchange_ends(self) -> None:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for _ in range(3):
-                await read_request(reader)
+                await read_message(reader)
                 writer.write(OK)
 
         async def hang_up(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
 
         async def babble(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(b"what?\r\n\r\n")
 
         async def speak_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(OK + OK)
 
         async def close_at_the_second(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(OK)
-            await read_request(reader)
+            await read_message(reader)
 
         good = self.pool(await self.stand_in(accept))
         for number in range(4):
             await self.run_exchange(good, f"taken {number}")
         opened = self.metrics.counters["backend-connections-opened"]
-        self.say(f"  opened {opened} for 4, as the runner closes after three")
+        self.record(f"  opened {opened} for 4, as the runner closes after three")
         await self.run_exchange(self.pool(await self.stand_in(hang_up)), "closed before the answer")
         reused = self.pool(await self.stand_in(close_at_the_second))
         await self.run_exchange(reused, "taken")
@@ -69,24 +69,24 @@
         await self.run_exchange(self.pool(await self.stand_in(babble)), "garbage")
         twice = self.pool(await self.stand_in(speak_first))
         await self.run_exchange(twice, "answered twice")
-        self.say(f"  kept {len(twice.idle_connections)}")
+        self.record(f"  kept {len(twice.idle_connections)}")
         port = await self.stand_in(accept)
         await self.run_exchange(self.pool(port, has_room=False), "no socket left")
         drained = self.pool(port)
         await self.run_exchange(drained, "drained while connecting", may_send=False)
-        self.say(f"  kept {len(drained.idle_connections)}")
+        self.record(f"  kept {len(drained.idle_connections)}")
         drained.limiter.sweep()
-        self.say(f"  kept after a sweep {len(drained.idle_connections)}")
+        self.record(f"  kept after a sweep {len(drained.idle_connections)}")
         drained.limiter.idle_timeout = 0.0
         drained.limiter.sweep()
-        self.say(f"  kept after its time at rest {len(drained.idle_connections)}")
+        self.record(f"  kept after its time at rest {len(drained.idle_connections)}")
         drained.close()
         await self.run_exchange(drained, "moved away")
         server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
         await self.run_exchange(self.pool(port), "refused")
-        self.close("exchanges")
+        self.assert_matches_trace("exchanges")
 
     async def test_a_break_before_the_last_byte_is_written_never_executed(self) -> None:
         async def read_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -100,7 +100,7 @@
         closed = asyncio.Event()
 
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             await reader.read()
             closed.set()
 
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -9,8 +9,8 @@
 from crankfold.network.metrics import Metrics
 from crankfold.network.pooled_connection import REUSE_COOLDOWN, PooledConnection
 from crankfold.protocol.backend_connection import BackendConnection
+from tests.fixtures import read_message
 from tests.loopback import NEVER_RAN, OK, Handler, Loopback, accepting
-from tests.scene import read_request
 
 
 class ConnectionPoolCrossings(Loopback):
@@ -77,7 +77,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             n = len(self.links)
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 requests.append(n)
                 if len(requests) == 2:
                     self.links[0].write(NEVER_RAN)  # of the first, while the second is being worked on
@@ -111,7 +111,7 @@
         ]
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(answers[len(self.ends)][0])
             await writer.drain()
             writer.write_eof()
--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -19,8 +19,8 @@
 )
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.discovery import DiscoveryEntry
+from tests.fixtures import read_message
 from tests.loopback import Handler, Loopback
-from tests.scene import read_request
 
 CHANGES = (
     b"HTTP/1.1 200 OK\r\nContent-Length: 83\r\n\r\n"
@@ -43,7 +43,7 @@
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                self.say((await read_request(reader))[0].splitlines()[0])
+                self.record((await read_message(reader))[0].splitlines()[0])
                 if not answers:
                     done.set()
                     await reader.read()
@@ -57,7 +57,7 @@
         messages: list[str] = []
 
         def record_log(record: logging.LogRecord) -> None:
-            self.say("  logged: DiscoveryError")
+            self.record("  logged: DiscoveryError")
             messages.append(record.getMessage())
 
         logger = logging.getLogger("crankfold.network.discovery_watcher")
@@ -66,7 +66,7 @@
             "127.0.0.1",
             await self.stand_in(discovery),
             make_endpoint,
-            on_endpoints=lambda endpoints, is_snapshot: self.say(
+            on_endpoints=lambda endpoints, is_snapshot: self.record(
                 f"  {'snapshot' if is_snapshot else 'changes'} {list(endpoints)}"
             ),
             on_failure=lambda: None,
@@ -77,7 +77,7 @@
         async with asyncio.timeout(5):
             await done.wait()
         watcher.stop()
-        self.close("watch")
+        self.assert_matches_trace("watch")
         older, unreadable, empty = messages
         self.assertEqual(older, "received revision 1 after revision 2; keeping endpoint list of revision 2")
         self.assertRegex(
@@ -124,7 +124,7 @@
         answered = asyncio.Event()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.say((await read_request(reader))[0].splitlines()[0])
+            self.record((await read_message(reader))[0].splitlines()[0])
             if len(self.lines) == 1:
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 return
@@ -134,7 +134,7 @@
             await reader.read()
 
         def on_endpoints(_endpoints: Any, is_snapshot: bool) -> None:
-            self.say(f"told {'the snapshot' if is_snapshot else 'changes'}")
+            self.record(f"told {'the snapshot' if is_snapshot else 'changes'}")
             answered.set()
 
         watcher = DiscoveryWatcher(
@@ -151,14 +151,14 @@
         async with asyncio.timeout(5):
             await answered.wait()
         watcher.stop()
-        self.close("watch-turn")
+        self.assert_matches_trace("watch-turn")
 
     async def test_an_agent_that_answers_without_waiting_is_not_called_in_a_busy_loop(self) -> None:
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                calls.append((await read_request(reader))[0])
+                calls.append((await read_message(reader))[0])
                 body = b'{"rev":1,"all":false,"targets":[]}'
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
@@ -182,7 +182,7 @@
         answered = asyncio.Event()
 
         def on_endpoints(_endpoints: Any, is_snapshot: bool) -> None:
-            self.say(f"told {'the snapshot' if is_snapshot else 'changes'}")
+            self.record(f"told {'the snapshot' if is_snapshot else 'changes'}")
             answered.set()
 
         watcher = DiscoveryWatcher(
@@ -213,11 +213,11 @@
         sent: list[bytes] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.say((await read_request(reader))[0].splitlines()[0])
+            self.record((await read_message(reader))[0].splitlines()[0])
             if not sent:
                 sent.append(CHANGES % 6)
                 writer.write(sent[0])
-                self.say((await read_request(reader))[0].splitlines()[0])
+                self.record((await read_message(reader))[0].splitlines()[0])
                 silent.set()
                 await reader.read()  # says nothing any more and stays open
             writer.write(CHANGES % 7)
@@ -232,7 +232,7 @@
                 await silent.wait()
                 self.assertEqual(watcher.revision, 6)
                 await self.until(lambda: watcher.revision == 7)
-        self.close("watch-silent")
+        self.assert_matches_trace("watch-silent")
 
     async def test_discovery_that_accepts_and_is_silent_is_heard_at_once_when_it_is_back(self) -> None:
         back, begun = asyncio.Event(), asyncio.Event()
@@ -244,7 +244,7 @@
             answers = back.is_set()  # who came before stays unanswered for good
             open_now.add(writer)
             most_open = max(most_open, len(open_now))
-            await read_request(reader)
+            await read_message(reader)
             begun.set()
             if answers:
                 writer.write(CHANGES % 6)
@@ -269,7 +269,7 @@
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            calls.append((await read_request(reader))[0])
+            calls.append((await read_message(reader))[0])
             await reader.read()
 
         watcher, _answered = await self.start_watcher(discovery, revision=5)
@@ -287,7 +287,7 @@
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            calls.append((await read_request(reader))[0].splitlines()[0])
+            calls.append((await read_message(reader))[0].splitlines()[0])
             if len(calls) == 1:
                 linger_of_zero = struct.pack("ii", 1, 0)  # the close resets the connection
                 connection = writer.get_extra_info("socket")
@@ -307,7 +307,7 @@
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             calls += 1
-            await read_request(reader)
+            await read_message(reader)
             if calls == 2:
                 for byte in CHANGES % 6:
                     before = calls
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -10,8 +10,8 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES, NEW_CONNECTION_GRACE
 from crankfold.network.listener import UNCOUNTED_SOCKETS, Listener
 from crankfold.network.metrics import Metrics
+from tests.fixtures import read_message
 from tests.loopback import CALLBACK, HEALTH_CHECK, REQUEST, Loopback
-from tests.scene import read_request
 
 
 class ListenerTest(Loopback):
@@ -37,11 +37,11 @@
         unidentified = [
             (await self.connect(data))[0] for data in (b"POST /api HTTP/1.1\r\nHo", b"", HEALTH_CHECK)
         ]
-        await read_request(unidentified[2])
+        await read_message(unidentified[2])
         identified, _ = await self.connect(CALLBACK)
         later, more = await self.connect(CALLBACK)
         for reader in (identified, later):
-            await read_request(reader)
+            await read_message(reader)
         more.write(b"POST /api HTTP/1.1\r\nHo")
         await self.until(
             lambda: sum(client.protocol.is_mid_request() for client in self.listener.connections) == 2
@@ -72,14 +72,14 @@
     ) -> None:
         await self.begin(max_connections=5)
         backend, _ = await self.connect(CALLBACK)
-        await read_request(backend)
+        await read_message(backend)
         identified, _ = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         self.handler.submit.call_args[0][0].respond(200)
-        await read_request(identified)
+        await read_message(identified)
         silent, _ = await self.connect()
         health_checker, _ = await self.connect(HEALTH_CHECK)
-        await read_request(health_checker)
+        await read_message(health_checker)
         await asyncio.sleep(NEW_CONNECTION_GRACE)
         young, writer = await self.connect()
         for gone in (silent, health_checker, identified, backend):
@@ -87,7 +87,7 @@
             await self.ended(gone)
         await self.until(lambda: self.handler.submit.call_count == 5)
         writer.write(HEALTH_CHECK)
-        await read_request(young)
+        await read_message(young)
         self.assertEqual(self.metrics.counters["connections-evicted"], 4)
 
     async def test_a_rush_of_connections_leaves_descriptors_free(self) -> None:
@@ -106,7 +106,7 @@
             failed = Mock()
             asyncio.get_running_loop().set_exception_handler(failed)
             async with asyncio.timeout(9):
-                await read_request(reader)
+                await read_message(reader)
             self.assertFalse(failed.called, failed.mock_calls)
             self.assertEqual(self.metrics.counters["accepts-failed"], 0)
             self.assertLessEqual(len(self.listener.connections), 20)
@@ -137,7 +137,7 @@
         self.assertTrue(self.listener.is_over_limit())  # the handler sheds what comes now
         self.assertEqual(self.metrics.counters["connections-over-limit"], 1)
         self.handler.submit.call_args_list[0][0][0].respond(200, [], b"done")
-        self.assertEqual((await read_request(reader))[1], b"done")
+        self.assertEqual((await read_message(reader))[1], b"done")
 
     async def test_the_response_to_a_body_too_large_arrives_while_it_is_still_sent(self) -> None:
         await self.begin()
@@ -171,7 +171,7 @@
         await self.until(lambda: client.unread_bytes > MAX_UNREAD_BYTES)
         self.assertLess(client.unread_bytes, 2 * MAX_UNREAD_BYTES)  # the rest waits outside
         client.respond(200)
-        await read_request(reader)
+        await read_message(reader)
         await self.until(lambda: self.handler.submit.call_count == 2)
         _, leaving = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.call_count == 3)
--- a/tests/network/test_listener_races.py
+++ b/tests/network/test_listener_races.py
@@ -7,8 +7,8 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
+from tests.fixtures import read_message
 from tests.loopback import REQUEST, Loopback
-from tests.scene import read_request
 
 
 class ListenerCrossings(Loopback):
@@ -41,7 +41,7 @@
         writer.write(b"y" * 9 * MAX_UNREAD_BYTES)
         await self.until(lambda: client.protocol.discarding_input)
         client.respond(200, [], b"done")
-        self.assertEqual((await read_request(reader))[1], b"done")
+        self.assertEqual((await read_message(reader))[1], b"done")
         writer.close()
 
     async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(self) -> None:
@@ -54,7 +54,7 @@
         await asyncio.sleep(0.01)
         writer.write(REQUEST.replace(b"u1", b"u2"))  # with the system by now, read by nobody
         client.close()
-        self.assertEqual((await read_request(reader))[1], b"done")  # no reset overtakes it
+        self.assertEqual((await read_message(reader))[1], b"done")  # no reset overtakes it
         self.assertEqual(await reader.read(), b"")
         self.assertEqual(self.handler.submit.call_count, 1)
         writer.close()
--- a/tests/protocol/test_backend_connection.py
+++ b/tests/protocol/test_backend_connection.py
@@ -6,7 +6,7 @@
     attempt_headers,
     classify_response,
 )
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class BackendConnectionTest(TraceTestCase):
@@ -39,9 +39,9 @@
                     f"{load_reports.report_from_header(connection.load_header, ('queue', 'x0'))}"
                 )
                 if step > 1:
-                    self.say(described)
+                    self.record(described)
                 self.assertEqual(described, self.lines[-1])  # in pieces it means the same
-        self.say(b"".join(outgoing).decode().replace("\r\n", " "))
+        self.record(b"".join(outgoing).decode().replace("\r\n", " "))
         for text in (
             b"TEXT queue=1, x0=2",
             b"TEXT queue=1",
@@ -50,5 +50,5 @@
             b"",
             b"TEXT queue=nan, x0=1",
         ):
-            self.say(f"{text.decode()!r}: {load_reports.report_from_header(text, ('queue', 'x0'))}")
-        self.close("answers")
+            self.record(f"{text.decode()!r}: {load_reports.report_from_header(text, ('queue', 'x0'))}")
+        self.assert_matches_trace("answers")
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -7,7 +7,7 @@
 from crankfold.protocol.client_connection import ClientChannel, ClientConnection
 from crankfold.protocol.client_request import ClientRequest
 from crankfold.routing.interface import Outcome
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 HEAD = b"POST /api?k=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: u1\r\nX-Priority-Class: g\r\nX-Timeout: 0.48\r\n"
 REQUEST = (
@@ -30,12 +30,12 @@
         return name == "g"
 
     def submit(self, _client: ClientChannel, request: ClientRequest) -> None:
-        self.say(
+        self.record(
             f"{request.request_id} {request.request_class} waits {request.timeout} "
             f"work {request.work} slots {request.slots:g}"
         )
         http = request.http
-        self.say(
+        self.record(
             f"  on goes {http.method.decode()} {http.target.decode()} {http.body.decode()} "
             + " ".join(f"{name.decode()}={value.decode()}" for name, value in http.headers)
         )
@@ -44,32 +44,32 @@
         return request_id != "elsewhere"
 
     def forward_unknown_callback(self, _client: ClientChannel, body: bytes) -> bool:
-        self.say(f"passed on {body.decode()}")
+        self.record(f"passed on {body.decode()}")
         return True
 
     def execution_started(self, request_id: str, backend_id: str) -> None:
-        self.say(f"{request_id} started on {backend_id}")
+        self.record(f"{request_id} started on {backend_id}")
 
     def execution_progressed(self, request_id: str, backend_id: str, progress: float) -> None:
-        self.say(f"{request_id} on {backend_id}: {progress:g} done")
+        self.record(f"{request_id} on {backend_id}: {progress:g} done")
 
     def execution_ended(
         self, request_id: str, backend_id: str, outcome: Outcome, result: bytes, report: Sequence[float]
     ) -> None:
-        self.say(f"{request_id} on {backend_id}: {outcome.name.lower()} {result.decode()} {tuple(report)}")
+        self.record(f"{request_id} on {backend_id}: {outcome.name.lower()} {result.decode()} {tuple(report)}")
 
     def connect(self) -> ClientConnection:
         return ClientConnection(self, Mock(), ("queue", "x0"))
 
     def say_written(self, connection: ClientConnection) -> None:
         if connection.outgoing:
-            self.say("< " + b"".join(connection.outgoing).decode().replace("\r\n", " "))
+            self.record("< " + b"".join(connection.outgoing).decode().replace("\r\n", " "))
             connection.outgoing.clear()
 
     def test_requests_whole_in_pieces_and_pipelined(self) -> None:
         at_once, pieces = self.connect(), self.connect()
         at_once.receive_data(REQUEST + REQUEST.replace(b"u1", b"u2"))
-        self.say("nothing of the second is read before the first is answered")
+        self.record("nothing of the second is read before the first is answered")
         at_once.respond(200, [], b"done")
         at_once.process_buffered()
         self.say_written(at_once)
@@ -78,7 +78,7 @@
         pieces.close_after_response = True
         pieces.respond(503, [(b"Retry-After", b"0.500")])
         self.say_written(pieces)
-        self.say(f"closing {pieces.closing}")
+        self.record(f"closing {pieces.closing}")
         chunked, waiting = self.connect(), self.connect()
         chunked.receive_data(
             HEAD + b"Transfer-Encoding: chunked\r\nX-Odd: \x80\r\nX-Own: 1\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
@@ -90,7 +90,7 @@
         old.receive_data(REQUEST.replace(b"HTTP/1.1\r\nHost: b", b"HTTP/1.0"))
         old.respond(200)
         self.say_written(old)
-        self.close("units")
+        self.assert_matches_trace("units")
 
     def test_input_cut_at_every_byte_means_the_same(self) -> None:
         callback = b'{"id":"u1","from":"a","state":"done","result":"r","load":{"queue":1,"x0":2}}'
@@ -150,8 +150,8 @@
             connection = self.connect()
             connection.receive_data(data)
             first = b"".join(connection.outgoing).partition(b"\r\n")[0].decode()
-            self.say(f"{name}: {first}{', closing' if connection.closing else ''}")
-        self.close("bad-requests")
+            self.record(f"{name}: {first}{', closing' if connection.closing else ''}")
+        self.assert_matches_trace("bad-requests")
 
     def test_callbacks(self) -> None:
         for body in (
@@ -172,7 +172,7 @@
             b'{"id":"u1","from":"a","state":"running","share":true}',
             b"[" * 60_000,
         ):
-            self.say(
+            self.record(
                 f"{callbacks.handle_callback(body, self, ('queue', 'x0'))}: {body[:80].decode('latin-1')}"
             )
         connection = self.connect()
@@ -181,4 +181,4 @@
                 b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body) + body
             )
             self.say_written(connection)
-        self.close("call-backs")
+        self.assert_matches_trace("call-backs")
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -11,7 +11,7 @@
     without_weights,
 )
 from crankfold.routing.interface import Endpoint, EndpointState
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class EndpointDocumentTest(unittest.TestCase):
@@ -63,7 +63,7 @@
 
 class DiscoveryConnectionTest(TraceTestCase):
     def make_endpoint(self, entry: DiscoveryEntry) -> Endpoint:
-        self.say(
+        self.record(
             f"  {entry.backend_id} {entry.host} {entry.port} {entry.zone} {entry.instance_type} {entry.cell} "
             f"{entry.state.name.lower()} {entry.weight:g} {entry.boot_ms}"
         )
@@ -97,30 +97,30 @@
         ):
             self.decode(broken)
         connection = DiscoveryConnection("10.0.0.9:85")
-        self.say(connection.request(-1, 4000).decode().replace("\r\n", " "))
+        self.record(connection.request(-1, 4000).decode().replace("\r\n", " "))
         body = b'{"rev":4,"all":true,"targets":[' + one + b"]}"
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         self.assertEqual(
             [connection.receive_data(data[at : at + 1]) for at in range(len(data))].index(True), len(data) - 1
         )
         connection.decode_response(self.make_endpoint)
-        self.say(connection.request(4, 4000).decode().replace("\r\n", " "))
+        self.record(connection.request(4, 4000).decode().replace("\r\n", " "))
         connection.receive_data(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         with self.assertRaises(DiscoveryError):
             connection.decode_response(self.make_endpoint)
-        self.close("lists")
+        self.assert_matches_trace("lists")
 
     def decode(self, body: bytes) -> None:
         try:
             revision, is_snapshot, endpoints = decode_endpoints(body, self.make_endpoint)
-            self.say(f"version {revision}, {'whole' if is_snapshot else 'changes'}, {len(endpoints)}")
+            self.record(f"version {revision}, {'whole' if is_snapshot else 'changes'}, {len(endpoints)}")
         except DiscoveryError as error:
             reason = str(error)
             if error.__cause__ is not None:
                 cause = type(error.__cause__).__name__
                 self.assertEqual(reason, f"unreadable endpoint list ({cause}: {error.__cause__})")
                 reason = cause
-            self.say(f"{body.decode()}: old list stands, {reason}")
+            self.record(f"{body.decode()}: old list stands, {reason}")
 
     def test_a_response_that_breaks_off_or_is_malformed_is_reported_in_plain_words(self) -> None:
         for received, reason in (
--- a/tests/routing/rule_scene.py
+++ b/tests/routing/rule_scene.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import Endpoint, EndpointState, Outcome, RequestClass
-from tests.scene import MS, REQUEST_CLASS, RouterTestCase
+from tests.fixtures import REQUEST_CLASS, TICKS_PER_MS, RouterTestCase
 
 
 def request_class(**settings: object) -> RequestClass:
@@ -66,4 +66,4 @@
 
     def elapse(self, ms: float) -> None:
         """Moves the clock on by `ms` and fires the timers that are due."""
-        self.advance_to((self.now - 100_000) / MS + ms)
+        self.advance_to((self.now - 100_000) / TICKS_PER_MS + ms)
--- a/tests/routing/test_config_changes.py
+++ b/tests/routing/test_config_changes.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import DeduplicationScope, Idempotency, Outcome
-from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
+from tests.fixtures import REQUEST_CLASS, ROUTING_CONFIG, TICKS_PER_MS, RouterTestCase
 
 
 class ConfigChangesTest(RouterTestCase):
@@ -17,22 +17,22 @@
         old = replace(REQUEST_CLASS)
         new = replace(old, idempotency=Idempotency.NON_IDEMPOTENT)
         self.receive_request(0)
-        self.say("the grade becomes once-only, in a row of its own")
+        self.record("the grade becomes once-only, in a row of its own")
         self.router.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
         self.receive_request(1, request_class=1)
         self.fails(0)
         self.fails(1)
-        self.say("one dispatch is allowed from here on, also for what was taken before")
+        self.record("one dispatch is allowed from here on, also for what was taken before")
         self.receive_request(2)
         self.router.config_changed(
             self.now, replace(ROUTING_CONFIG, request_classes=[old, new], max_attempts=1)
         )
         self.fails(2)
-        self.say("three are allowed again, but not for what was taken meanwhile")
+        self.record("three are allowed again, but not for what was taken meanwhile")
         self.receive_request(3)
         self.router.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
         self.fails(3)
-        self.close("renewal-units")
+        self.assert_matches_trace("renewal-units")
 
     def test_measurements_of_backends_and_classes_outlast_a_change(self) -> None:
         self.open(backend_count=3)
@@ -50,6 +50,6 @@
         )
         self.assertEqual(
             ([known.typical_run for known in self.router.state.classes], self.router.limit.limit),
-            ([77.0, 500.0 * MS], 5.0),
+            ([77.0, 500.0 * TICKS_PER_MS], 5.0),
         )
         self.assertEqual((self.backends[1].reported_queue, self.backends[2].ejection_time), (4.5, 10_000))
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -4,7 +4,7 @@
 from crankfold.network.discovery_watcher import CONNECT_TIMEOUT
 from crankfold.routing.interface import POLL_TIMER
 from crankfold.time_units import TICKS_PER_SECOND
-from tests.scene import RouterTestCase
+from tests.fixtures import RouterTestCase
 
 
 class DiscoveryCrossings(RouterTestCase):
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -6,11 +6,11 @@
 
 from crankfold.routing.interface import AttemptEnd, Endpoint, EndpointState, Outcome, RequestArrival
 from crankfold.routing.router import Router
-from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase, TraceTestCase
+from tests.fixtures import REQUEST_CLASS, ROUTING_CONFIG, TICKS_PER_MS, RouterTestCase, TraceTestCase
 
 INSTANCES = 40
 WARM_BACKENDS = 60
-WORK = 100 * MS  # of each request
+WORK = 100 * TICKS_PER_MS  # of each request
 
 
 class Instance:
@@ -89,7 +89,8 @@
             for instance in self.instances:
                 instance.advance_to(now)
                 instance.router.request_received(
-                    now, RequestArrival(round_number, 0, deadline=now + 5000 * MS, work=WORK, slots=1.0)
+                    now,
+                    RequestArrival(round_number, 0, deadline=now + 5000 * TICKS_PER_MS, work=WORK, slots=1.0),
                 )
                 if instance.attempts and instance.attempts[-1][1] == round_number:
                     instance.router.attempt_started(now, round_number, 0, instance.attempts[-1][2])
@@ -98,7 +99,7 @@
     def test_all_subsets_together_spread_the_load_by_the_listed_weights(self) -> None:
         # Subsets of most of the fleet would give each instance type the same load, whatever its weight.
         self.open()
-        self.play(8, 100 * MS)
+        self.play(8, 100 * TICKS_PER_MS)
         attempts_by_weight = Counter(
             (8, 4, 3)[backend % 3]
             for instance in self.instances
@@ -106,22 +107,22 @@
             if sent_at > 140_000
         )
         subsets = [instance.router.subset.members for instance in self.instances]
-        self.say(f"circles of {max(len(subset) for subset in subsets)} at most of {WARM_BACKENDS}")
+        self.record(f"circles of {max(len(subset) for subset in subsets)} at most of {WARM_BACKENDS}")
         memberships = Counter(backend.index for subset in subsets for backend in subset)
         for weight in (8, 4, 3):
             counts = [memberships[r] for r in range(WARM_BACKENDS) if (8, 4, 3)[r % 3] == weight]
-            self.say(f"runners of weight {weight} are in {min(counts)} to {max(counts)} circles")
+            self.record(f"runners of weight {weight} are in {min(counts)} to {max(counts)} circles")
         for weight in (8, 3):
             share = attempts_by_weight[weight] / attempts_by_weight.total()
             fair = weight / 15
-            self.say(f"weight {weight}: within 15% of its part: {abs(share / fair - 1) < 0.15}")
-        self.close("grown-weights")
+            self.record(f"weight {weight}: within 15% of its part: {abs(share / fair - 1) < 0.15}")
+        self.assert_matches_trace("grown-weights")
 
     def test_all_allowances_together_use_a_cold_fleet_and_stay_under_the_rule(
         self,
     ) -> None:
         self.open(warming=30, initial_capacity=0.4, overload_factor=4.0)
-        self.play(5, 150 * MS)
+        self.play(5, 150 * TICKS_PER_MS)
         attempts = sorted(
             (sent_at, backend)
             for instance in self.instances
@@ -130,15 +131,20 @@
         )
         initial_slots = 0.4 * 4  # of one backend that has just started
         most_work = max(
-            sum(WORK for at, other in attempts if other == backend and since <= at < since + 1000 * MS)
+            sum(
+                WORK
+                for at, other in attempts
+                if other == backend and since <= at < since + 1000 * TICKS_PER_MS
+            )
             for since, backend in attempts
         )
-        self.say(
-            f"under four times the least capacity in any second: {most_work < 4 * initial_slots * 1000 * MS}"
+        self.record(
+            "under four times the least capacity in any second: "
+            f"{most_work < 4 * initial_slots * 1000 * TICKS_PER_MS}"
         )
-        used = len(attempts) * WORK / (30 * initial_slots * 5000 * MS)
-        self.say(f"a fifth of the least capacity used by few units: {used > 0.2}")
-        self.close("grown-cold")
+        used = len(attempts) * WORK / (30 * initial_slots * 5000 * TICKS_PER_MS)
+        self.record(f"a fifth of the least capacity used by few units: {used > 0.2}")
+        self.assert_matches_trace("grown-cold")
 
     def test_a_list_service_with_a_queue_gets_to_answer_all_that_start_together(self) -> None:
         # Discovery serves five polls a second in turn, rejects a poll while the queue is longer than four
@@ -167,9 +173,9 @@
                     queue.append((min(free_at, now + 20_000), instance, free_at <= now + 20_000))
                 instance.polls.clear()
             if now in (200_000, 399_900):
-                self.say(f"after {now / 10_000 - 10:.0f} s {len(informed)} of {INSTANCES} have the list")
-        self.say(f"with less than three calls each: {poll_count < 3 * INSTANCES}")
-        self.close("grown-list")
+                self.record(f"after {now / 10_000 - 10:.0f} s {len(informed)} of {INSTANCES} have the list")
+        self.record(f"with less than three calls each: {poll_count < 3 * INSTANCES}")
+        self.assert_matches_trace("grown-list")
 
 
 class SlowStartTest(RouterTestCase):
@@ -197,13 +203,13 @@
         self.open_with_backend_in_slow_start()
         self.backends[2].slow_start_next = self.now
         self.receive_request(10, work=50)
-        self.close("grown-cold-first")
+        self.assert_matches_trace("grown-cold-first")
 
     def test_a_request_that_would_be_late_in_slow_start_goes_elsewhere(self) -> None:
         self.open_with_backend_in_slow_start()
         self.backends[2].slow_start_next = self.now
         self.receive_request(10, work=200)
-        self.close("grown-cold-late")
+        self.assert_matches_trace("grown-cold-late")
 
     def test_beyond_the_concurrency_limit_a_backend_in_slow_start_gets_its_budget(self) -> None:
         self.open_with_backend_in_slow_start()
@@ -211,11 +217,11 @@
         self.receive_request(10, work=50)
         self.receive_request(11, work=50)
         limit = self.router.limit
-        self.say(f"counted against the limit {limit.in_flight}, held {len(self.router.admission.queue)}")
+        self.record(f"counted against the limit {limit.in_flight}, held {len(self.router.admission.queue)}")
         self.start_attempt(10, 2)
         self.end_attempt(10, 2)
-        self.say(f"after its end {self.router.limit.in_flight}")
-        self.close("grown-cold-limit")
+        self.record(f"after its end {self.router.limit.in_flight}")
+        self.assert_matches_trace("grown-cold-limit")
 
     def test_the_floor_of_the_limit_counts_backends_that_have_not_reported(self) -> None:
         self.open(backend_count=0, free_slots=0, instance_count=24)
@@ -223,9 +229,9 @@
         self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
         self.router.limit.limit = 1.0
         for _ in range(10):  # ten starts after long waits bring the limit down to its floor
-            self.router.limit.sample_wait(self.now, self.now, 5000 * MS)
-        self.say(f"limit {self.router.limit.limit:.0f} of {72 * 4} slots over 24 dispatchers")
-        self.close("grown-fair")
+            self.router.limit.sample_wait(self.now, self.now, 5000 * TICKS_PER_MS)
+        self.record(f"limit {self.router.limit.limit:.0f} of {72 * 4} slots over 24 dispatchers")
+        self.assert_matches_trace("grown-fair")
 
 
 class SmallDeploymentTest(RouterTestCase):
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,7 +1,7 @@
 """Backends that fail, hang, slow down or refuse; hedges; lists that do not come."""
 
 from crankfold.routing.interface import Outcome
-from tests.scene import MS, RouterTestCase
+from tests.fixtures import TICKS_PER_MS, RouterTestCase
 
 
 class OutlierEjectionTest(RouterTestCase):
@@ -9,8 +9,8 @@
         self.open(backend_count=30, instance_count=60)
         self.receive_request(0)
         self.advance_to(900)
-        self.say("no copy so far")
-        self.close("no-news")
+        self.record("no copy so far")
+        self.assert_matches_trace("no-news")
 
     def test_a_request_completed_in_no_time_does_not_break_the_periodic_refresh(self) -> None:
         self.open(backend_count=1)
@@ -18,7 +18,7 @@
         self.start_attempt(0, 0)
         self.end_attempt(0, 0)
         self.advance_to(600)
-        self.close("no-time")
+        self.assert_matches_trace("no-time")
 
     def test_a_slow_backend_loses_weight(self) -> None:
         self.open(backend_count=5)
@@ -26,15 +26,15 @@
             self.receive_request(n, work=100)
             r = int(self.lines[-1][-1])
             self.start_attempt(n, r)
-            self.advance_to(self.now / MS - 10_000 + (900 if r == 2 else 100))
+            self.advance_to(self.now / TICKS_PER_MS - 10_000 + (900 if r == 2 else 100))
             self.end_attempt(n, r)
-        self.advance_to(self.now / MS - 10_000 + 300)
+        self.advance_to(self.now / TICKS_PER_MS - 10_000 + 300)
         self.router.refresh_if_due(self.now)
-        self.say(
+        self.record(
             "share of weight kept: "
             + " ".join(f"{1 / backend.score_factor:.2f}" for backend in self.backends)
         )
-        self.close("slow")
+        self.assert_matches_trace("slow")
 
     def test_a_backend_that_errs_quickly_is_ejected_and_tried_with_one_request_at_a_time(self) -> None:
         self.open(backend_count=4, free_slots=0, seed=15)
@@ -52,7 +52,7 @@
                 self.end_attempt(n, int(self.lines[-1][-1]))
         self.end_attempt(4, 0)
         self.receive_request(9)
-        self.close("errors")
+        self.assert_matches_trace("errors")
 
     def test_an_overloaded_backend_is_avoided_for_a_while_and_not_ejected(self) -> None:
         self.open(backend_count=1)
@@ -62,7 +62,7 @@
         self.receive_request(1)
         self.advance_to(260)
         self.router.probe_ended(self.now, 0, True, (1.0, 2.0))
-        self.close("full")
+        self.assert_matches_trace("full")
 
     def test_a_silent_backend_is_ejected_and_its_request_hedged(self) -> None:
         self.open(backend_count=3)
@@ -71,7 +71,7 @@
         self.start_attempt(0, 0, 1)
         self.end_attempt(0, 0, attempt_number=1)
         self.end_attempt(0, 2, Outcome.CANCELLED, last=True)
-        self.close("hang")
+        self.assert_matches_trace("hang")
 
     def test_a_busy_backend_is_no_reason_for_a_hedge(self) -> None:
         self.open(backend_count=2)
@@ -79,7 +79,7 @@
         self.advance_to(20)
         self.backends[0].last_seen_at = self.now
         self.advance_to(400)
-        self.close("busy")
+        self.assert_matches_trace("busy")
 
     def test_when_nearly_all_backends_are_ejected_the_ejections_are_ignored(self) -> None:
         self.open(backend_count=3)
@@ -87,7 +87,7 @@
             self.router.ejection.eject(self.now, self.backends[r])
         for n in range(3):
             self.receive_request(n)
-        self.close("all-bad")
+        self.assert_matches_trace("all-bad")
 
     def test_a_worn_connection_blames_nobody_and_dead_runners_rest_though_doubt_is_distrusted(self) -> None:
         self.open(backend_count=3, max_attempts=5)
@@ -96,13 +96,13 @@
         self.end_attempt(0, first, Outcome.STALE_CONNECTION)
         errors = [backend.error_rate for backend in self.backends]
         ejection_times = [backend.ejection_time for backend in self.backends]
-        self.say(f"errors {errors}, doubt {ejection_times}")
+        self.record(f"errors {errors}, doubt {ejection_times}")
         for r in {0, 1, 2} - {first}:
             self.router.ejection.record_outcome(self.now, self.backends[r], Outcome.UNREACHABLE)
         self.router.ejection.eject(self.now, self.backends[first])
         self.receive_request(1)
-        self.say(f"all in doubt, two of them refuse: {set(self.lines[-1][-1]) == {str(first)}}")
-        self.close("dead")
+        self.record(f"all in doubt, two of them refuse: {set(self.lines[-1][-1]) == {str(first)}}")
+        self.assert_matches_trace("dead")
 
     def test_list_failures_are_asked_again_after_a_jittered_pause(self) -> None:
         self.open(discovery_by_poll=True)
@@ -110,4 +110,4 @@
         self.advance_to(3000)
         self.router.discovery_failed(self.now)
         self.advance_to(6000)
-        self.close("ask")
+        self.assert_matches_trace("ask")
--- a/tests/routing/test_request_class_records.py
+++ b/tests/routing/test_request_class_records.py
@@ -4,7 +4,7 @@
 
 from crankfold.routing.interface import Idempotency
 from crankfold.service.requests.classes import RequestClassTable
-from tests.scene import REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
+from tests.fixtures import REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
 
 
 class RequestClassCrossings(RouterTestCase):
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,7 +1,7 @@
 """What is safe to send again, and where; each by a trace that changes when its guard is taken out."""
 
 from crankfold.routing.interface import DeduplicationScope, Endpoint, EndpointState, Idempotency, Outcome
-from tests.scene import MS, RouterTestCase
+from tests.fixtures import TICKS_PER_MS, RouterTestCase
 
 
 class RetriesTest(RouterTestCase):
@@ -13,7 +13,7 @@
         self.receive_request(1, timeout=-1)
         self.advance_to(5100)
         self.end_attempt(0, 0, Outcome.CANCELLED, last=True)
-        self.close("cutoff")
+        self.assert_matches_trace("cutoff")
 
     def test_nothing_is_sent_for_an_ended_unit(self) -> None:
         self.open()
@@ -23,8 +23,8 @@
         self.router.attempt_started(self.now, 0, 0, 0)
         self.router.client_disconnected(self.now, 0)
         self.advance_to(1900)
-        self.say(f"slots still counted as out: {sum(backend.own_slots for backend in self.backends):.0f}")
-        self.close("ended")
+        self.record(f"slots still counted as out: {sum(backend.own_slots for backend in self.backends):.0f}")
+        self.assert_matches_trace("ended")
 
     def test_without_a_ready_backend_requests_wait_and_are_shed(self) -> None:
         self.open(backend_count=0, free_slots=0)
@@ -33,7 +33,7 @@
         self.receive_request(1)
         self.advance_to(500)
         self.change_endpoints([Endpoint(0, EndpointState.READY, 0.0, 0, 0, 0)])
-        self.close("no-runner")
+        self.assert_matches_trace("no-runner")
 
     def test_once_only_is_never_sent_again_after_it_may_have_run(self) -> None:
         self.open(idempotency=Idempotency.NON_IDEMPOTENT)
@@ -43,7 +43,7 @@
             sent_to = int(self.lines[-1][-1])
             self.end_attempt(n, sent_to, outcome)
         self.advance_to(800)
-        self.close("once-only")
+        self.assert_matches_trace("once-only")
 
     def test_tagged_keeps_to_its_zone(self) -> None:
         self.open(
@@ -57,7 +57,7 @@
         self.receive_request(0)
         self.end_attempt(0, 0, Outcome.ERROR)
         self.end_attempt(0, 2, Outcome.RESET, 1)
-        self.close("tagged-zone")
+        self.assert_matches_trace("tagged-zone")
 
     def test_tagged_outside_its_window_or_cell_is_given_up(self) -> None:
         self.open(
@@ -69,7 +69,7 @@
         self.start_attempt(0, 0)
         self.advance_to(250)
         self.end_attempt(0, 0, Outcome.ERROR)
-        self.close("tagged-window")
+        self.assert_matches_trace("tagged-window")
 
     def test_tagged_keeps_to_its_cell(self) -> None:
         self.open(
@@ -80,7 +80,7 @@
         )
         self.receive_request(0)
         self.end_attempt(0, int(self.lines[-1][-1]), Outcome.ERROR)
-        self.close("tagged-cell")
+        self.assert_matches_trace("tagged-cell")
 
     def test_tagged_known_everywhere_may_be_shed(self) -> None:
         self.open(
@@ -92,7 +92,7 @@
         self.receive_request(0)
         self.advance_to(150)
         self.end_attempt(0, 0, Outcome.ERROR)
-        self.close("tagged-all")
+        self.assert_matches_trace("tagged-all")
 
     def test_nothing_goes_to_a_draining_or_gone_runner(self) -> None:
         self.open(backend_count=3)
@@ -104,12 +104,12 @@
         self.change_endpoints([Endpoint(1, EndpointState.REMOVED, 1.0, 1, 1, 0)], snapshot=False)
         self.receive_request(3)
         self.advance_to(900)
-        self.close("drain")
+        self.assert_matches_trace("drain")
 
     def test_a_cold_runner_gets_its_part_only(self) -> None:
         # Alone in the list: what its part does not hold yet has to wait or be shed.
         self.open(backend_count=2)
-        self.change_endpoints([Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * MS)])
+        self.change_endpoints([Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * TICKS_PER_MS)])
         for n in range(12):
             self.advance_to(250 * n)
             self.receive_request(n, work=120)
@@ -117,4 +117,4 @@
                 self.start_attempt(n, 2)
                 self.end_attempt(n, 2)
         self.advance_to(3500)
-        self.close("cold")
+        self.assert_matches_trace("cold")
--- a/tests/routing/test_rules_admission.py
+++ b/tests/routing/test_rules_admission.py
@@ -3,15 +3,16 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import DeduplicationScope, Endpoint, EndpointState, Idempotency, Outcome
+from tests.fixtures import TICKS_PER_MS
 from tests.routing.rule_scene import RuleScene, ready, request_class
-from tests.scene import MS
 
 
 class WorkHintRules(RuleScene):
     def open_without_late_value(self) -> None:
         """An answer is worth something within 100 ms only; the class is taken to run for 500 ms."""
         self.open_with(
-            ready(0), request_classes=[request_class(latency_objective=100 * MS, objective_per_work=0.0)]
+            ready(0),
+            request_classes=[request_class(latency_objective=100 * TICKS_PER_MS, objective_per_work=0.0)],
         )
 
     def test_request_whose_hinted_work_cannot_end_in_time_is_shed_at_once(self) -> None:
@@ -36,7 +37,8 @@
     def test_retry_without_a_hint_is_shed_once_its_first_try_is_older_than_half_a_second(self) -> None:
         for age, sent in ((400, [(0, 0)]), (600, [])):
             self.open_with(
-                ready(0), request_classes=[request_class(latency_objective=100 * MS, objective_per_work=0.0)]
+                ready(0),
+                request_classes=[request_class(latency_objective=100 * TICKS_PER_MS, objective_per_work=0.0)],
             )
             self.receive_request(0, timeout=5000 - age, work=0, is_retry=True)
             self.assertEqual(self.sent, sent, f"first try {age} ms ago")
@@ -44,7 +46,10 @@
     def test_retry_without_a_hint_is_not_shed_for_its_age_within_the_latency_objective(self) -> None:
         for age, sent in ((900, [(0, 0)]), (1100, [])):
             self.open_with(
-                ready(0), request_classes=[request_class(latency_objective=1000 * MS, objective_per_work=0.0)]
+                ready(0),
+                request_classes=[
+                    request_class(latency_objective=1000 * TICKS_PER_MS, objective_per_work=0.0)
+                ],
             )
             self.receive_request(0, timeout=5000 - age, work=0, is_retry=True)
             self.assertEqual(self.sent, sent, f"first try {age} ms ago")
@@ -56,14 +61,14 @@
         bound = request_class(
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
             deduplication_scope=DeduplicationScope.ZONE,
-            deduplication_window=60_000 * MS,
+            deduplication_window=60_000 * TICKS_PER_MS,
             priority_weight=10.0,
-            latency_objective=3000 * MS,
+            latency_objective=3000 * TICKS_PER_MS,
         )
         self.open_with(
             ready(0, zone=0),
             free_slots=8.0,
-            request_classes=[bound, request_class(latency_objective=3000 * MS)],
+            request_classes=[bound, request_class(latency_objective=3000 * TICKS_PER_MS)],
             hedging_allowed=False,
         )
         for request in range(stuck):
@@ -87,7 +92,7 @@
         self.open_with(
             ready(0),
             ready(1),
-            request_classes=[request_class(latency_objective=10_000 * MS)],
+            request_classes=[request_class(latency_objective=10_000 * TICKS_PER_MS)],
             hedging_allowed=False,
         )
         for request in range(10):
@@ -97,6 +102,6 @@
             self.start_attempt(request, self.backends_of(request)[0])
         self.receive_request(10, work=20, timeout=60_000)
         self.assertEqual(self.backends_of(10), [], "queued at the limit")
-        self.change(Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * MS))
+        self.change(Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * TICKS_PER_MS))
         self.elapse(1000)
         self.assertEqual(self.backends_of(10), [2])
--- a/tests/routing/test_rules_retries.py
+++ b/tests/routing/test_rules_retries.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import DeduplicationScope, EndpointState, Idempotency, Outcome
+from tests.fixtures import ROUTING_CONFIG
 from tests.routing.rule_scene import RuleScene, ready
-from tests.scene import ROUTING_CONFIG
 
 
 class DeduplicationScopeRules(RuleScene):
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -1,8 +1,8 @@
 """Which backends have capacity, which are avoided for a long queue, and when one in slow start goes first."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
+from tests.fixtures import TICKS_PER_MS
 from tests.routing.rule_scene import RuleScene, ready, request_class
-from tests.scene import MS
 
 
 class CapacityRules(RuleScene):
@@ -77,17 +77,17 @@
         random = self.router.state.random
         slow_start = self.router.slow_start
         before = random.state
-        slow_start.admits(self.now, backend, 50.0 * MS)
+        slow_start.admits(self.now, backend, 50.0 * TICKS_PER_MS)
         self.assertEqual((random.state, backend.slow_start_next), (before, 0))
-        slow_start.draw_first_send_times(self.now, [backend], 50.0 * MS)
+        slow_start.draw_first_send_times(self.now, [backend], 50.0 * TICKS_PER_MS)
         drawn = random.state
         first = backend.slow_start_next
         self.assertNotEqual(drawn, before)
         self.assertGreaterEqual(first, self.now)
-        slow_start.draw_first_send_times(self.now, [backend], 50.0 * MS)
+        slow_start.draw_first_send_times(self.now, [backend], 50.0 * TICKS_PER_MS)
         self.assertEqual((random.state, backend.slow_start_next), (drawn, first))
-        self.assertFalse(slow_start.admits(first - 1, backend, 50.0 * MS))
-        self.assertTrue(slow_start.admits(first, backend, 50.0 * MS))
+        self.assertFalse(slow_start.admits(first - 1, backend, 50.0 * TICKS_PER_MS))
+        self.assertTrue(slow_start.admits(first, backend, 50.0 * TICKS_PER_MS))
 
     def test_no_send_time_is_drawn_for_a_warm_backend_or_one_with_an_unstarted_attempt(self) -> None:
         self.open_with(ready(0), instance_count=1)
@@ -96,7 +96,7 @@
         warming.slow_start_share = 1.0
         warming.unstarted = 1
         before = self.router.state.random.state
-        self.router.slow_start.draw_first_send_times(self.now, [warm, warming], 50.0 * MS)
+        self.router.slow_start.draw_first_send_times(self.now, [warm, warming], 50.0 * TICKS_PER_MS)
         self.assertEqual(self.router.state.random.state, before)
 
 
@@ -108,7 +108,9 @@
                 Endpoint(0, EndpointState.READY, 1.0, 0, 0, 100_000),
                 free_slots=0,
                 instance_count=1,
-                request_classes=[request_class(deadline=10 * typical * MS, latency_objective=2000 * MS)],
+                request_classes=[
+                    request_class(deadline=10 * typical * TICKS_PER_MS, latency_objective=2000 * TICKS_PER_MS)
+                ],
             )
             self.receive_request(0, work=0)
             self.elapse(700)
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from crankfold.routing.interface import Endpoint, EndpointState
-from tests.scene import MS, REQUEST_CLASS, RouterTestCase
+from tests.fixtures import REQUEST_CLASS, TICKS_PER_MS, RouterTestCase
 
 
 class WeightsAndKeysTest(RouterTestCase):
@@ -20,21 +20,21 @@
         self.change_weights(4.0, 4.0)
         self.change_weights(4.0, 1.0)
         sizes = " ".join(f"{backend.weight:.1f}" for backend in self.backends)
-        self.say(f"sizes {sizes}, held for each core {self.backends[1].utilization:.1f}")
+        self.record(f"sizes {sizes}, held for each core {self.backends[1].utilization:.1f}")
         self.change_weights(2.0, 4.0)
         sizes = " ".join(f"{backend.weight:.1f}" for backend in self.backends)
-        self.say(f"sizes {sizes}, held for each core {self.backends[0].utilization:.1f}")
-        self.close("move-sizes")
+        self.record(f"sizes {sizes}, held for each core {self.backends[0].utilization:.1f}")
+        self.assert_matches_trace("move-sizes")
 
     def test_where_sparse_a_backend_with_a_long_listed_queue_is_avoided(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         self.change_weights(*[4.0] * 30)
-        member = self.members[0]
-        self.change_weights(*[4.0 if r == member or r not in self.members else 1.0 for r in range(30)])
+        member = self.subset[0]
+        self.change_weights(*[4.0 if r == member or r not in self.subset else 1.0 for r in range(30)])
         for n in range(4):
             self.receive_request(n)
-        self.say(f"all to {member}: {all(line.endswith(f'runner {member}') for line in self.lines[1::2])}")
-        self.close("move-long")
+        self.record(f"all to {member}: {all(line.endswith(f'runner {member}') for line in self.lines[1::2])}")
+        self.assert_matches_trace("move-long")
 
     def test_a_key_has_the_same_homes_at_every_dispatcher(self) -> None:
         preferred = set()
@@ -52,26 +52,26 @@
             self.receive_request(0, work=0, key=77)
             preferred.add(self.lines[-1].split()[-1])
         self.lines = []
-        self.say(f"homes at twenty dispatchers: {len(preferred)}")
+        self.record(f"homes at twenty dispatchers: {len(preferred)}")
         for r in range(12):
             self.router.probe_ended(self.now, r, True, (0.0, 4.0))
         self.change_weights(
             *[1.0 if str(r) in preferred else 4.0 for r in range(12)]
         )  # three held for each core there
         self.receive_request(1, work=0, key=77)
-        self.say(f"another where that is full: {self.lines[-1].split()[-1] not in preferred}")
+        self.record(f"another where that is full: {self.lines[-1].split()[-1] not in preferred}")
         for n in range(2, 22):
             self.receive_request(n, work=0, key=1000 + n)
-        self.say(f"homes of 20 keys: {len({line.split()[-1] for line in self.lines if '->' in line}) > 5}")
+        self.record(f"homes of 20 keys: {len({line.split()[-1] for line in self.lines if '->' in line}) > 5}")
         self.lines = [line for line in self.lines if ": " in line]
-        self.close("move-homes")
+        self.assert_matches_trace("move-homes")
 
     def test_keys_are_ignored_without_key_affinity(self) -> None:
         self.open(backend_count=0, free_slots=0, key_affinity=False, start_notifications=False)
         self.change_weights(4.0, 4.0)
         for n in range(4):
             self.receive_request(n, key=77)
-        self.close("move-no-keys")
+        self.assert_matches_trace("move-no-keys")
 
     def test_the_limit_follows_the_list_where_weights_move(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, start_notifications=False)
@@ -84,8 +84,8 @@
         self.change_weights(0.8, 0.8)  # four held for each core
         for n in range(3, 8):
             self.receive_request(n, work=0)
-        self.say(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
-        self.close("move-limit")
+        self.record(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
+        self.assert_matches_trace("move-limit")
 
     def test_a_wait_within_the_latency_objective_does_not_lower_the_limit(self) -> None:
         self.open(
@@ -93,7 +93,7 @@
             free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
-            request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * MS)],
+            request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * TICKS_PER_MS)],
         )
         self.change_weights(4.0, 4.0)
         for n in range(3):
@@ -101,29 +101,29 @@
         for at, weight in ((600, 1.6667), (1200, 0.8)):  # 1.4 held for each core, then four
             self.advance_to(at)
             self.change_weights(weight, weight)
-            self.say(f"listed at {weight:.1f}: limit {self.router.limit.limit:.1f}")
-        self.close("move-wait")
+            self.record(f"listed at {weight:.1f}: limit {self.router.limit.limit:.1f}")
+        self.assert_matches_trace("move-wait")
 
     def test_frantic_repeats_are_shed_and_the_first_try_is_not(self) -> None:
         self.open()
         self.receive_request(0, timeout=300, work=0)
         self.receive_request(1, timeout=300, work=0, is_retry=True)
         self.receive_request(2, timeout=4900, work=0, is_retry=True)
-        self.close("move-frantic")
+        self.assert_matches_trace("move-frantic")
 
     def test_a_backend_in_slow_start_outside_the_subset_gets_no_request(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
-        start = self.now - 1000 * MS
+        start = self.now - 1000 * TICKS_PER_MS
         self.change_endpoints(
             [Endpoint(r, EndpointState.READY, 4.0, 0, 0, start * (r % 2), 0, r / 30) for r in range(30)]
         )
         for r in range(30):
             if not r % 2:
-                self.backends[r].backoff_until = self.now + 10_000 * MS
+                self.backends[r].backoff_until = self.now + 10_000 * TICKS_PER_MS
             self.backends[r].slow_start_next = 1  # saved up long since
         for n in range(20):
             self.receive_request(n, work=20)
         used = {int(line.split()[-1]) for line in self.lines if "->" in line}
-        self.say(f"cold ones met outside the circle: {len(used - set(self.members))}")
+        self.record(f"cold ones met outside the circle: {len(used - set(self.subset))}")
         self.lines = self.lines[-1:]
-        self.close("move-cold")
+        self.assert_matches_trace("move-cold")
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -11,8 +11,8 @@
 import orjson
 
 from crankfold.service.application import Application
+from tests.fixtures import read_message
 from tests.loopback import OK, REQUEST, DispatcherTestCase
-from tests.scene import read_request
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
@@ -25,7 +25,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 writer.write(OK)
                 if head.startswith("DELETE"):
                     continue
@@ -63,7 +63,7 @@
                     writer.write(REQUEST.replace(b"u1", f"l{name}-{n}".encode()))
                     try:
                         async with asyncio.timeout(5):
-                            head, body = await read_request(reader)
+                            head, body = await read_message(reader)
                     except (ConnectionError, asyncio.IncompleteReadError):
                         ends.append("lost")
                         break
--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -20,7 +20,7 @@
     encode_message,
 )
 from crankfold.service.handover.state_machine import HandoverStateMachine
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class ProcessChain(TraceTestCase):
@@ -57,7 +57,7 @@
             self.processes[other[0]].machine.disconnected(self.now, other[1])
 
     def kill(self, name: str) -> None:
-        self.say(f"{name} dies")
+        self.record(f"{name} dies")
         for end in [end for end in self.connections if end[0] == name]:
             self.disconnect(*end)
         self.deliver()
@@ -67,21 +67,21 @@
             name, connection, line = self.outbox.pop(0)
             if (name, connection) in self.connections:
                 receiver, other_connection = self.connections[name, connection]
-                self.say(f"  {name} to {receiver}: {json.dumps(comparable_fields(line))}")
+                self.record(f"  {name} to {receiver}: {json.dumps(comparable_fields(line))}")
                 self.processes[receiver].machine.message_received(
                     self.now, other_connection, decode_message(line)
                 )
 
     def take_over(self, name: str) -> None:
         if not self.processes[name].machine.request_takeover():
-            self.say(f"  {name}: nobody to ask")
+            self.record(f"  {name}: nobody to ask")
         self.deliver()
 
     def send_query(self, name: str, what: str, about: str) -> None:
         query = CallbackQuery(0, about) if what == "event" else ManualDrainQuery(0, about, what == "out")
         fields = json.loads(encode_message(query))
         del fields["ask"]  # its number comes when it is sent
-        self.say(f"{name} asks {json.dumps(fields)}")
+        self.record(f"{name} asks {json.dumps(fields)}")
         self.query(name, query)
         self.deliver()
 
@@ -89,7 +89,7 @@
         machine = self.processes[name].machine
 
         def answered(positive: bool | None) -> None:
-            self.say(f"  {name} hears {positive}")
+            self.record(f"  {name} hears {positive}")
 
         if isinstance(query, CallbackQuery):
             machine.query_callback(self.now, query.callback, answered)
@@ -112,7 +112,7 @@
         self.machine = HandoverStateMachine(self)
 
     def record(self, what: str) -> None:
-        self.chain.say(f"  {self.name} {what} ({self.machine.role.value})")
+        self.chain.record(f"  {self.name} {what} ({self.machine.role.value})")
 
     def send(self, connection: int, message: HandoverMessage) -> None:
         self.chain.outbox.append((self.name, connection, encode_message(message)))
@@ -165,33 +165,33 @@
         self.add_process("c")
         self.connect("c", "b")
         self.take_over("c")
-        self.say("a call-back for the first reaches the third")
+        self.record("a call-back for the first reaches the third")
         a.request_ids = ("u3",)
         self.send_query("c", "event", "u3")
         self.send_query("c", "back", "r")
         self.kill("a")
         self.send_query("c", "event", "u3")
-        self.close("succession-chain")
+        self.assert_matches_trace("succession-chain")
 
     def test_a_predecessor_serves_on_when_its_successor_dies(self) -> None:
         a = self.add_process("a")
         self.add_process("b")
         self.connect("b", "a")
-        self.say("before it has taken over")
+        self.record("before it has taken over")
         self.kill("b")
         self.add_process("b")
         self.connect("b", "a")
         self.take_over("b")
-        self.say("after that, and nobody told the old one to end")
+        self.record("after that, and nobody told the old one to end")
         self.kill("b")
         self.add_process("b")
         self.connect("b", "a")
         self.take_over("b")
-        self.say("after that, and the old one was told to end")
+        self.record("after that, and the old one was told to end")
         a.machine.start_shutdown()
         self.kill("b")
-        self.say(f"  a: {a.machine.role.value}")
-        self.close("succession-new-dies")
+        self.record(f"  a: {a.machine.role.value}")
+        self.assert_matches_trace("succession-new-dies")
 
     # Guards against callbacks that wait 0.5 s for a process that is gone, and are answered 503 then.
     def test_a_query_awaits_no_process_that_was_refused_meanwhile(self) -> None:
@@ -213,18 +213,18 @@
         self.add_process("a", "u1")
         b = self.add_process("b")
         self.connect("b", "a")
-        self.say("before it has given way")
+        self.record("before it has given way")
         self.kill("a")
-        self.say(f"  b: {b.machine.role.value}")
+        self.record(f"  b: {b.machine.role.value}")
         self.add_process("a", "u1")
         b = self.add_process("b")
         self.connect("b", "a")
         self.take_over("b")
-        self.say("with a question open")
+        self.record("with a question open")
         self.query("b", CallbackQuery(0, "u1"))
         self.outbox.clear()
         self.kill("a")
-        self.say("it hangs")
+        self.record("it hangs")
         self.add_process("a", "u1")
         b = self.add_process("b")
         self.connect("b", "a")
@@ -232,9 +232,9 @@
         self.query("b", CallbackQuery(0, "u1"))
         self.outbox.clear()
         for self.now in (0.4, 0.6):
-            self.say(f"  {self.now}")
+            self.record(f"  {self.now}")
             b.machine.expire_queries(self.now)
-        self.close("succession-old-dies")
+        self.assert_matches_trace("succession-old-dies")
 
     def test_a_late_successor_is_refused_and_connects_to_the_process_that_serves(self) -> None:
         self.add_process("a", "u1")
@@ -243,11 +243,11 @@
         self.connect("b", "a")
         self.connect("c", "a")
         self.take_over("b")
-        self.say("the third is late: it has to ask whoever serves now")
+        self.record("the third is late: it has to ask whoever serves now")
         self.take_over("c")
         self.connect("c", "b")
         self.take_over("c")
-        self.say("what is no message of ours changes nothing")
+        self.record("what is no message of ours changes nothing")
         for odd in (
             {},
             {"yours": 1},
@@ -258,7 +258,7 @@
         ):
             self.outbox.append(("c", 1, json.dumps(odd).encode()))
         self.deliver()
-        self.close("succession-third")
+        self.assert_matches_trace("succession-third")
 
     def test_lines_are_decoded_wherever_cut_and_garbage_is_rejected(self) -> None:
         data = b'{"take":true}\n{"yours":{"ids":["u1"]}}\n'
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -6,7 +6,7 @@
 from crankfold.protocol.handover_messages import STATIC_WEIGHTS, ProcessState, Welcome, decode_message
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.service.handover import transferred_state
-from tests.scene import MS, RouterTestCase, TraceTestCase
+from tests.fixtures import TICKS_PER_MS, RouterTestCase, TraceTestCase
 
 FIELDS = ["queue", "x0"]
 
@@ -40,11 +40,11 @@
         ):
             known = transferred_state.inherited_endpoints(state, weights_follow_load)
             hints = [entry["capacity_hint"] for entry in known["targets"]] if known else known
-            self.say(
+            self.record(
                 f"{name}: weights {hints}, "
                 f"reports of {sorted(transferred_state.inherited_reports(state, FIELDS))}"
             )
-        self.close("carry")
+        self.assert_matches_trace("carry")
 
     def test_settings_of_the_move_are_checked(self) -> None:
         self.lines = []
@@ -58,10 +58,10 @@
         ):
             try:
                 validate({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings | more})
-                self.say("taken")
+                self.record("taken")
             except SchemaError as wrong:
-                self.say(str(wrong))
-        self.close("carry-settings")
+                self.record(str(wrong))
+        self.assert_matches_trace("carry-settings")
 
 
 class FirstListTest(RouterTestCase):
@@ -74,7 +74,7 @@
             hedging_allowed=False,
             instance_count=4,
         )
-        slow_start_since = self.now - 1000 * MS
+        slow_start_since = self.now - 1000 * TICKS_PER_MS
         self.change_endpoints(
             [Endpoint(r, EndpointState.READY, 0.0, 0, 0, slow_start_since if r == 2 else 0) for r in range(3)]
         )
@@ -88,6 +88,6 @@
         )
         sizes = [backend.weight for backend in self.backends]
         own_slots = sum(backend.own_slots for backend in self.backends)
-        self.say(f"sizes {sizes}, own units still counted {own_slots:.0f}")
+        self.record(f"sizes {sizes}, own units still counted {own_slots:.0f}")
         self.receive_request(4, work=0)
-        self.close("carry-first")
+        self.assert_matches_trace("carry-first")
--- a/tests/service/maintenance/test_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -9,7 +9,7 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.network.metrics import Metrics
 from crankfold.service.maintenance.agent import MaintenanceAgent
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class IsolatedDispatcherTest(TraceTestCase, unittest.IsolatedAsyncioTestCase):
--- a/tests/service/requests/test_attempts.py
+++ b/tests/service/requests/test_attempts.py
@@ -7,8 +7,8 @@
 from crankfold.network.pooled_connection import REUSE_COOLDOWN
 from crankfold.routing.interface import EndpointState
 from crankfold.service.requests.collaborators import NoCluster, RecordedEvent
+from tests.fixtures import read_message
 from tests.loopback import DispatcherTestCase
-from tests.scene import read_request
 
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 
@@ -26,7 +26,7 @@
 
     async def reject_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await read_request(reader)
+            await read_message(reader)
             self.recorded.append("received")
             writer.write(BAD_REQUEST)
 
--- a/tests/service/requests/test_callback_handler.py
+++ b/tests/service/requests/test_callback_handler.py
@@ -3,15 +3,15 @@
 import asyncio
 
 from crankfold.routing.interface import Outcome
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
-from tests.scene import read_request
 
 UNKNOWN = "callbacks-unknown-request"
 
 
 class UnknownRequestsTest(DispatcherTestCase):
     async def accept_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_request(reader)
+        await read_message(reader)
         writer.write(OK)
         await reader.read()
 
--- a/tests/service/requests/test_classes.py
+++ b/tests/service/requests/test_classes.py
@@ -5,14 +5,14 @@
 
 from crankfold.routing.interface import Idempotency
 from crankfold.service.requests.classes import RequestClassTable
-from tests.scene import REQUEST_CLASS, TraceTestCase
+from tests.fixtures import REQUEST_CLASS, TraceTestCase
 
 
 class RequestClassTableTest(TraceTestCase):
     def test_a_name_points_to_its_newest_row(self) -> None:
         def update(description: str, **classes: Any) -> None:
             changed = table.update(classes, list(classes.values()))
-            self.say(
+            self.record(
                 f"{description}: {'changed' if changed else 'nothing new'}, "
                 f"{table.index_by_name}, open {table.open_counts}"
             )
@@ -26,10 +26,10 @@
         update("b has another idempotency and is in hand, c is new", a=safe, b=unsafe, c=safe)
         table.request_opened(2)
         update("b is dropped with requests in hand", a=safe, c=safe)
-        self.say(f"  b is {table.find('b')}")
+        self.record(f"  b is {table.find('b')}")
         update("b is back with another idempotency", a=safe, b=keyed, c=safe)
         table.request_closed(1)
         table.request_closed(2)
         update("the old rows of b are free, one is used again", a=safe, b=unsafe, c=safe)
-        self.say(f"  by row: {', '.join(row.idempotency.name.lower() for row in table.classes)}")
-        self.close("request-classes")
+        self.record(f"  by row: {', '.join(row.idempotency.name.lower() for row in table.classes)}")
+        self.assert_matches_trace("request-classes")
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -6,8 +6,8 @@
 import orjson
 
 from crankfold.network.exchange import Exchange
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
-from tests.scene import read_request
 
 
 class AdminServiceTest(DispatcherTestCase):
@@ -18,7 +18,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 self.reads += 1
                 writer.write(OK)
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
@@ -88,7 +88,7 @@
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: 40\r\n\r\n"
             + orjson.dumps({"id": "u0", "from": "a", "state": "started"})
         )
-        await read_request(resting)
+        await read_message(resting)
         used, use = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(use.close)
         request = (
@@ -96,7 +96,7 @@
             b"X-Timeout: 2\r\nContent-Length: 0\r\n\r\n"
         )
         use.write(request % b"u1")
-        self.assertNotIn("close", (await read_request(used))[0])
+        self.assertNotIn("close", (await read_message(used))[0])
         pending = asyncio.create_task(self.send_request("held"))
         await self.until(lambda: self.reads == 2)
         with patch("crankfold.service.lifecycle.CLIENT_MIGRATION_PERIOD", 0.3):
@@ -106,7 +106,7 @@
             self.assertEqual(await self.health(), "503")
             self.assertEqual((await self.send_request("new"))[1], b"done")  # the front still brings some
             use.write(request % b"u2")
-            head, body = await read_request(used)
+            head, body = await read_message(used)
             self.assertEqual((body, "Connection: close" in head, await used.read()), (b"done", True, b""))
             idle, rest = await asyncio.open_connection("127.0.0.1", self.port)
             self.addCleanup(rest.close)
@@ -137,7 +137,7 @@
         await self.call(self.admin_port, "out-of-service")
         await self.call(self.admin_port, "in-service")
         use.write(request % b"u3")
-        self.assertNotIn("close", (await read_request(used))[0])
+        self.assertNotIn("close", (await read_message(used))[0])
         await self.call(self.admin_port, "out-of-service")
         self.application.shutdown_requested.set()  # SIGTERM, in the middle of a drain by call
         await self.until(lambda: self.application.lifecycle.state.value == "ending")
@@ -146,6 +146,6 @@
     async def health(self) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
-        head, _ = await read_request(reader)
+        head, _ = await read_message(reader)
         writer.close()
         return head.split()[1]
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -6,8 +6,8 @@
 import orjson
 
 from crankfold.network.exchange import Exchange
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
-from tests.scene import read_request
 
 NON_IDEMPOTENT = {"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}
 
@@ -18,9 +18,9 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, body = await read_request(reader)
+                head, body = await read_message(reader)
                 first = head.split("\r\n")[0]
-                self.say(f"runner reads {first} {body!r} timed {'X-Timeout: 2.' in head}")
+                self.record(f"runner reads {first} {body!r} timed {'X-Timeout: 2.' in head}")
                 # A call-back may come before the 202, twice, from another runner or for no unit.
                 await self.send_callback(id="u1", **{"from": "b"}, state="done", result="not it")
                 await self.send_callback(id="u1", **{"from": "a"}, state="started")
@@ -42,8 +42,8 @@
             )
         )
         counts = self.application.metrics.counters
-        self.say(f"client reads {answer}")
-        self.say(
+        self.record(f"client reads {answer}")
+        self.record(
             " ".join(
                 f"{name} {counts[name]}"
                 for name in (
@@ -55,19 +55,19 @@
                 )
             )
         )
-        self.close("whole")
+        self.assert_matches_trace("whole")
 
     async def test_where_endpoints_are_polled_a_failed_poll_is_repeated(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
                 writer.write(OK)
 
         polls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            polls.append((await read_request(reader))[0].split()[1])
+            polls.append((await read_message(reader))[0].split()[1])
             if len(polls) < 3:
                 return
             body = orjson.dumps(self.discovery_answer())
@@ -107,7 +107,7 @@
     async def test_an_error_of_a_backend_is_not_passed_through(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")  # it may have run
 
         await self.begin(backend, **{"service-grades": [NON_IDEMPOTENT]})
@@ -118,7 +118,7 @@
     async def test_a_request_that_a_backend_rejects_is_tried_once_and_no_backend_is_ejected(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 writer.write(b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n")
 
         await self.begin(backend)
@@ -141,12 +141,12 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 posts.append(head.split()[0])
                 writer.write(OK)
 
         async def moved(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             await self.send_callback(id="u3", **{"from": "a"}, state="done", result="moved")
             await reader.read()
 
@@ -178,7 +178,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 writer.write(OK)
                 (cancelled if head.startswith("DELETE /jobs/u1 ") else accepted).set()
 
@@ -202,7 +202,7 @@
 
     async def test_a_drain_announced_while_connecting_holds_the_request_back(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            self.say(f"runner reads {(await read_request(reader))[0]}")
+            self.record(f"runner reads {(await read_message(reader))[0]}")
 
         await self.begin(backend)
         await self.start_in_process()
--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -11,8 +11,8 @@
 
 import orjson
 
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
-from tests.scene import read_request
 
 RUN, SLOTS = 0.08, 4  # 85 units a second keep the slots of two runners busy, and some fail
 COLD_FROM, WARM_AFTER, FACTOR = 0.05, 60.0, 2.0
@@ -46,7 +46,7 @@
 
     async def served(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             writer.write(OK)
             if head.startswith("POST"):
                 ident = head.lower().partition("x-request-id: ")[2].split()[0]
@@ -74,7 +74,7 @@
                     b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body)
                     + body
                 )
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 writer.close()
                 if head.split()[1] in ("200", "204"):
                     return
@@ -140,7 +140,7 @@
 
     async def discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             after = int(head.partition("after=")[2].split("&")[0] or 0) if "after=" in head else 0
             async with self.news:
                 await self.news.wait_for(lambda after=after: self.rev > after)  # type: ignore[misc]
@@ -162,7 +162,7 @@
             )
             try:
                 async with asyncio.timeout(4):
-                    head, body = await read_request(reader)
+                    head, body = await read_message(reader)
             except (ConnectionError, asyncio.IncompleteReadError) as broken:
                 if used:  # the close crossed it: sent once more, under another id, as clients do
                     await unit(ident + "-again", grade)
--- a/tests/service/test_lifecycle.py
+++ b/tests/service/test_lifecycle.py
@@ -1,7 +1,7 @@
 """The lifecycle of a process: in service, draining, out of service, ending."""
 
 from crankfold.service.lifecycle import Lifecycle
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class LifecycleTest(TraceTestCase):
@@ -9,7 +9,7 @@
         lifecycle = Lifecycle()
 
         def record(at: float, what: str, yes: bool | None = None) -> None:
-            self.say(
+            self.record(
                 f"{at:3} {what}{'' if yes is None else ' yes' if yes else ' no'}: {lifecycle.state.value}"
                 f"{', healthy' if lifecycle.is_serving() else ''}"
                 f"{', last answers' if lifecycle.is_leaving() else ''}"
@@ -37,5 +37,5 @@
         early = Lifecycle()
         early.start_drain(0.0)
         early.start_serving(0.1)
-        self.say(f"told to leave before it had begun: {early.state.value}")
-        self.close("operators-duty")
+        self.record(f"told to leave before it had begun: {early.state.value}")
+        self.assert_matches_trace("operators-duty")
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -10,8 +10,8 @@
 
 import orjson
 
+from tests.fixtures import read_message
 from tests.loopback import OK, REQUEST, DispatcherTestCase
-from tests.scene import read_request
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
@@ -41,7 +41,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 writer.write(OK)
                 await accepted.put(head.split("\r\n")[0])
 
@@ -61,11 +61,11 @@
         await self.send_callback(id="u1", **{"from": "a"}, state="done", result="1")
         for response in (pending, late, never):
             head, body = await response
-            self.say(f"{head} {body.decode()}")
+            self.record(f"{head} {body.decode()}")
         printed = await lines
         self.assertEqual(self.process.returncode, 0, printed)
         counted = dict(pair.split("=") for pair in printed.rpartition("counters: ")[2].split())
-        self.say(
+        self.record(
             " ".join(
                 f"{name} {counted.get(name)}"
                 for name in (
@@ -75,12 +75,12 @@
                 )
             )
         )
-        self.close("sigterm")
+        self.assert_matches_trace("sigterm")
 
     async def test_a_reload_switches_the_watch_and_an_unusable_file_changes_nothing(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
             while True:
-                request_id = (await read_request(reader))[0].lower().partition("x-request-id: ")[2].split()[0]
+                request_id = (await read_message(reader))[0].lower().partition("x-request-id: ")[2].split()[0]
                 if request_id != "held":
                     await self.send_callback(id=request_id, **{"from": name}, state="done", result=name)
                 writer.write(OK)
@@ -88,7 +88,7 @@
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
             while True:
-                polls.append(f"{name} {(await read_request(reader))[0].split()[1]}")
+                polls.append(f"{name} {(await read_message(reader))[0].split()[1]}")
                 if "after=" in polls[-1]:
                     await reader.read()
                 entry = {"uid": name, "endpoint": f"127.0.0.1:{ports[name]}", "state": "in_service"}
@@ -128,7 +128,7 @@
     async def test_after_sigterm_connections_are_accepted_and_kept_until_the_final_drain_period(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
                 writer.write(OK)
 
@@ -139,7 +139,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for pause in (1.0, 0.0):  # the second when others would have closed long since
             writer.write(REQUEST.replace(b"Timeout: 1", b"Timeout: 2"))
-            head, body = await read_request(reader)
+            head, body = await read_message(reader)
             self.assertEqual((head.split()[1], body, "Connection: close" in head), ("200", b"result", False))
             await asyncio.sleep(pause)
         self.assertEqual(await reader.read(), b"")  # closed at rest, before the end
@@ -149,7 +149,7 @@
     async def test_killed_and_started_again_it_serves_and_takes_old_callbacks(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                await read_request(reader)
+                await read_message(reader)
                 writer.write(OK)
                 posted.set()
 
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -11,8 +11,8 @@
 from crankfold.network.accepted_connection import NEW_CONNECTION_GRACE
 from crankfold.network.exchange import Exchange
 from crankfold.service.application import Application
+from tests.fixtures import read_message
 from tests.loopback import OK, REQUEST, DispatcherTestCase, Handler
-from tests.scene import read_request
 
 
 class DispatcherCrossings(DispatcherTestCase):
@@ -22,7 +22,7 @@
 
     async def test_a_client_that_disconnected_before_it_was_read_has_nothing_sent(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            self.say((await read_request(reader))[0].splitlines()[0])
+            self.record((await read_message(reader))[0].splitlines()[0])
 
         await self.begin(backend)
         await self.start_in_process()
@@ -37,7 +37,7 @@
         self,
     ) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            self.say((await read_request(reader))[0].splitlines()[0])
+            self.record((await read_message(reader))[0].splitlines()[0])
 
         await self.begin(backend)
         await self.start_in_process()
@@ -60,8 +60,8 @@
 
     async def test_a_request_read_after_the_last_responses_is_shed_and_not_forwarded(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
-            self.say("sent on")
+            await read_message(reader)
+            self.record("sent on")
 
         await self.begin(backend)
         await self.start_in_process()
@@ -84,7 +84,7 @@
             self.application.shutdown_requested.set()
             await ended.wait()
             writer.write(REQUEST[-1:])
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             may_finish.set()
         self.assertEqual((head.split()[1], self.lines), ("503", []))
         self.assertEqual(await reader.read(), b"")
@@ -94,7 +94,7 @@
         sent = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             writer.write(OK)
             sent.set()
             await reader.read()
@@ -103,7 +103,7 @@
             body = orjson.dumps({"id": "u1", "from": "a", "state": state, **more})
             head = b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n"
             writer.write(head % len(body) + body)
-            return (await read_request(reader))[0].split()[1]
+            return (await read_message(reader))[0].split()[1]
 
         await self.begin(backend)
         await self.start_in_process()
@@ -126,7 +126,7 @@
         self,
     ) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            self.say((await read_request(reader))[0].splitlines()[0])  # and breaks: it may have run
+            self.record((await read_message(reader))[0].splitlines()[0])  # and breaks: it may have run
 
         await self.begin(backend, "keyed", group="zone", **{"repeat-window": 300_000})
         await self.start_in_process()
@@ -157,8 +157,8 @@
 
     async def test_an_end_reported_twice_is_not_taken_for_that_of_a_second_attempt(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
-            self.say("sent")
+            await read_message(reader)
+            self.record("sent")
             writer.write(OK)
             for _ in range(2):  # as if the first telling's answer had been lost
                 await self.send_callback(id="u1", **{"from": "a"}, state="returned")
@@ -173,7 +173,7 @@
         broken = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
             if callback_first:
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="ran")
             writer.transport.abort()
@@ -210,7 +210,7 @@
 
     async def test_a_reload_signal_before_the_program_is_imported_is_not_lost(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
 
         await self.begin(backend)
         program = (
@@ -231,7 +231,7 @@
     async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 request_id = head.lower().partition("x-request-id: ")[2].partition("\r\n")[0]
                 await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
                 writer.write(OK)
@@ -240,7 +240,7 @@
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             answers = back.is_set()
-            await read_request(reader)
+            await read_message(reader)
             if answers:
                 body = orjson.dumps({**self.discovery_answer(), "rev": 9})
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -271,15 +271,15 @@
 
     async def test_a_first_discovery_call_that_breaks_does_not_end_the_wait_for_the_list(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
-            self.say("sent to a runner that discovery has as draining")
+            await read_message(reader)
+            self.record("sent to a runner that discovery has as draining")
 
         calls = 0
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             calls += 1
-            await read_request(reader)
+            await read_message(reader)
             if calls == 1:
                 return
             self.backend_state = "terminating"
@@ -309,7 +309,7 @@
 
     async def test_the_request_classes_in_force_bound_the_drain(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await read_request(reader)
+            await read_message(reader)
 
         await self.begin(backend)
         await self.start_in_process()
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -6,8 +6,8 @@
 
 import orjson
 
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
-from tests.scene import read_request
 
 
 class ReloadTest(DispatcherTestCase):
@@ -16,7 +16,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
                 sent.append(request_id)
                 if request_id.startswith("fails"):
@@ -80,6 +80,6 @@
             f"X-Priority-Class: {request_class}\r\nX-Timeout: 2\r\nContent-Length: 0\r\n\r\n".encode()
         )
         async with asyncio.timeout(5):
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
         writer.close()
         return head.split()[1]
--- a/tests/service/test_socket_budget.py
+++ b/tests/service/test_socket_budget.py
@@ -6,7 +6,7 @@
 from crankfold.network.admin_server import MAX_CALLERS
 from crankfold.service.config_file import SocketLimits, divide_socket_limit
 from crankfold.service.socket_budget import SocketBudget
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 
 class SocketBudgetTest(TraceTestCase):
--- a/tests/simulation/maintenance/test_fleet.py
+++ b/tests/simulation/maintenance/test_fleet.py
@@ -5,8 +5,8 @@
 from crankfold.simulation.consensus.cluster import ClusterCase, ClusterFault, ClusterFaultKind
 from crankfold.simulation.maintenance.cases import MaintenanceCase, draw_case
 from crankfold.simulation.maintenance.fleet import MaintenanceFleet
+from tests.fixtures import TraceTestCase
 from tests.planted_maintenance import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
-from tests.scene import TraceTestCase
 
 CAUGHT_AT = {
     "free told before the last has answered": 0,
--- a/tests/simulation/traffic/test_comparison.py
+++ b/tests/simulation/traffic/test_comparison.py
@@ -13,7 +13,7 @@
 from crankfold.simulation.traffic import comparison
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.scenario import Scenario
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 SMALL = Scenario(dispatcher_count=4, backend_count=8, arrival_rate=40.0, seconds=3)
 ONE_DAY = """
@@ -42,8 +42,8 @@
                 world.change_state(20_000, 0, EndpointState.DRAINING)
                 world.change_state(25_000, 1, EndpointState.REMOVED)
                 world.run()
-                self.say(f"{effect.name.lower()}, {name}: {world.invariants.violations[:1] or 'kept'}")
-        self.close("study-rules")
+                self.record(f"{effect.name.lower()}, {name}: {world.invariants.violations[:1] or 'kept'}")
+        self.assert_matches_trace("study-rules")
 
     def test_a_day_is_the_same_to_the_byte_whatever_the_hash_seed(self) -> None:
         out = [
@@ -68,10 +68,10 @@
         }
         for one, other in (("sees-all", "random"), ("random", "sees-all"), ("random", "random")):
             _, low, high = comparison.confidence_interval(shares[one], shares[other])
-            self.say(f"{one} against {other}: {comparison.verdict(low, high)}")
+            self.record(f"{one} against {other}: {comparison.verdict(low, high)}")
         even = comparison.confidence_interval([0.5, 0.7, 0.6, 0.4], [0.6, 0.6, 0.5, 0.5])
-        self.say(f"where pairs differ both ways: {comparison.verdict(*even[1:])}")
-        self.close("study-verdicts")
+        self.record(f"where pairs differ both ways: {comparison.verdict(*even[1:])}")
+        self.assert_matches_trace("study-verdicts")
 
     def test_a_calm_day_of_a_small_fleet_is_no_worse_than_the_baselines(self) -> None:
         day = Scenario(
@@ -99,12 +99,12 @@
             ["--csv", "/nowhere/at/all.csv"],
         ):
             done = CliRunner().invoke(main, ["emulate", *options])
-            self.say(f"{done.exit_code} {done.output.splitlines()[-1]}")
-        self.close("study-options")
+            self.record(f"{done.exit_code} {done.output.splitlines()[-1]}")
+        self.assert_matches_trace("study-options")
 
     def test_a_table_has_a_row_for_each_day(self) -> None:
         out = io.StringIO()
         comparison.write_table([comparison.DayResult("random", 1, 200, 0.95, 0)], out)
         for line in out.getvalue().splitlines():
-            self.say(line)
-        self.close("study-table")
+            self.record(line)
+        self.assert_matches_trace("study-table")
--- a/tests/simulation/traffic/test_experiment.py
+++ b/tests/simulation/traffic/test_experiment.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from crankfold.cli.main import main
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 PLAN = """
 name = "small"
@@ -75,9 +75,9 @@
             "a name that is a path": PLAN.replace('"small"', '"../small"'),
         }.items():
             code, output = self.made(plan, "--out", str(self.folder))
-            self.say(f"{what}: {code}, {output.splitlines()[-1]}")
+            self.record(f"{what}: {code}, {output.splitlines()[-1]}")
             self.assertNotIn("Traceback", output)
         (self.folder / "a file").write_text("")
         code, output = self.made(PLAN, "--out", str(self.folder / "a file"))
-        self.say(f"results into a file: {code}, {output.splitlines()[-1]}")
-        self.close("experiment-unfit")
+        self.record(f"results into a file: {code}, {output.splitlines()[-1]}")
+        self.assert_matches_trace("experiment-unfit")
--- a/tests/simulation/traffic/test_faults.py
+++ b/tests/simulation/traffic/test_faults.py
@@ -9,7 +9,7 @@
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import Scenario
 from crankfold.time_units import TICKS_PER_SECOND
-from tests.scene import TraceTestCase
+from tests.fixtures import TraceTestCase
 
 SLOTS = Scenario().slots_per_backend
 
@@ -30,7 +30,7 @@
 
     def test_every_kind_of_fault_is_felt_and_no_rule_breaks(self) -> None:
         _, calm = self.play()
-        self.say(f"calm: over 95 of a hundred in time: {calm > 0.95}")
+        self.record(f"calm: over 95 of a hundred in time: {calm > 0.95}")
         factor = {FaultKind.ERRORS: 0.7, FaultKind.BURST: 2.5}
         for kind in FaultKind:
             # With reports that stand still or lists that are down something else has to happen to be felt.
@@ -44,11 +44,11 @@
             base = self.play(*more, **day)[1] if more else calm
             world, share = self.play(Fault(kind, 2.0, 5.0, 0.4, factor=factor.get(kind, 4.0)), *more, **day)
             answers = [record.answer for record in world.invariants.requests.values()]
-            self.say(
+            self.record(
                 f"{kind.value}: felt {share != base}, all answered {all(answers)}, "
                 f"lost with a dispatcher {'lost' in answers}, rules broken {len(world.invariants.violations)}"
             )
-        self.close("emulator-faults")
+        self.assert_matches_trace("emulator-faults")
 
     def test_a_fault_changes_the_fleet_as_its_kind_says(self) -> None:
         def errors(share: float) -> int:
--- a/tests/simulation/traffic/test_fleet.py
+++ b/tests/simulation/traffic/test_fleet.py
@@ -15,7 +15,7 @@
 from crankfold.simulation.traffic.fleet import SimulatedFleet
 from crankfold.simulation.traffic.invariants import Answer
 from crankfold.simulation.traffic.scenario import ClientRequest, PolicyFactory, Scenario
-from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, TraceTestCase
+from tests.fixtures import REQUEST_CLASS, ROUTING_CONFIG, TICKS_PER_MS, TraceTestCase
 
 
 class Anyone(Router):
@@ -124,9 +124,9 @@
         waiting_share = last / (sum(offered_load**k / factorial(k) for k in range(4)) + last)  # Erlang's C
         mean = waiting_share * 2_000 / (4 - offered_load)
         share = sum(wait > 0 for wait in waits) / len(waits)
-        self.say(f"share that waits within 5% of theory: {abs(share / waiting_share - 1) < 0.05}")
-        self.say(f"mean wait within 10% of theory: {abs(sum(waits) / len(waits) / mean - 1) < 0.1}")
-        self.close("emulator-waits")
+        self.record(f"share that waits within 5% of theory: {abs(share / waiting_share - 1) < 0.05}")
+        self.record(f"mean wait within 10% of theory: {abs(sum(waits) / len(waits) / mean - 1) < 0.1}")
+        self.assert_matches_trace("emulator-waits")
 
     def test_the_real_policy_keeps_the_rules_through_a_drain_and_a_cold_return(self) -> None:
         fleet = self.make_fleet(Router, Scenario(dispatcher_count=8, backend_count=12, seconds=8))
@@ -138,8 +138,8 @@
         self.assertEqual(fleet.invariants.violations, [])
         answers = [record.answer for record in fleet.invariants.requests.values()]
         completed = answers.count(Answer.COMPLETED) / len(answers)
-        self.say(f"all answered: {all(answers)}; over 95 of a hundred done: {completed > 0.95}")
-        self.close("emulator-rules")
+        self.record(f"all answered: {all(answers)}; over 95 of a hundred done: {completed > 0.95}")
+        self.assert_matches_trace("emulator-rules")
 
     def test_each_broken_rule_is_caught(self) -> None:
         small = Scenario(dispatcher_count=1, backend_count=2, seconds=4, arrival_rate=5.0)
@@ -149,19 +149,19 @@
                 small,
                 idempotency=Idempotency.NON_IDEMPOTENT,
                 deduplication_scope=DeduplicationScope.CELL,
-                deadline=500 * MS,
+                deadline=500 * TICKS_PER_MS,
             )
             fleet.run()
-            self.say(f"{policy.__name__}: {self.first_violation(fleet)}")
+            self.record(f"{policy.__name__}: {self.first_violation(fleet)}")
         fleet = self.make_fleet(ToOne, small)
         fleet.change_state(12_000, 0, EndpointState.DRAINING)
         fleet.run()
-        self.say(f"ToOne, drained: {self.first_violation(fleet)}")
+        self.record(f"ToOne, drained: {self.first_violation(fleet)}")
         fleet = self.make_fleet(ToOne, replace(small, arrival_rate=80.0))
         fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
         fleet.run()
-        self.say(f"ToOne, cold: {self.first_violation(fleet)}")
-        self.close("emulator-caught")
+        self.record(f"ToOne, cold: {self.first_violation(fleet)}")
+        self.assert_matches_trace("emulator-caught")
 
     def test_violations_of_the_stricter_terms_are_caught(self) -> None:
         """Covers disconnected clients, a backend in slow start that all dispatchers use, and late lists."""
@@ -169,7 +169,7 @@
         small = Scenario(dispatcher_count=1, backend_count=2, seconds=3, arrival_rate=5.0, faults=(leave,))
         fleet = self.make_fleet(ForNobody, small)
         fleet.run()
-        self.say(f"ForNobody: {self.first_violation(fleet)}")
+        self.record(f"ForNobody: {self.first_violation(fleet)}")
         # Each of the thirty sends little; all together they send more calls than are allowed, of little work.
         config = replace(
             ROUTING_CONFIG, request_classes=[REQUEST_CLASS], overload_factor=3.0, overload_period=10_000
@@ -181,7 +181,7 @@
             limit_service_time(dispatcher, 50)
         fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
         fleet.run()
-        self.say(f"ToOne, thirty, small units: {self.first_violation(fleet)}")
+        self.record(f"ToOne, thirty, small units: {self.first_violation(fleet)}")
         # Too long; and as long as a dispatcher takes at most to replace a silent watch.
         for silence_seconds in (10.0, 3.0):
             silent = Fault(FaultKind.SILENT_WATCH, 0.0, 9.0, share=1.0, factor=silence_seconds)
@@ -190,8 +190,8 @@
             )
             fleet.change_state(20_000, 0, EndpointState.DRAINING)
             fleet.run()
-            self.say(f"watches silent for {silence_seconds:.0f} s: {self.first_violation(fleet)}")
-        self.close("emulator-stricter")
+            self.record(f"watches silent for {silence_seconds:.0f} s: {self.first_violation(fleet)}")
+        self.assert_matches_trace("emulator-stricter")
 
     def first_violation(self, fleet: SimulatedFleet) -> str:
         return fleet.invariants.violations[0] if fleet.invariants.violations else "nothing"
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -9,8 +9,8 @@
 
 from crankfold.fault_injection.http_client import HOST
 from crankfold.fault_injection.stand_ins import StandInServer
+from tests.fixtures import read_message
 from tests.loopback import NEVER_RAN, OK
-from tests.scene import read_request
 from tests.soak.observations import AttemptEnd, Observations, SeenAttempt
 
 RUN_SECONDS = 0.02
@@ -94,7 +94,7 @@
         while True:
             first = await reader.readexactly(1)
             begun_at = time.monotonic()
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             head = first.decode() + head
             if head.startswith("DELETE"):
                 request_id = head.split()[1].rpartition("/")[2]
@@ -175,7 +175,7 @@
                     reader, writer = await asyncio.open_connection(HOST, port)
                     head = f"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: {len(body)}\r\n\r\n"
                     writer.write(head.encode() + body)
-                    answer, _ = await read_request(reader)
+                    answer, _ = await read_message(reader)
                 writer.close()
                 if answer.split()[1] in ("200", "204"):
                     return
@@ -210,7 +210,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             if self.silent:
                 self.silent_calls += 1
                 await reader.read()
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -6,7 +6,7 @@
 import time
 
 from crankfold.fault_injection.http_client import HOST
-from tests.scene import read_request
+from tests.fixtures import read_message
 from tests.soak.observations import Observations, RequestClass, SeenRequest, StalledClient
 
 PAUSE = 0.05  # seconds between the requests of one client, in the mean
@@ -113,7 +113,7 @@
     async def _receive(self, request: SeenRequest, reader: asyncio.StreamReader) -> None:
         try:
             async with asyncio.timeout(request.request_class.timeout + RESPONSE_GRACE):
-                head, body = await read_request(reader)
+                head, body = await read_message(reader)
         except TimeoutError:
             self._forget()
             return  # no answer: the judge finds it
--- a/tests/soak/dispatcher.py
+++ b/tests/soak/dispatcher.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from crankfold.fault_injection.http_client import HOST
-from tests.scene import read_request
+from tests.fixtures import read_message
 from tests.soak.faulty_process import ProcessFaults
 from tests.soak.observations import Observations
 
@@ -97,7 +97,7 @@
         try:
             reader, writer = await asyncio.open_connection(HOST, self.port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
             writer.close()
         except (OSError, asyncio.IncompleteReadError):
             return False
--- a/tests/terms/test_accept.py
+++ b/tests/terms/test_accept.py
@@ -7,8 +7,8 @@
 from typing import Any
 from unittest.mock import patch
 
+from tests.fixtures import read_message
 from tests.loopback import HEALTH_CHECK, DispatcherTestCase
-from tests.scene import read_request
 from tests.terms.test_stalled_clients import failing_backend
 
 FAILED_ACCEPTS = 20  # in a row
@@ -36,7 +36,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(HEALTH_CHECK)
         async with asyncio.timeout(3):
-            head, _ = await read_request(reader)
+            head, _ = await read_message(reader)
         self.assertEqual(head.split()[1], "200")
         writer.close()
         return asyncio.get_running_loop().time() - begin
--- a/tests/terms/test_clocks.py
+++ b/tests/terms/test_clocks.py
@@ -5,8 +5,8 @@
 from typing import Any
 from unittest.mock import patch
 
+from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase, Handler
-from tests.scene import read_request
 
 HOUR_MS = 3_600_000
 WARM_UP_SECONDS = 30
@@ -43,7 +43,7 @@
     def backend(self, backend_id: str) -> Handler:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await read_request(reader)
+                head, _ = await read_message(reader)
                 self.sent[backend_id] += 1
                 request_id = head.lower().partition("x-request-id: ")[2].partition("\r\n")[0]
                 writer.write(OK)
--- a/tests/terms/test_requests.py
+++ b/tests/terms/test_requests.py
@@ -8,8 +8,8 @@
 from unittest.mock import patch
 
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
+from tests.fixtures import read_message
 from tests.loopback import NEVER_RAN, REQUEST, DispatcherTestCase, accepting
-from tests.scene import read_request
 
 
 class ClientGoneTest(DispatcherTestCase):
@@ -19,7 +19,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                sent.append((await read_request(reader))[0])
+                sent.append((await read_message(reader))[0])
                 await client_gone.wait()
                 await asyncio.sleep(0.15)
                 writer.write(NEVER_RAN)
@@ -76,7 +76,7 @@
 
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             nonlocal attempts
-            await read_request(reader)
+            await read_message(reader)
             attempts += 1
             if attempts == 1:
                 await asyncio.sleep(broken_after)
--- a/tests/terms/test_stalled_clients.py
+++ b/tests/terms/test_stalled_clients.py
@@ -3,8 +3,8 @@
 import asyncio
 import contextlib
 
+from tests.fixtures import read_message
 from tests.loopback import DispatcherTestCase, Handler
-from tests.scene import read_request
 
 BAD_CLIENT_SECONDS = 3.0  # in which a client that stops in a request is owed its error or close
 HEADER = (
@@ -16,7 +16,7 @@
 async def failing_backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A backend that answers each request with an error."""
     while True:
-        await read_request(reader)
+        await read_message(reader)
         writer.write(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -34,7 +34,7 @@
         self.addCleanup(writer.close)
         if served_before:
             writer.write(HEADER % request_id.encode() + b"hello!")
-            await read_request(reader)
+            await read_message(reader)
         return reader, writer
 
     async def seconds_until_ended(self, part: bytes, *, served_before: bool, request_id: str) -> float:
@@ -66,7 +66,7 @@
         await self.serve(hold_request)
         reader, writer = await self.connect(served_before=False, request_id="")
         writer.write(HEADER % b"first" + b"hello!" + (HEADER % b"second")[:30])
-        await read_request(reader)
+        await read_message(reader)
         begin = asyncio.get_running_loop().time()
         async with asyncio.timeout(2 * BAD_CLIENT_SECONDS):
             with contextlib.suppress(ConnectionError):
@@ -83,7 +83,7 @@
             for piece in pieces:
                 writer.write(piece)
                 await asyncio.sleep(0.7)
-            return (await read_request(reader))[0].split()[1]
+            return (await read_message(reader))[0].split()[1]
 
         statuses = await asyncio.gather(
             write_slowly(served_before=False, request_id="new"),
