--- a/crankfold/consensus/__init__.py
+++ b/crankfold/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The consensus of dispatchers: Raft, versioned documents and leases, without I/O or clock."""
+"""Consensus among dispatchers: Raft, versioned documents and leases. Reads no clock and does no I/O."""
--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -1,4 +1,4 @@
-"""Activation of pending versions, once every member with a lease has applied them.
+"""Activation of pending versions that every member with a lease has applied.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -12,18 +12,24 @@
 
 
 class VersionActivator:
-    """Proposes the activation of pending versions at the leader.
+    """Proposes the activation of pending versions while its voter leads.
 
     An allocation of quotas also waits until the open requests of each member, which may have been admitted
     under an earlier allocation, keep within it.
     """
 
     def __init__(self, raft: Raft, documents: VersionedDocuments, leases: LeaderLeases) -> None:
-        """For a voter with this Raft node and documents; `leases` are those that it grants as the leader."""
+        """Makes the activator of the voter with this Raft node and these documents.
+
+        Args:
+            raft: The Raft node of the voter.
+            documents: The replicated documents of the voter.
+            leases: The leases that the voter grants as the leader.
+        """
         self._raft = raft
         self._documents = documents
         self._leases = leases
-        self._proposed: set[tuple[str, int]] = set()  # name of the document, number of the version
+        self._proposed: set[tuple[str, int]] = set()  # pairs of document name and version number
 
     def reset(self) -> None:
         """Forgets which activations were proposed, at the start of a term as leader."""
@@ -33,12 +39,12 @@
         """Proposes to activate the versions that every member with a lease has applied.
 
         Args:
-            now: Ticks.
+            now: The current time.
             own: The bounds of the leader and the holders of its leases.
         """
         if now < self._raft.timing.earlier_leases_until(self._raft.leader_since):
             return  # members may hold leases from an earlier leader, and their applied index is unknown
-        reports = self._leases.reports_until(now)
+        reports = self._leases.leased_reports(now)
         lowest_applied = min([own.lowest_applied, *(report.lowest_applied_index for report in reports)])
         self._raft.cluster_applied_index = max(self._raft.cluster_applied_index, lowest_applied)
         for name, version in self._documents.pending_versions():
@@ -52,11 +58,11 @@
                 self._activate(now, name, version)
 
     def _lowest_quiesced(self, now: int, own: AppliedBounds) -> int:
-        """The index of the quotas that all open requests keep within, those of expired leases included."""
+        """The index of the quotas that all open requests keep within, those under expired leases included."""
         request_duration = self._documents.max_request_duration()
         if now < self._raft.timing.earlier_leases_until(self._raft.leader_since) + request_duration:
             return 0
-        reports = self._leases.reports_until(now, request_duration)
+        reports = self._leases.leased_reports(now, request_duration)
         return min([own.quiesced, *(report.quiesced_index for report in reports)])
 
     def _activate(self, now: int, name: str, version: DocumentVersion) -> None:
--- a/crankfold/consensus/conservative_merge.py
+++ b/crankfold/consensus/conservative_merge.py
@@ -1,10 +1,10 @@
-"""The conservative merge of two versions of a document: it permits only what both of them permit.
+"""The conservative merge of two versions of a document, which permits only what both of them permit.
 
-While a version is pending, some members have applied it and some have not. An act that the merge permits is
-permitted for both. Fields that permit nothing, such as the priority weight, are taken from the newer version.
-`docs/bound.md` has the table of all fields.
+While a version is pending, some members have applied it and some have not. What a member does under the merge
+is permitted by both versions. Fields that permit nothing, such as the priority weight, are taken from the
+newer version. `docs/bound.md` has the table of all fields.
 
-Keys are those of the stored documents, which is why contents are plain dictionaries.
+Contents are plain dictionaries, with the keys of the stored documents.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
     SETTINGS,
 )
 
-# Ordered from most to least permissive; an unknown value has the rank of the last.
+# Ordered from most to least permissive; an unknown value ranks as the last one.
 IDEMPOTENT_WITH_KEY = "keyed"
 IDEMPOTENCY_LEVELS = ("safe", IDEMPOTENT_WITH_KEY, "unsafe")
 DEDUPLICATION_SCOPES = ("all", "zone", "cell")
@@ -57,7 +57,7 @@
 
 
 def merge_settings(old: DocumentContent, new: DocumentContent) -> DocumentContent:
-    """Merges two versions of the settings: the request classes of both, and the tighter permissions."""
+    """Merges two versions of the settings: the request classes in both, with the tighter permissions."""
     merged = dict(new)
     old_classes = {request_class["name"]: request_class for request_class in old.get("service-grades", ())}
     merged["service-grades"] = [
@@ -97,9 +97,9 @@
 
 
 def merge_quotas(old: DocumentContent, new: DocumentContent) -> DocumentContent:
-    """Merges two allocations: a member has the lower of its two quotas of each limit.
+    """Merges two allocations: a member gets the lower of its two quotas of each limit.
 
-    A member that only one of them names has no quota.
+    A member that only one allocation of a limit names gets no quota of it.
     """
     old_quotas = old.get("shares", {})
     new_quotas = new.get("shares", {})
@@ -116,7 +116,7 @@
 
 
 def merge_maintenance(old: DocumentContent, new: DocumentContent) -> DocumentContent:  # noqa: ARG001 - as all merge functions
-    """Returns the newer jobs: only the leader acts on them, and a transition names the version it is from."""
+    """Returns the newer jobs: only the leader acts on them, and a transition names the version it is for."""
     return new
 
 
--- a/crankfold/consensus/election_timer.py
+++ b/crankfold/consensus/election_timer.py
@@ -8,18 +8,18 @@
 
 # Before a vote counts, the candidate and then the voter sync it to stable storage.
 SYNCS_PER_VOTE = 2
-MAX_SYNC_ALLOWANCE_TIMEOUTS = 6  # election timeouts
+MAX_SYNC_ALLOWANCE_TIMEOUTS = 6  # in election timeouts
 
 
 class ElectionTimer:
-    """Determines when a node without contact to a leader campaigns.
+    """Determines when a node without contact with a leader campaigns.
 
     Attributes:
         due_at: When the election timeout elapses.
     """
 
     def __init__(self, timing: Timing, seed: int) -> None:
-        """Starts as elapsed; `seed` makes the random part reproducible."""
+        """Starts as elapsed; `seed` is the seed of the random part."""
         self._timing = timing
         self._random = RandomNumbers(seed)
         self.due_at = 0
@@ -28,12 +28,12 @@
         """Starts a new timeout at `now`.
 
         The timeout is one to two election timeouts. Without a leader it is longer by the time that a vote
-        takes to reach stable storage, or slow storage would let no candidate win.
+        takes to reach stable storage: otherwise, no candidate would win an election on slow storage.
 
         Args:
-            now: Ticks.
+            now: The current time.
             has_leader: Whether the leader of the term is known.
-            sync_duration: The recent duration of a sync to stable storage, in ticks.
+            sync_duration: The recent duration of a sync to stable storage.
         """
         timeout = self._timing.election_timeout
         allowance = 0
--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -1,4 +1,4 @@
-"""A member without a vote: it replicates the committed log from a voter and holds its lease from that voter.
+"""A member without a vote, which gets the committed log and its lease from a voter.
 
 Times and durations are ticks of a tenth of a millisecond.
 """
@@ -20,7 +20,7 @@
 
 
 class Follower(Member):
-    """A member that follows one of the voters, and another one after a loss of contact.
+    """A member that follows one voter, and switches to another one when it loses contact.
 
     Attributes:
         voter: The voter that it follows.
@@ -37,7 +37,7 @@
         incarnation: int,
         host: MemberHost,
     ) -> None:
-        """Starts with a voter drawn at random, by `seed`, from the names in `voters`."""
+        """Starts with a voter that is drawn at random from the names in `voters`; `seed` seeds all draws."""
         super().__init__(name, timing=timing, now=now, incarnation=incarnation, host=host)
         self._voters = sorted(voters)
         self._random = RandomNumbers(seed)
@@ -57,7 +57,7 @@
         return messages
 
     def tick(self, now: int) -> None:
-        """Sends a heartbeat or switches to another voter, where that is due at `now`."""
+        """Sends a heartbeat or switches to another voter, if that is due at `now`."""
         if now < self._heartbeat_due_at:
             return
         if now - self._voter_contact_at > self.timing.contact_timeout:
@@ -66,9 +66,9 @@
             self._send_heartbeat(now)
 
     def _switch_voter(self, now: int) -> None:
-        """Follows another voter, drawn at random.
+        """Switches to another voter, which is drawn at random.
 
-        The random choice and delay distribute the followers of a failed voter over the others.
+        The random choice and delay spread the followers of a failed voter over the others and over time.
         """
         others = [voter for voter in self._voters if voter != self.voter] or self._voters
         self.voter = others[self._random.below(len(others))]
@@ -101,7 +101,7 @@
         self._messages.append(OutgoingMessage(self.voter, request))
 
     def leave(self, now: int) -> None:
-        """Releases the lease and the name."""
+        """Leaves the cluster, which releases the lease and the name."""
         self.lease_expires_at = min(self.lease_expires_at, now)
         leave = Leave(self.name, self.incarnation)
         self._messages.append(OutgoingMessage(self.voter, leave))
@@ -131,4 +131,4 @@
             self._accept_lease(update.request_sent_at, update.lease_duration, update.voter_last_applied)
         is_behind = self.last_applied < update.voter_last_applied
         if self.last_applied > applied_before or is_behind:
-            self._send_heartbeat(now)  # an activation waits for this confirmation
+            self._send_heartbeat(now)  # an activation may wait for this acknowledgment
--- a/crankfold/consensus/incarnations.py
+++ b/crankfold/consensus/incarnations.py
@@ -1,13 +1,13 @@
-"""The present incarnation, that is process, of each member name."""
+"""The incarnations of each member name. Every process that uses the name is an incarnation of its own."""
 
-MAX_RETIRED_INCARNATIONS = 8  # retained by name
+MAX_RETIRED_INCARNATIONS = 8  # retained for each name
 
 
 class IncarnationTracker:
-    """The present incarnation and the retired ones of each name; messages of retired ones are rejected.
+    """Tracks the current and the retired incarnations of each name. Messages of retired ones are rejected.
 
     Attributes:
-        current: The present incarnation, by name.
+        current: The current incarnation, by name.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         return incarnation in self._retired.get(name, ())
 
     def accept(self, name: str, incarnation: int) -> bool:
-        """Accepts an incarnation unless it is retired; a new incarnation retires the present one."""
+        """Accepts an incarnation unless it is retired; a new incarnation retires the current one."""
         if self.is_retired(name, incarnation):
             return False
         previous = self.current.get(name)
--- a/crankfold/consensus/leader_leases.py
+++ b/crankfold/consensus/leader_leases.py
@@ -1,4 +1,4 @@
-"""The leases that a leader grants to the other voters, and the reports that their requests carry.
+"""The leases that a leader grants to the other voters, and the reports in their lease requests.
 
 Times and durations are ticks of a tenth of a millisecond.
 """
@@ -11,15 +11,16 @@
 
 
 class VoterReport(Struct):
-    """The content of a voter's newest lease request; its bounds are over the voter and its lease holders.
+    """The content of a voter's newest lease request, with bounds for the voter and its lease holders.
 
     Attributes:
         incarnation: The incarnation of the voter's process.
         sent_at: When it was sent, on the voter's clock.
-        lowest_applied_index: Each of them has applied the log up to here.
+        lowest_applied_index: Each of them has applied the log up to this index.
         quiesced_index: The open requests of each keep within the quotas as of this index.
-        drained_index: Each of them had applied the log up to here when it made its maintenance report.
-        maintenance_report: Their merged report; None if any of them has none.
+        drained_index: Each of them had applied the log up to this index when it made its maintenance report;
+            0 if one of them has none.
+        maintenance_report: Their merged report; None if the voter itself has none.
         received_at: When it arrived, on the leader's clock.
     """
 
@@ -42,7 +43,7 @@
     """
 
     def __init__(self) -> None:
-        """Starts without grants and reports."""
+        """Starts without grants or reports."""
         self.term = 0
         self.granted_until: dict[str, int] = {}
         self.reports: dict[str, VoterReport] = {}
@@ -54,7 +55,11 @@
         self.reports = {}
 
     def record(self, now: int, voter: str, request: LeaseRequest) -> bool:
-        """Stores the report of a lease request; False if one that was sent later has arrived already."""
+        """Stores the report in a lease request.
+
+        Returns:
+            Whether it was stored; False if a request that was sent later has already arrived.
+        """
         previous = self.reports.get(voter)
         if previous and previous.incarnation == request.incarnation and request.sent_at < previous.sent_at:
             return False
@@ -70,7 +75,7 @@
         return True
 
     def grant(self, now: int, voter: str, duration: int) -> None:
-        """Records a lease of `duration` ticks that is sent to the voter at `now`."""
+        """Records that a lease of `duration` ticks was sent to the voter at `now`."""
         expires_at = now + with_drift_margin(duration)
         self.granted_until[voter] = max(self.granted_until.get(voter, 0), expires_at)
 
@@ -78,7 +83,7 @@
         """Whether the voter may hold a lease of this term."""
         return now < self.granted_until.get(voter, 0)
 
-    def reports_until(self, now: int, grace: int = 0) -> list[VoterReport]:
+    def leased_reports(self, now: int, grace: int = 0) -> list[VoterReport]:
         """Reports of the voters whose leases may run, or expired less than `grace` ticks before `now`."""
         return [
             report for voter, report in self.reports.items() if now < self.granted_until.get(voter, 0) + grace
--- a/crankfold/consensus/leader_proposals.py
+++ b/crankfold/consensus/leader_proposals.py
@@ -1,4 +1,4 @@
-"""The log entries that a leader proposes on its own: first settings, folders, activations, quotas.
+"""The log entries that a leader proposes by itself: initial settings, folders, activations and quotas.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -13,11 +13,11 @@
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.document_names import SETTINGS
 
-FIRST_SETTINGS_PROPOSAL_ID = "begin"  # the same for each leader, so that one proposal takes effect
+FIRST_SETTINGS_PROPOSAL_ID = "begin"  # the same for each leader, so that only one proposal takes effect
 
 
 class LeaderProposals:
-    """Proposes each entry once in a term; a later leader proposes again what was not committed."""
+    """Proposes each entry once in a term; a later leader proposes uncommitted ones again."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
             raft: The Raft node of the voter.
             documents: The replicated documents of the voter.
             leases: The leases that the voter grants as the leader.
-            initial_settings: Proposed if no settings were published; None to propose none.
+            initial_settings: The settings to propose if none were published; None to propose none.
         """
         self._raft = raft
         self._documents = documents
@@ -79,5 +79,5 @@
         self._activator.propose_due(now, own)
 
     def propose_quotas(self, now: int, alive: list[LeaseHolderStatus]) -> None:
-        """Proposes an allocation of the quotas to the members that are alive, if one is due."""
+        """Proposes an allocation of the quotas to the `alive` members, if one is due."""
         self._quota_allocator.propose_if_due(now, alive)
--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -1,9 +1,10 @@
-"""The leases that a voter grants to followers: until when a member may act on its documents.
+"""The leases that a voter grants to followers. A member may act on its documents while it holds a lease.
 
-Leases form a tree: the leader, by its contact to a quorum; the other voters; the followers of each voter. A
-lease expires no later than the one that it is granted from. The granter counts a lease from the time it
-sends the grant and adds a margin for clock drift; the holder counts from the time it sent the request. So
-the granter's expiry is never earlier than the holder's. `docs/bound.md` has the proof.
+Leases form a tree: the leader holds its lease by contact with a quorum and grants leases to the other voters;
+each voter grants leases to its followers. A lease expires no later than the one that it is granted from. The
+granter counts a lease from the time it sends the grant and adds a margin for clock drift; the holder counts
+from the time it sent the request. So the granter's expiry is never earlier than the holder's. `docs/bound.md`
+has the proof.
 
 Times and durations are ticks of a tenth of a millisecond.
 """
@@ -21,11 +22,12 @@
 )
 from crankfold.consensus.timing import Timing, with_drift_margin
 
-HOLDER_RETENTION_LEASES = 60  # lease durations from the expiry of a holder's lease to its removal
+# A holder is removed this many lease durations after its lease has expired and its requests have ended.
+HOLDER_RETENTION_LEASES = 60
 
 
 class LeaseHolderState(StrEnum):
-    """The state of a lease holder; the values are sent to other voters and shown to operators."""
+    """The state of a lease holder. Values are sent to other voters and shown to operators."""
 
     ALIVE = "there"
     SUSPECTED = "suspected"  # out of contact, while its lease may still run
@@ -34,10 +36,10 @@
 
 
 class AppliedBounds(Struct, frozen=True):
-    """Lower bounds over a member and the holders of its leases, as log indices.
+    """Lower bounds that hold for a member and for each holder of its leases, as log indices.
 
     Attributes:
-        lowest_applied: Each of them has applied the log up to here.
+        lowest_applied: Each of them has applied the log up to this index.
         quiesced: The open requests of each keep within the quotas as of this index.
     """
 
@@ -54,12 +56,12 @@
         last_contact_at: When the newest heartbeat arrived.
         heartbeat_sent_at: When the follower sent that heartbeat, on the follower's clock.
         expires_at: The latest time at which its lease expires.
-        last_applied: The last log index that it had applied, by its newest heartbeat.
-        quiesced_index: The index of the quotas that its open requests keep to, by its newest heartbeat.
+        last_applied: The last log index that it had applied when it sent its newest heartbeat.
+        quiesced_index: The index of the quotas that its open requests kept within at that time.
         has_left: Whether it released its lease.
-        quota_usage: Open and wanted requests by quota, by its newest heartbeat.
-        maintenance_report: By its newest heartbeat.
-        predecessor_until: The latest time at which requests of an earlier incarnation end.
+        quota_usage: The number of open and wanted requests at that time, by cluster-wide limit.
+        maintenance_report: Its report in that heartbeat; None for none.
+        predecessor_until: The latest time at which requests of the preceding incarnation end.
     """
 
     incarnation: int
@@ -85,7 +87,7 @@
     """
 
     def __init__(self, timing: Timing, started_at: int) -> None:
-        """Starts without holders; leases from an earlier process of the voter may still run."""
+        """Starts without holders, although leases from an earlier process of the voter may still run."""
         self.timing = timing
         self.started_at = started_at
         self.holders: dict[str, LeaseHolder] = {}
@@ -114,12 +116,12 @@
         """Updates the holder that sent a heartbeat.
 
         Args:
-            now: Ticks.
-            heartbeat: From a follower that this voter admits.
-            request_duration: The longest duration of a request, in ticks.
+            now: The current time.
+            heartbeat: A heartbeat from a follower that this voter admits.
+            request_duration: The longest duration of a request.
 
         Returns:
-            The holder, or None where a heartbeat that was sent later has arrived already.
+            The holder, or None if a heartbeat that was sent later has already arrived.
         """
         holder = self.holders.get(heartbeat.name)
         if holder is None or holder.incarnation != heartbeat.incarnation:
@@ -136,7 +138,7 @@
         return holder
 
     def _add_incarnation(self, now: int, heartbeat: FollowerHeartbeat, request_duration: int) -> LeaseHolder:
-        """Replaces a holder by its new incarnation, and notes when requests of the old one end."""
+        """Replaces a holder by its new incarnation, and records when requests of the old one end."""
         predecessor = self.holders.get(heartbeat.name)
         holder = LeaseHolder(heartbeat.incarnation, now, now, heartbeat.sent_at)
         self.holders[heartbeat.name] = holder
@@ -145,11 +147,11 @@
         return holder
 
     def grant(self, now: int, holder: LeaseHolder, duration: int) -> None:
-        """Records a lease of `duration` ticks that is sent to the holder at `now`."""
+        """Records that a lease of `duration` ticks was sent to the holder at `now`."""
         holder.expires_at = max(holder.expires_at, now + with_drift_margin(duration))
 
     def release(self, now: int, leave: Leave) -> None:
-        """Ends the lease of a holder that leaves, unless another incarnation has its name."""
+        """Ends the lease of a holder that leaves, unless another incarnation now has its name."""
         holder = self.holders.get(leave.name)
         if holder and holder.incarnation == leave.incarnation:
             holder.has_left = True
@@ -164,13 +166,13 @@
         ]
 
     def applied_bounds(self, now: int, own: AppliedBounds, request_duration: int) -> AppliedBounds:
-        """The lower bounds over this voter and the holders of its leases.
+        """The lower bounds for this voter and the holders of its leases.
 
         Args:
-            now: Ticks.
+            now: The current time.
             own: The bounds of this voter alone.
-            request_duration: The longest duration of a request, in ticks. A request may end that long after
-                the lease under which it was admitted.
+            request_duration: The longest duration of a request, which may end that long after the lease
+                under which it was admitted.
         """
         lowest_applied = own.lowest_applied
         quiesced = own.quiesced
@@ -188,12 +190,12 @@
         return AppliedBounds(lowest_applied, quiesced)
 
     def subtree_report(self, now: int, own: SubtreeReport, request_duration: int) -> SubtreeReport:
-        """Merges the reports of holders into `own` while their leases or their requests may still run.
+        """Merges into `own` the reports of holders whose leases or requests may still run.
 
         Args:
-            now: Ticks.
+            now: The current time.
             own: The report of this voter alone; its `report` is extended in place.
-            request_duration: The longest duration of a request, in ticks.
+            request_duration: The longest duration of a request.
 
         Returns:
             The merged report with the lowest drained index.
@@ -227,7 +229,7 @@
         ]
 
     def drop_expired(self, now: int, request_duration: int) -> None:
-        """Removes holders some time after their leases and requests ended."""
+        """Removes holders whose leases and requests ended `HOLDER_RETENTION_LEASES` lease durations ago."""
         retention = request_duration + HOLDER_RETENTION_LEASES * self.timing.lease_duration
         for name, holder in list(self.holders.items()):
             if now > holder.expires_at + retention:
--- a/crankfold/consensus/log_entries.py
+++ b/crankfold/consensus/log_entries.py
@@ -12,14 +12,14 @@
 
 
 class EntryKind(StrEnum):
-    """The kind of a log entry, by the string that is stored."""
+    """The kind of a log entry; the values are stored."""
 
     NO_OP = "begin"  # the first entry of a leader's term, which commits the entries of earlier terms
     CHANGE_VOTERS = "voters"
     REGISTER_FOLDER = "folder"  # binds a voter's name to the folder that holds its state
-    PUBLISH = "publish"  # a new version of a document
-    ACTIVATE = "count"  # every member that may act has applied a version: it is active
-    MAINTENANCE = "step"  # transitions of machines in maintenance
+    PUBLISH = "publish"  # adds a version of a document
+    ACTIVATE = "count"  # makes a version active, once every member with a lease has applied it
+    MAINTENANCE = "step"  # records transitions of machines in maintenance
 
 
 class NoOpData(Struct):
@@ -27,7 +27,7 @@
 
     Attributes:
         by: The name of the leader.
-        folders: The folder ids, by name, of the voters that elected it; in the first entry of a log only.
+        folders: The folder ids, by name, of the voters that elected it; only in the first entry of a log.
     """
 
     by: str
@@ -38,10 +38,10 @@
     """Data of a `PUBLISH` entry.
 
     Attributes:
-        call: The id of the proposal; the same id takes effect once.
+        call: The id of the proposal; of several entries with the same id, only the first takes effect.
         doc: The name of the document.
         made_from: The newest version that the author had read.
-        author: Who published it.
+        author: The name of the author.
         reason: Why, in the author's words.
         at: Wall time of the publish in milliseconds; shown, never compared.
         text: The content of the version.
@@ -89,7 +89,7 @@
     """Decodes the data of a `PUBLISH` entry.
 
     Raises:
-        msgspec.ValidationError: The data has other fields.
+        msgspec.ValidationError: The data does not have the fields of this kind.
     """
     return msgspec.convert(entry.data, PublishData)
 
@@ -98,13 +98,13 @@
     """Decodes the data of an `ACTIVATE` entry.
 
     Raises:
-        msgspec.ValidationError: The data has other fields.
+        msgspec.ValidationError: The data does not have the fields of this kind.
     """
     return msgspec.convert(entry.data, ActivateData)
 
 
 def voters_of(entry: LogEntry) -> dict[str, str]:
-    """Addresses by name of the voters after a `CHANGE_VOTERS` entry."""
+    """Addresses by name of the voters, as they are after a `CHANGE_VOTERS` entry."""
     return dict(entry.data["voters"])
 
 
@@ -117,7 +117,7 @@
     """The registered folder ids by voter, after one more entry.
 
     Raises:
-        msgspec.ValidationError: The data of the entry has other fields.
+        msgspec.ValidationError: The data of the entry does not have the fields of its kind.
     """
     if entry.kind == EntryKind.REGISTER_FOLDER:
         registered = msgspec.convert(entry.data, RegisterFolderData)
--- a/crankfold/consensus/maintenance_reports.py
+++ b/crankfold/consensus/maintenance_reports.py
@@ -1,7 +1,7 @@
-"""The merge of all maintenance reports at the leader.
+"""Merges the maintenance reports of all members at the leader.
 
-A machine is drained once each member that may send requests to it has reported none in flight. For a member
-without a report, it is drained once the member's lease and its longest request have ended.
+A machine is drained once each member that may send requests to it has reported none in flight. A member
+without a report stops counting once its lease and its longest request have ended.
 """
 
 from collections.abc import Sequence
@@ -16,8 +16,9 @@
 
     Attributes:
         voter: The name of the voter.
-        drained_index: Each of them had applied the log up to here when it reported.
-        report: None if the report of any of them is missing.
+        drained_index: Each of them had applied the log up to this index when it reported; 0 if one of them
+            has not reported.
+        report: The merged report; None if the voter itself has none.
         lease_valid: Whether the lease of the voter itself may still run.
     """
 
@@ -51,7 +52,7 @@
             index: The log index of the transition that drained it.
 
         Returns:
-            A text for operators, which answers as JSON repeat; empty for a drained machine.
+            A text for operators, which is also shown in JSON output; empty for a drained machine.
         """
         if self._earlier_leases_may_run:
             return "leases from before the last change of leader, and their units, may not be over"
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -1,4 +1,4 @@
-"""The common part of voters and followers: the documents, the lease and the interface of the dispatcher.
+"""The common part of voters and followers: the documents, the lease and the interface to the dispatcher.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -32,7 +32,7 @@
         """Returns the open requests plus those rejected since the last call, by cluster-wide limit."""
 
     def build_maintenance_report(self) -> MaintenanceReport | None:
-        """Makes a new report on machines in maintenance; None while there are none.
+        """Returns a new report on machines in maintenance; None while there are none.
 
         Also starts the maintenance commands that are due at this dispatcher.
         """
@@ -49,11 +49,11 @@
     """Proposes transitions of machines in maintenance at the leader."""
 
     def propose_transitions(self, now: int) -> list[TransitionDocument]:
-        """The transitions to propose at `now`, in their stored form; none unless this member leads."""
+        """Returns the transitions to propose, in their stored form; none unless this member leads."""
 
 
 class Member:
-    """A member of the cluster: its applied log and its lease. It reads no clock and does no I/O.
+    """A member of the cluster, with its documents and its lease. It reads no clock and does no I/O.
 
     Attributes:
         name: Its name in the cluster.
@@ -63,10 +63,10 @@
         started_at: When the process started.
         documents: The replicated documents as of the last applied entry.
         lease_expires_at: When its lease expires, on its own clock.
-        changed_documents: Names of documents whose effective content changed since its owner cleared this.
+        changed_documents: Names of documents whose effective content changed since the owner cleared this.
         cluster_applied_index: The highest index that each member with a lease is known to have applied.
-        proposal_responses: Outcomes of proposals made here since its owner cleared this.
-        rejection_reason: The reason of a voter that rejects this member; empty while none does.
+        proposal_responses: Responses to this member's proposals since the owner cleared this.
+        rejection_reason: Why a voter rejects this member; empty while none does.
     """
 
     def __init__(self, name: str, *, timing: Timing, now: int, incarnation: int, host: MemberHost) -> None:
@@ -91,7 +91,7 @@
     def has_lease(self, now: int) -> bool:
         """Whether this member may act on its documents at `now`.
 
-        To be called before each act: a suspended process does not notice that its lease expires.
+        Call this before each action: a process does not notice that its lease expires while suspended.
         """
         return now < self.lease_expires_at
 
@@ -106,11 +106,12 @@
     def _accept_lease(self, request_sent_at: int, duration: int, required_index: int) -> None:
         """Extends the lease by a grant, if this process requested it and has applied `required_index`.
 
-        A lease requested by an earlier process is granted for the log that that process had applied.
+        A lease that an earlier process requested was granted for the log that this earlier process had
+        applied.
 
         Args:
-            request_sent_at: When the lease was requested, on this member's clock. The lease counts from it.
-            duration: Ticks.
+            request_sent_at: When the lease was requested, on this member's clock; the lease counts from then.
+            duration: The duration of the lease, in ticks.
             required_index: The last index that the granter knew to be committed.
         """
         requested_by_this_process = request_sent_at >= self.started_at
--- a/crankfold/consensus/membership.py
+++ b/crankfold/consensus/membership.py
@@ -1,4 +1,4 @@
-"""The lease holders of the other voters, by their gossip.
+"""The lease holders of the other voters, as known from gossip.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -8,10 +8,10 @@
 
 
 class RemoteLeaseHolders:
-    """The newest gossip of each other voter.
+    """Stores the newest gossip of each other voter.
 
     Attributes:
-        by_voter: Lease holders by the voter that sent them; the voter itself is among them.
+        by_voter: Lease holders, by the voter that sent them; each voter is among its own.
     """
 
     def __init__(self, max_age: int) -> None:
@@ -26,8 +26,10 @@
         self._received_at[voter] = now
 
     def drop_stale(self, now: int) -> None:
-        """Drops stale gossip: the followers of a silent voter have switched to others."""
-        for voter in [voter for voter, at in self._received_at.items() if now - at > self._max_age]:
+        """Drops stale gossip, because the followers of a silent voter have switched to others."""
+        for voter in [
+            voter for voter, received_at in self._received_at.items() if now - received_at > self._max_age
+        ]:
             del self._received_at[voter]
             del self.by_voter[voter]
 
@@ -40,5 +42,5 @@
         return [status for status in self.all() if status.state == LeaseHolderState.ALIVE]
 
     def has_other_incarnation(self, name: str, incarnation: int) -> bool:
-        """Whether another incarnation of a name is in contact with another voter."""
+        """Whether another incarnation of a member name is in contact with another voter."""
         return any(status.name == name and status.incarnation != incarnation for status in self.alive())
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -1,7 +1,8 @@
-"""Messages between the members of a cluster, and the records that they share with the storage.
+"""Messages between the members of a cluster, and records that are both sent and stored.
 
-Every class is encoded as a MessagePack array with a one-letter tag: the order of the fields, their types and
-the tags are the wire format, the names are not. Times and durations are ticks of a tenth of a millisecond.
+Every message is encoded as a MessagePack array with a one-letter tag. The order of the fields, their types
+and the tags are the wire format, the names are not. Times and durations are ticks of a tenth of a
+millisecond.
 
 Clocks of different machines are never compared: a response repeats the time of its request, and a duration
 in it counts from that time on the clock of the requester.
@@ -12,12 +13,12 @@
 from msgspec import Struct, field
 
 EntryData = dict[str, Any]
-"""The fields of a log entry. A plain dictionary, as the order of the proposer's keys is stored."""
+"""The fields of a log entry. A plain dictionary, because the order of the proposer's keys is stored."""
 
 DocumentContent = dict[str, Any]
-"""The content of a document. A plain dictionary, as its keys are stored in the author's order."""
+"""The content of a document. A plain dictionary, because its keys are stored in the author's order."""
 
-MAX_UNRESOLVED_REPORTED = 5  # request ids by report and machine
+MAX_UNRESOLVED_REPORTED = 5  # request ids from each report, for each machine
 
 
 class LogEntry(Struct, array_like=True, frozen=True):
@@ -25,7 +26,7 @@
 
     Attributes:
         term: The term of the leader that appended it.
-        kind: A `log_entries.EntryKind`.
+        kind: The value of a `log_entries.EntryKind`.
         data: The fields of that kind.
     """
 
@@ -68,7 +69,7 @@
 
 
 class AppendEntries(Struct, array_like=True, frozen=True, tag="a"):
-    """A leader replicates the entries after `prev_log_index`; without entries it is a heartbeat.
+    """A leader replicates the entries after `prev_log_index`; without entries, this is a heartbeat.
 
     Attributes:
         round_number: The number of the leader's broadcast, which the response repeats.
@@ -88,7 +89,7 @@
     """The response to AppendEntries or InstallSnapshot.
 
     Attributes:
-        match_index: The highest matching index; without `success`, the next `prev_log_index` to try.
+        match_index: The highest matching index; if not `success`, the next `prev_log_index` to try.
     """
 
     term: int
@@ -106,12 +107,12 @@
 
 
 class MaintenanceReport(Struct, array_like=True):
-    """The report of a dispatcher, or of a voter's dispatcher merged with its lease holders', for maintenance.
+    """A dispatcher's report for maintenance, or the merged reports of a voter and its lease holders.
 
     Attributes:
         in_flight: The number of requests in flight, by machine in maintenance.
         unresolved: Ids of abandoned requests that may still be executed, by machine.
-        response_counts: The number of all and of bad responses, by machine under observation.
+        response_counts: The numbers of all responses and of bad ones, by machine under observation.
         unavailable: Machines that discovery does not list as ready.
         idle_dispatchers: Draining dispatchers without open requests.
         dispatcher_zones: Zones by dispatcher, where one is configured.
@@ -131,7 +132,7 @@
     recent_shed: int = 0
 
     def merge(self, other: "MaintenanceReport", *, lease_valid: bool) -> None:
-        """Merges another report into this one; of a member without a lease, only its requests in flight."""
+        """Merges another report into this one; only the requests in flight if its lease is not valid."""
         for machine_id, count in other.in_flight.items():
             self.in_flight[machine_id] = self.in_flight.get(machine_id, 0) + count
         if not lease_valid:
@@ -153,10 +154,10 @@
     """A voter requests a lease from the leader.
 
     Attributes:
-        sent_at: On the sender's clock.
-        lowest_applied_index: The sender and each of its lease holders have applied the log up to here.
+        sent_at: When it was sent, on the sender's clock.
+        lowest_applied_index: The sender and each of its lease holders have applied the log up to this index.
         quiesced_index: The open requests of each keep within the quotas as of this index.
-        drained_index: Each had applied the log up to here when it made its maintenance report.
+        drained_index: Each had applied the log up to this index when it made its maintenance report.
         maintenance_report: Their merged report; None while no machine is in maintenance.
     """
 
@@ -170,7 +171,7 @@
 
 
 class LeaseGrant(Struct, array_like=True, frozen=True, tag="L"):
-    """The leader grants a lease, valid if the voter has applied the log up to `required_index` on receipt.
+    """The leader grants a lease, valid if the receiver has applied the log up to `required_index` by then.
 
     Attributes:
         request_sent_at: `LeaseRequest.sent_at`; the lease counts from there.
@@ -188,10 +189,10 @@
     """A follower requests new entries and a lease from its voter.
 
     Attributes:
-        sent_at: On the sender's clock.
+        sent_at: When it was sent, on the sender's clock.
         quiesced_index: The sender's open requests keep within the quotas as of this index.
         quota_usage: The number of open and wanted requests, by cluster-wide limit.
-        maintenance_report: None while no machine is in maintenance.
+        maintenance_report: The sender's report; None while no machine is in maintenance.
     """
 
     name: str
@@ -207,10 +208,10 @@
     """A voter sends a follower new entries and, in response to a heartbeat, a lease.
 
     Attributes:
-        request_sent_at: `FollowerHeartbeat.sent_at`; the lease counts from there. 0 without a heartbeat.
+        request_sent_at: `FollowerHeartbeat.sent_at`; the lease counts from there. 0 if this is no response.
         lease_duration: Ticks; 0 for no lease.
         prev_log_index: The index before the first of `entries`.
-        snapshot: Precedes the entries where the follower lacks compacted entries.
+        snapshot: The state before `entries`, if the follower lacks compacted entries.
         voter_last_applied: The last index that the voter has applied.
         cluster_applied_index: The highest index that each member with a lease has applied.
     """
@@ -225,13 +226,13 @@
 
 
 class Rejection(Struct, array_like=True, frozen=True, tag="r"):
-    """The sender does not admit the receiver, for `reason`."""
+    """The sender does not admit the receiver; `reason` says why."""
 
     reason: str
 
 
 class ProposalRequest(Struct, array_like=True, frozen=True, tag="p"):
-    """A proposal on its way to the leader. Sent again under its `proposal_id`, it takes effect once."""
+    """A proposal to the leader. It takes effect once, even if it is sent again with its `proposal_id`."""
 
     proposal_id: str
     kind: str
@@ -283,7 +284,7 @@
 
     Attributes:
         contact_ticks: The time since its first contact.
-        state: A `leases.LeaseHolderState`.
+        state: The value of a `leases.LeaseHolderState`.
         quota_usage: The number of open and wanted requests, by cluster-wide limit.
     """
 
@@ -296,7 +297,7 @@
 
 
 class MembershipGossip(Struct, array_like=True, frozen=True, tag="m"):
-    """A voter sends its lease holders to the other voters; the voter itself is among them."""
+    """A voter sends the status of its lease holders and of itself to the other voters."""
 
     lease_holders: list[LeaseHolderStatus]
 
--- a/crankfold/consensus/progress.py
+++ b/crankfold/consensus/progress.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection
 
-ROUNDS_RETAINED = 200  # rounds whose time of sending is stored
+ROUNDS_RETAINED = 200  # rounds whose send times are kept
 
 
 def quorum_value(voters: Collection[str], value_of: Callable[[str], int]) -> int:
@@ -12,17 +12,17 @@
 
 
 class ProgressTracker:
-    """Replication progress and acknowledged rounds by voter. A round is one broadcast of AppendEntries.
+    """Tracks replication progress and acknowledged rounds by voter. A round is one AppendEntries broadcast.
 
     Attributes:
-        name: The leader.
+        name: The name of this node, which is the leader while progress is tracked.
         next_index: The index of the next entry to send, by voter.
         match_index: The highest index that is durable and matches the leader's log, by voter.
         round_number: The number of the newest round of this term; 0 for none.
     """
 
     def __init__(self, name: str) -> None:
-        """Starts without progress; `name` is the leader."""
+        """Starts without progress; `name` is the name of this node."""
         self.name = name
         self.next_index: dict[str, int] = {}
         self.match_index: dict[str, int] = {}
@@ -50,12 +50,12 @@
         """Records that a voter responded to a message of that round."""
         self._acknowledged_round[voter] = max(self._acknowledged_round.get(voter, 0), round_number)
 
-    def rejected(self, voter: str, retry_index: int) -> None:
-        """Records a mismatch; the voter proposes `retry_index` as the next `prev_log_index`."""
+    def record_mismatch(self, voter: str, retry_index: int) -> None:
+        """Records that the logs differ; the voter asks for `retry_index` as the next `prev_log_index`."""
         previous = self.next_index.get(voter, 1) - 1
         self.next_index[voter] = max(min(retry_index + 1, previous), 1)
 
-    def matched(self, voter: str, match_index: int) -> bool:
+    def record_match(self, voter: str, match_index: int) -> bool:
         """Records that a voter's log matches up to `match_index`; returns whether `next_index` rose."""
         self.match_index[voter] = max(self.match_index.get(voter, 0), match_index)
         previous = self.next_index.get(voter, 1)
@@ -63,18 +63,23 @@
         return self.next_index[voter] > previous
 
     def quorum_match_index(self, voters: Collection[str], durable_index: int) -> int:
-        """The highest index that a majority has on stable storage; `durable_index` is the leader's own."""
+        """The highest index that a majority has on stable storage.
+
+        Args:
+            voters: Names of the voters.
+            durable_index: The last index on the leader's own stable storage.
+        """
         return quorum_value(
             voters, lambda voter: durable_index if voter == self.name else self.match_index.get(voter, 0)
         )
 
     def quorum_contact_at(self, voters: Collection[str]) -> int:
-        """When the newest round was sent that a majority has acknowledged; -1 for none.
+        """When the newest round that a majority has acknowledged was sent; -1 for none.
 
         The responses were sent after that time, so the majority was in contact then.
         """
-        answered = quorum_value(
+        acknowledged_round = quorum_value(
             voters,
             lambda voter: self.round_number if voter == self.name else self._acknowledged_round.get(voter, 0),
         )
-        return self._round_sent_at.get(answered, -1) if answered else -1
+        return self._round_sent_at.get(acknowledged_round, -1) if acknowledged_round else -1
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals: sent by any member to the leader, validated by a majority, answered when committed."""
+"""Proposals, which any member sends to the leader, a majority validates and the leader commits."""
 
 from typing import Annotated
 
@@ -20,13 +20,14 @@
 from crankfold.consensus.versioned_documents import VersionedDocuments
 from crankfold.document_names import DocumentName
 
-# The reason of a response that is not final: the proposer proposes again.
+# A response with this reason is not final: the proposer sends the proposal again.
 NO_LEADER = "there is no leader"
-VALIDATION_TIMEOUT_BOUNDS = 20  # staleness bounds until the leader drops a proposal without a majority
+# The leader drops a proposal that no majority has validated within this many staleness bounds.
+VALIDATION_TIMEOUT_BOUNDS = 20
 MAX_AUTHOR_CHARACTERS = 200
 MAX_REASON_CHARACTERS = 2000
 
-THIS_VOTER = ""  # in place of the name of a sender
+THIS_VOTER = ""  # the sender of this voter's own proposals
 
 ProposalMessage = ProposalRequest | ProposalResponse | ValidationRequest | ValidationResponse
 
@@ -34,8 +35,8 @@
 class PublishProposal(Struct):
     """`ProposalRequest.data` of a proposal to publish a version of a document.
 
-    The names are the keys of the log entry. The data itself is proposed, not this object: its order of keys
-    is stored.
+    The field names are the keys of the log entry. The leader appends the received data and not this object,
+    because the order of the proposer's keys is stored.
 
     Attributes:
         doc: The name of the document.
@@ -58,14 +59,14 @@
     """Decodes the data of a proposal to publish.
 
     Raises:
-        ProposalError: The proposal is of another kind, or its data has another form.
+        ProposalError: The proposal is of another kind, or its data is malformed.
     """
     try:
         proposal = msgspec.convert(request.data, PublishProposal)
     except msgspec.ValidationError as error:
         raise ProposalError(str(error)) from None
     if request.kind != EntryKind.PUBLISH:
-        raise ProposalError(f"no way to agree on {request.kind!r}")
+        raise ProposalError(f"unknown kind of proposal: {request.kind!r}")
     return proposal
 
 
@@ -73,11 +74,11 @@
     """Returns the addresses by name in a proposal to change the voters.
 
     Raises:
-        ProposalError: There are none.
+        ProposalError: The data has no addresses by name.
     """
     voters = request.data.get("voters")
     if not isinstance(voters, dict):
-        raise ProposalError("no voters")
+        raise ProposalError("the proposal has no voters")
     return voters
 
 
@@ -90,10 +91,10 @@
     """A proposal that waits for validation by a majority of the voters.
 
     Attributes:
-        request: As it was received.
+        request: The proposal as it was received.
         proposal: Its decoded data.
-        approvals: Names of the voters that validated it.
-        started_at: Ticks.
+        approvals: Names of the voters that approved it.
+        started_at: When the leader began the validation, in ticks.
     """
 
     request: ProposalRequest
@@ -118,7 +119,7 @@
             raft: The Raft node of this voter.
             documents: The replicated documents of this voter.
             host: Validates documents for this voter.
-            own_responses: The list to which outcomes of this voter's own proposals are appended.
+            own_responses: The list to which the responses to this voter's own proposals are appended.
         """
         self._raft = raft
         self._documents = documents
@@ -129,7 +130,7 @@
         self._proposers: dict[str, str] = {}
 
     def reset(self) -> None:
-        """Drops all validations at the start of a term as leader."""
+        """Drops all pending validations at the start of a term as leader."""
         self._validations = {}
 
     def receive(self, now: int, sender: str, message: ProposalMessage) -> None:
@@ -148,7 +149,7 @@
         """Handles a proposal as the leader, or forwards it to the leader.
 
         Args:
-            now: Ticks.
+            now: The current time, in ticks.
             sender: The member that sent it; `THIS_VOTER` for an own proposal.
             request: The proposal.
         """
@@ -172,11 +173,11 @@
         elif request.proposal_id in self._documents.replicated.outcomes:
             self.answer(request.proposal_id)
         elif request.kind == EntryKind.MAINTENANCE:
-            # A plain dictionary: the order of the proposer's keys is stored.
+            # A plain dictionary, because the order of the proposer's keys is stored.
             data = {**request.data, "call": request.proposal_id}
             self._raft.propose(now, EntryKind.MAINTENANCE, data)
         elif request.proposal_id in self._validations:
-            self._request_validation(request.proposal_id)  # an earlier request for validation may be lost
+            self._request_validation(request.proposal_id)  # the earlier request may have been lost
         else:
             self._begin_validation(now, request)
 
@@ -184,8 +185,8 @@
         error = ""
         try:
             self._raft.change_voters(now, read_voters(request))
-        except (MembershipChangeError, ProposalError) as refused:
-            error = str(refused)
+        except (MembershipChangeError, ProposalError) as rejection:
+            error = str(rejection)
         return ProposalResponse(
             request.proposal_id,
             accepted=not error,
@@ -198,7 +199,7 @@
         """Validates a proposal here and requests validation from the other voters.
 
         Raises:
-            ProposalError: Its data has another form, or this voter rejects its content.
+            ProposalError: Its data is malformed, or this voter rejects its content.
         """
         proposal = read_publish(request)
         error = self._host.validate_document(proposal.doc, proposal.text)
@@ -217,12 +218,12 @@
             self._raft.send(voter, message)
 
     def _validate(self, sender: str, request: ValidationRequest) -> None:
-        """Sends the leader the result of validating a document here."""
+        """Validates a document here and sends the result to the leader."""
         error = self._host.validate_document(request.document_name, request.content)
         self._raft.send(sender, ValidationResponse(request.proposal_id, error))
 
     def _handle_validation_response(self, now: int, sender: str, response: ValidationResponse) -> None:
-        """Counts an approval; one rejection by a voter rejects the proposal."""
+        """Records an approval; a rejection by any voter rejects the proposal."""
         validation = self._validations.get(response.proposal_id)
         if validation is None:
             return
@@ -237,14 +238,14 @@
     def _propose_if_validated(self, now: int, proposal_id: str) -> None:
         """Appends a proposal that a majority has validated.
 
-        The other voters are not waited for: an unreachable voter would block every publish.
+        Does not wait for the remaining voters, because one unreachable voter would block every publish.
         """
         validation = self._validations[proposal_id]
         voters = self._raft.voters
         approvals = validation.approvals & voters.keys()
         if self._raft.role == Role.LEADER and 2 * len(approvals) > len(voters):
             del self._validations[proposal_id]
-            # A plain dictionary: the order of the proposer's keys is stored.
+            # A plain dictionary, because the order of the proposer's keys is stored.
             data = {**validation.request.data, "call": proposal_id}
             self._raft.propose(now, EntryKind.PUBLISH, data)
 
@@ -255,7 +256,7 @@
                 del self._validations[proposal_id]
 
     def answer(self, proposal_id: str) -> None:
-        """Sends the outcome of an applied proposal to its proposer, if it came through this voter."""
+        """Sends the outcome of an applied proposal to its proposer, if this voter received the proposal."""
         outcome = self._documents.replicated.outcomes.get(proposal_id)
         if outcome and proposal_id in self._proposers:
             response = ProposalResponse(
@@ -268,7 +269,7 @@
             self._respond(self._proposers.pop(proposal_id), response)
 
     def _forward_response(self, response: ProposalResponse) -> None:
-        """Forwards a response of the leader to the proposer."""
+        """Forwards a response from the leader to the proposer."""
         if response.proposal_id in self._proposers:
             self._respond(self._proposers.pop(response.proposal_id), response)
 
--- a/crankfold/consensus/quotas.py
+++ b/crankfold/consensus/quotas.py
@@ -1,4 +1,4 @@
-"""The allocation of cluster-wide limits: the quota of each member, proposed by the leader."""
+"""The allocation of cluster-wide limits to members as quotas, which the leader proposes."""
 
 from crankfold.consensus.log_entries import EntryKind, PublishData, entry_data
 from crankfold.consensus.messages import LeaseHolderStatus
@@ -8,15 +8,15 @@
 
 Allocation = dict[str, dict[str, int]]  # quotas by limit and member
 
-# A member with no quota left gets a new allocation if it gains over a tenth of the limit.
+# The leader allocates anew if a member with no quota left would gain more than a tenth of the limit.
 MIN_GAIN_DIVISOR = 10
 
 
 def allocate_quotas(limits: dict[str, int], usage: dict[str, dict[str, int]]) -> Allocation:
     """Divides each limit among the members.
 
-    A member's part is in proportion to its usage plus one; remainders go to the largest fractions, then by
-    name, so that the quotas of a limit add up to it.
+    A member's quota is proportional to its usage plus one. What rounding down leaves over goes to the members
+    with the largest fractions, ties in order of name, so that the quotas of a limit add up to it.
 
     Args:
         limits: The highest number of open requests in the cluster, by limit.
@@ -38,7 +38,7 @@
     return quotas
 
 
-def _same_members(limits: dict[str, int], current: Allocation, target: Allocation) -> bool:
+def _same_members_and_limits(limits: dict[str, int], current: Allocation, target: Allocation) -> bool:
     return current.keys() == target.keys() and all(
         current[limit].keys() == target[limit].keys() and sum(current[limit].values()) == total
         for limit, total in limits.items()
@@ -48,15 +48,15 @@
 def needs_allocation(
     limits: dict[str, int], usage: dict[str, dict[str, int]], current: Allocation, target: Allocation
 ) -> bool:
-    """Whether to allocate anew: members or limits changed, or a member with no quota left gains enough.
+    """Whether to allocate anew: members or limits changed, or a member with no quota left would gain enough.
 
     Args:
         limits: The highest number of open requests in the cluster, by limit.
         usage: The number of open and wanted requests, by member and limit.
         current: The newest allocation.
-        target: The allocation by the present usage.
+        target: The allocation for the current usage.
     """
-    if not _same_members(limits, current, target):
+    if not _same_members_and_limits(limits, current, target):
         return True
     return any(
         usage[name].get(limit, 0) >= quota
@@ -67,15 +67,15 @@
 
 
 class QuotaAllocator:
-    """Proposes allocations at the leader."""
+    """Proposes allocations while its voter leads."""
 
     def __init__(self, raft: Raft, documents: VersionedDocuments) -> None:
-        """For a voter with this Raft node and these replicated documents."""
+        """Makes the allocator of the voter with this Raft node and these replicated documents."""
         self._raft = raft
         self._documents = documents
 
     def propose_if_due(self, now: int, alive: list[LeaseHolderStatus]) -> None:
-        """Proposes an allocation to the members that are alive, unless one is pending or none is needed."""
+        """Proposes an allocation to the `alive` members, unless one is pending or none is needed."""
         quota_document = self._documents.document(QUOTAS)
         if quota_document.pending() or not self._documents.document(LIMITS).versions:
             return
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -1,13 +1,14 @@
 """One node of the Raft consensus algorithm, without I/O.
 
-Ongaro and Ousterhout 2014, with these parts of Ongaro's dissertation: pre-vote (9.6), a leader that steps
-down without contact to a quorum (6.2), leases by heartbeat rounds (6.4), log compaction (5) and changes of
-one voter at a time (4.1).
+Implements Ongaro and Ousterhout 2014, with these parts of Ongaro's dissertation: pre-vote (9.6), a leader
+that steps down when it loses contact with a quorum (6.2), leases by heartbeat rounds (6.4), log compaction
+(5) and changes of one voter at a time (4.1).
 
 The node reads no clock and does no I/O. Its owner calls `tick` at `next_deadline` and `receive` for each
-message. Then it sends the messages of `take_immediate_messages`, writes the `Ready` of `take_ready` to stable
-storage, sends the messages in that, and calls `advance`. An entry counts towards a majority only once it is
-on stable storage. Times and durations are ticks of a tenth of a millisecond.
+message. After each call, the owner sends the messages of `take_immediate_messages`, writes the `Ready` of
+`take_ready` to stable storage, sends the messages in that `Ready`, and calls `advance`. An entry counts
+towards a majority only once it is on stable storage. Times and durations are ticks of a tenth of a
+millisecond.
 """
 
 from crankfold.consensus.election_timer import ElectionTimer
@@ -30,7 +31,8 @@
 from crankfold.consensus.voter_registry import VoterRegistry
 
 MAX_ENTRIES_PER_APPEND = 64
-LEADER_CONTACT_TIMEOUTS = 2  # election timeouts without contact to a quorum until a leader steps down
+# A leader steps down after this many election timeouts without contact with a quorum.
+LEADER_CONTACT_TIMEOUTS = 2
 
 
 class Raft:
@@ -39,7 +41,7 @@
     Args:
         stored: The content of stable storage.
         initial_voters: Addresses by name, for a node with empty storage.
-        seed: Of the random part of election timeouts.
+        seed: The seed of the random part of election timeouts.
         registry: Decides whether this node may vote.
 
     Attributes:
@@ -49,12 +51,12 @@
         log: The snapshot and the entries after it.
         role: The role in the term.
         leader: The leader of the term; empty while unknown.
-        pre_vote: Whether the present campaign is a pre-vote.
-        votes_granted: Names of the voters that granted the present campaign their votes.
+        pre_vote: Whether the current campaign is a pre-vote.
+        votes_granted: Names of the voters that granted their votes in the current campaign.
         commit_index: The highest index that this node knows to be committed.
         progress: At the leader, the replication progress of the other voters.
-        election_timer: When this node campaigns without contact to a leader.
-        leader_contact_at: When the last message of a leader arrived.
+        election_timer: Determines when this node campaigns without contact with a leader.
+        leader_contact_at: When the last message from a leader arrived.
         leader_since: When this node became leader, if it is one.
         term_start_index: The index of a leader's first entry, which commits the entries of earlier terms.
         heartbeat_due_at: When a leader sends its next heartbeat.
@@ -94,7 +96,7 @@
         self.votes_granted: set[str] = set()
         self.leader_since = 0
         self.term_start_index = 0
-        # Long enough ago that a candidate gets this node's vote from the start.
+        # Long enough ago that this node may grant votes from the start.
         self.leader_contact_at = now - LEADER_CONTACT_TIMEOUTS * self.timing.election_timeout
         self.heartbeat_due_at = now
         self._reset_election_timer(now)
@@ -113,11 +115,11 @@
         return self.heartbeat_due_at if self.role == Role.LEADER else self.election_timer.due_at
 
     def tick(self, now: int) -> None:
-        """Sends the heartbeat, steps down, or campaigns, where that is due at `now`."""
+        """Sends heartbeats, steps down or campaigns, if that is due at `now`."""
         if self.role == Role.LEADER:
             last_contact = max(self.quorum_contact_at(), self.leader_since)
             if now - last_contact >= LEADER_CONTACT_TIMEOUTS * self.timing.election_timeout:
-                # Without contact to a quorum another leader may be elected.
+                # A quorum that is out of contact may have elected another leader.
                 self._become_follower(now, self.term)
             elif now >= self.heartbeat_due_at:
                 self.broadcast_append(now)
@@ -128,7 +130,7 @@
                 self._reset_election_timer(now)
 
     def quorum_contact_at(self) -> int:
-        """At the leader: when the newest round was sent that a quorum has acknowledged; -1 for none."""
+        """At the leader: when the newest round that a quorum has acknowledged was sent; -1 for none."""
         return self.progress.quorum_contact_at(self.voters)
 
     def _set_hard_state(self, term: int, vote: str) -> None:
@@ -181,7 +183,7 @@
         self.term_start_index = self.log.last_index() + 1
         data = NoOpData(by=self.name)
         if self.term_start_index == 1:
-            # Registers the voters of the first election, as only registered voters may vote later.
+            # Registers the voters of the first election, because only registered voters may vote later.
             data.folders = self.registry.folder_ids_of(self.votes_granted)
         entry = LogEntry(self.term, EntryKind.NO_OP, entry_data(data))
         self._write_entries(self.term_start_index, [entry])
@@ -227,7 +229,7 @@
         self._output.write_entries(first_index, entries)
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces the entries up to the applied `index` by a snapshot of `state`."""
+        """Replaces the entries up to the applied `index` with a snapshot of `state`."""
         if index > self.log.snapshot.index:
             self.log.compact(index, state)
             self._output.replace_log(self.log.snapshot, self.log.entries)
@@ -236,7 +238,7 @@
         """Appends an entry at the leader.
 
         Returns:
-            The index of the entry; 0 where this node is not the leader.
+            The index of the entry; 0 if this node is not the leader.
         """
         if self.role != Role.LEADER:
             return 0
@@ -245,20 +247,27 @@
         return self.log.last_index()
 
     def change_voters(self, now: int, voters: dict[str, str]) -> None:
-        """Proposes to add or remove one voter; `voters` are the addresses by name after that.
+        """Proposes to add or remove one voter.
+
+        Args:
+            now: The current time.
+            voters: Addresses of the voters by name, as they are after the change.
 
         Raises:
-            MembershipChangeError: This node does not lead, or the log does not permit the change.
+            MembershipChangeError: This node is not the leader, has not committed an entry of its term, or
+                the log does not permit the change.
         """
         if self.role != Role.LEADER or self.commit_index < self.term_start_index:
-            raise MembershipChangeError("no leader with a majority here")
+            raise MembershipChangeError(
+                "this voter is not the leader or has not committed an entry of its term"
+            )
         self.log.check_voter_change(voters, self.commit_index)
         for added in voters.keys() - self.voters.keys():
             self.progress.next_index[added] = self.log.last_index() + 1
         self.propose(now, EntryKind.CHANGE_VOTERS, {"voters": voters})
 
     def broadcast_append(self, now: int) -> None:
-        """At the leader: sends each voter its next entries; without any, a heartbeat."""
+        """At the leader: sends each other voter the entries that it lacks; a heartbeat if it lacks none."""
         self.progress.begin_round(now)
         self.heartbeat_due_at = now + self.timing.heartbeat_interval
         for voter in self.voters:
@@ -290,7 +299,7 @@
         is_compacted = message.prev_log_index < snapshot_index
         if not is_compacted and self.log.term_at(prev_index) != message.prev_log_term:
             retry_index = self.log.retry_index(prev_index, message.prev_log_term, self.commit_index)
-            self._reject(sender, retry_index, message.round_number)
+            self._send_append_failure(sender, retry_index, message.round_number)
             return
         agreeing = self.log.count_agreeing(prev_index, entries)
         if agreeing < len(entries):
@@ -309,13 +318,13 @@
         self._send_append_success(sender, max(snapshot.index, self.commit_index), message.round_number)
 
     def _handle_append_response(self, now: int, sender: str, response: AppendEntriesResponse) -> None:
-        # Responses of other terms are dropped before, so the round is one of this term.
+        # `receive` drops responses of other terms, so the round is one of this term.
         self.progress.acknowledge_round(sender, response.round_number)
         if not response.success:
-            self.progress.rejected(sender, response.match_index)
+            self.progress.record_mismatch(sender, response.match_index)
             self._send_append(sender)
             return
-        progressed = self.progress.matched(sender, response.match_index)
+        progressed = self.progress.record_match(sender, response.match_index)
         self._advance_commit_index(now)
         if progressed and self.progress.next_index[sender] <= self.log.last_index():
             self._send_append(sender)
@@ -327,19 +336,19 @@
             return
         self.commit_index = replicated
         if self.name not in self.voters:
-            self._become_follower(now, self.term)  # its own removal is committed
+            self._become_follower(now, self.term)  # the removal of this node is committed
         else:
-            self.broadcast_append(now)  # the voters apply without waiting for the next heartbeat
+            self.broadcast_append(now)  # tells the voters the commit index before the next heartbeat
 
     def send(self, receiver: str, message: Message) -> None:
         """Queues a message; one that depends on this node's stable storage is sent after the sync."""
         self._output.send(receiver, message)
 
-    def _reject(self, receiver: str, retry_index: int, round_number: int) -> None:
+    def _send_append_failure(self, receiver: str, retry_index: int, round_number: int) -> None:
         self.send(receiver, AppendEntriesResponse(self.term, False, retry_index, round_number))
 
     def _send_append_success(self, receiver: str, match_index: int, round_number: int) -> None:
-        """Acknowledges the durable part before the sync, which shows the leader that this voter is alive."""
+        """Acknowledges all entries after the sync, and at once the durable ones, which keeps the contact."""
         response = AppendEntriesResponse(self.term, True, match_index, round_number)
         if match_index > self.log.durable_index and not self._output.hard_state_unsynced:
             durable = AppendEntriesResponse(self.term, True, self.log.durable_index, round_number)
@@ -366,7 +375,7 @@
         if message.term > self.term:
             self._become_follower(now, message.term)
         if message.term < self.term:
-            self._reject(sender, self.commit_index, message.round_number)
+            self._send_append_failure(sender, self.commit_index, message.round_number)
             return
         self.role = Role.FOLLOWER
         self.leader = sender
@@ -378,7 +387,7 @@
             self._handle_install_snapshot(sender, message)
 
     def take_ready(self, now: int) -> Ready:
-        """Returns state to write to stable storage, with messages to send after it; then call `advance`."""
+        """Returns state to write to stable storage and messages to send after that; then call `advance`."""
         return self._output.take_ready(now)
 
     def take_immediate_messages(self) -> list[OutgoingMessage]:
@@ -386,7 +395,7 @@
         return self._output.take_immediate_messages()
 
     def advance(self, now: int, ready: Ready) -> None:
-        """Records that `ready` is on stable storage and its messages are sent."""
+        """Records that `ready` is on stable storage and that its messages were sent."""
         if self._output.syncing:
             self._output.synced(now)
             if self.role == Role.CANDIDATE:
--- a/crankfold/consensus/raft_log.py
+++ b/crankfold/consensus/raft_log.py
@@ -5,14 +5,14 @@
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import PersistentState
 
-NO_TERM = -1  # in place of the term of an index that is not in the log
+NO_TERM = -1  # stands for the term of an index that is not in the log
 
 
 class RaftLog:
-    """Entries by index, the first index being 1.
+    """Entries by index. The first index is 1.
 
     Attributes:
-        snapshot: Replaces the entries up to its index.
+        snapshot: The state that replaces the entries up to its index.
         entries: The entries after the snapshot.
         voters: Addresses by name, as of the newest change in the log, committed or not.
         durable_index: The last index on this node's stable storage.
@@ -46,10 +46,10 @@
             return self.entries[index - self.snapshot.index - 1].term
         return NO_TERM
 
-    def entries_between(self, after: int, upto: int) -> list[LogEntry]:
-        """The entries with an index above `after` and at most `upto` that are not compacted."""
+    def entries_between(self, after: int, up_to: int) -> list[LogEntry]:
+        """The entries above index `after` and up to index `up_to`, as far as they are not compacted."""
         first = max(after - self.snapshot.index, 0)
-        end = max(upto - self.snapshot.index, 0)
+        end = max(up_to - self.snapshot.index, 0)
         return self.entries[first:end]
 
     def _latest_voters(self) -> dict[str, str]:
@@ -66,7 +66,7 @@
             commit_index: The highest committed index.
 
         Raises:
-            MembershipChangeError: Another change is uncommitted, more than one voter changes, or none
+            MembershipChangeError: Another change is uncommitted, more than one voter changes, or no voter
                 is left.
         """
         uncommitted = self.entries_between(commit_index, self.last_index())
@@ -78,18 +78,18 @@
             raise MembershipChangeError("nobody would be left")
 
     def count_agreeing(self, prev_index: int, entries: list[LogEntry]) -> int:
-        """The number of leading `entries` that the log has already after `prev_index`."""
+        """The number of leading `entries` that the log already has after `prev_index`."""
         for offset, entry in enumerate(entries):
             if self.term_at(prev_index + 1 + offset) != entry.term:
                 return offset
         return len(entries)
 
     def after_snapshot(self, prev_index: int, entries: list[LogEntry]) -> list[LogEntry]:
-        """Those of the entries after `prev_index` that the snapshot does not replace."""
+        """The part of `entries`, which follow `prev_index`, that the snapshot does not replace."""
         return entries[max(self.snapshot.index - prev_index, 0) :]
 
     def write(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Replaces all entries from `first_index` on by `entries`."""
+        """Replaces all entries from `first_index` on with `entries`."""
         offset = first_index - self.snapshot.index - 1
         replaces = len(self.entries) > offset
         del self.entries[offset:]
@@ -99,7 +99,7 @@
             self.voters = self._latest_voters()
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces the entries up to the committed `index` by a snapshot of `state`."""
+        """Replaces the entries up to the committed `index` with a snapshot of `state`."""
         # A change of the voters after `index` may be uncommitted, so it is not part of the snapshot.
         voters = self.snapshot.voters
         for entry in self.entries_between(self.snapshot.index, index):
@@ -123,7 +123,7 @@
         self.voters = self._latest_voters()
 
     def synced_entries(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Records that `entries` from `first_index` on are on stable storage, unless replaced since."""
+        """Records that `entries` from `first_index` on are on stable storage, except for replaced ones."""
         index = first_index + len(entries) - 1
         while index >= first_index and self.term_at(index) != entries[index - first_index].term:
             index -= 1
@@ -142,8 +142,8 @@
 
         Args:
             prev_index: The index of the mismatch.
-            prev_term: The leader's term at that index.
-            commit_index: The highest committed index, below which logs match.
+            prev_term: The term of the leader's entry at that index.
+            commit_index: The highest committed index, up to which the logs match.
         """
         index = min(self.last_index(), prev_index - 1)
         conflicting_term = self.term_at(index)
--- a/crankfold/consensus/raft_state.py
+++ b/crankfold/consensus/raft_state.py
@@ -14,7 +14,7 @@
     Snapshot,
 )
 
-NOT_SYNCING = -1  # in place of the start of a sync, in ticks
+NOT_SYNCING = -1  # stands for the start time of a sync while none runs
 # The recorded duration of a sync decreases by at most a quarter with each sync.
 SYNC_DECAY_NUMERATOR = 3
 SYNC_DECAY_DENOMINATOR = 4
@@ -53,10 +53,10 @@
         vote: The candidate that this node voted for in the term; empty for none.
         founding_member: Whether this node voted while its log was empty.
         hard_state_changed: Whether term, vote or founding_member changed since the previous `Ready`.
-        snapshot: Replaces the stored snapshot and all stored entries; None for no change.
+        snapshot: The snapshot that replaces the stored snapshot and all stored entries; None for no change.
         first_index: The index of the first of `entries`.
-        entries: Replace all stored entries from `first_index` on.
-        messages: Sent after the sync.
+        entries: The entries that replace all stored entries from `first_index` on.
+        messages: The messages to send after the sync.
     """
 
     term: int
@@ -77,7 +77,8 @@
     """Collects changed state and outgoing messages until the owner takes them.
 
     Attributes:
-        sync_duration: The duration of a sync in ticks: rises at once, decreases by a quarter a sync.
+        sync_duration: The duration of a sync, in ticks. It rises at once and decreases by at most a quarter
+            with each sync.
         hard_state_unsynced: Whether the current term or vote may not be on stable storage yet.
     """
 
@@ -91,11 +92,11 @@
 
     @property
     def syncing(self) -> bool:
-        """Whether state was taken and its sync is not finished."""
+        """Whether state was taken whose sync is not finished."""
         return self._sync_started_at != NOT_SYNCING
 
     def set_hard_state(self, term: int, vote: str, founding_member: bool) -> None:
-        """Records a new term or vote."""
+        """Records a changed term, vote or founding membership."""
         self._ready.term = term
         self._ready.vote = vote
         self._ready.founding_member = founding_member
--- a/crankfold/consensus/reported_fleet.py
+++ b/crankfold/consensus/reported_fleet.py
@@ -11,9 +11,9 @@
     """Returns the view with the reports of all members and with the voters' leases at `view.now`.
 
     Args:
-        view: With what the dispatcher of the leader knows itself.
+        view: The view of the leader's own dispatcher.
         leader: The member that proposes transitions.
-        cluster_report: Of the same time.
+        cluster_report: The merged reports at `view.now`.
     """
     report = cluster_report.combined
     return replace(
--- a/crankfold/consensus/timing.py
+++ b/crankfold/consensus/timing.py
@@ -6,15 +6,15 @@
 from msgspec import Struct
 
 PERCENT = 100
-# The rate of a clock is wrong by 1% at most. Two clocks differ by 2%; the third percent covers rounding.
+# A clock is at most 1% fast or slow, so two clocks differ by at most 2%; the third percent covers rounding.
 CLOCK_DRIFT_PERCENT = 3
-# The durations below, in percent of the staleness bound. The bound exceeds a lease with its drift margin by
-# the time between the check of a lease and the act.
+# The durations below are in percent of the staleness bound. The bound exceeds a lease with its drift margin,
+# which leaves time between the check of a lease and the action.
 LEASE_DURATION_PERCENT = 80
 ELECTION_TIMEOUT_PERCENT = 16
 RENEW_INTERVAL_PERCENT = 10
 HEARTBEAT_INTERVAL_PERCENT = 4
-CONTACT_TIMEOUT_RENEWALS = 3  # renew intervals
+CONTACT_TIMEOUT_RENEWALS = 3  # in renew intervals
 # The interval of a follower's heartbeats is random, from 3/4 to 5/4 of the renew interval.
 LEAST_HEARTBEAT_QUARTERS = 3
 HEARTBEAT_JITTER_QUARTERS = 2
@@ -22,7 +22,7 @@
 
 
 def with_drift_margin(duration: int) -> int:
-    """The most ticks of this clock that pass while another clock counts `duration` ticks."""
+    """The highest number of ticks that this clock counts while another clock counts `duration` ticks."""
     return duration * (PERCENT + CLOCK_DRIFT_PERCENT) // PERCENT
 
 
@@ -37,7 +37,7 @@
 
     @property
     def lease_duration(self) -> int:
-        """The duration of a lease, from the last contact of the leader to a quorum."""
+        """The duration of a lease, from the leader's last contact with a quorum."""
         return self.staleness_bound * LEASE_DURATION_PERCENT // PERCENT
 
     @property
@@ -47,22 +47,22 @@
 
     @property
     def election_timeout(self) -> int:
-        """The time without a leader until a voter campaigns, without the random part, which may double it."""
+        """The time without a leader after which a voter campaigns; a random part may double it."""
         return self.staleness_bound * ELECTION_TIMEOUT_PERCENT // PERCENT
 
     @property
     def renew_interval(self) -> int:
-        """The interval of requests for the same lease."""
+        """The interval between lease requests; for a follower, the mean interval."""
         return self.staleness_bound * RENEW_INTERVAL_PERCENT // PERCENT
 
     @property
     def least_heartbeat_interval(self) -> int:
-        """The least interval of a follower's heartbeats."""
+        """The shortest interval of a follower's heartbeats."""
         return self.renew_interval * LEAST_HEARTBEAT_QUARTERS // QUARTERS
 
     @property
     def heartbeat_jitter(self) -> int:
-        """The random part of the interval of a follower's heartbeats is below this."""
+        """The upper bound of the random part of the interval of a follower's heartbeats."""
         return self.renew_interval * HEARTBEAT_JITTER_QUARTERS // QUARTERS
 
     @property
@@ -79,8 +79,8 @@
         """The latest expiry of leases that were granted before `granter_since`.
 
         Args:
-            granter_since: When the present granter took over: the start of a voter's process, whose earlier
-                process may have granted leases to followers, or of a leader's term, whose predecessors may
-                have granted leases to voters.
+            granter_since: When the current granter took over. For leases to followers, that is the start of
+                the voter's process, as an earlier process may have granted some. For leases to voters, it
+                is the start of the leader's term, as earlier leaders may have granted some.
         """
         return granter_since + self.lease_expiry_wait
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -1,8 +1,8 @@
 """The replicated state machine: documents with versions, outcomes of proposals, machines in maintenance.
 
 Applying the same log entries yields the same state on every member. A published version is pending at first:
-a member that has applied it acts on the conservative merge of it and the versions before. A later entry
-activates it, once every member with a lease has applied it; see `docs/bound.md`.
+a member that has applied it acts on the conservative merge of the active version and all pending ones. A
+later entry activates it, once every member with a lease has applied it; see `docs/bound.md`.
 """
 
 from functools import reduce
@@ -25,23 +25,23 @@
 from crankfold.maintenance.state import MaintenanceState
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
-MAX_VERSIONS = 50  # retained by document; the active one is retained in addition
-MAX_OUTCOMES = 1000  # retained proposals; one that is proposed again within them takes effect once
-MAX_PENDING_VERSIONS = 8  # by document
-MACHINES = "machines"  # in place of a document name: an entry changed machines in maintenance
+MAX_VERSIONS = 50  # retained for each document; an active version that is older is retained as well
+MAX_OUTCOMES = 1000  # a proposal that is sent again takes effect once while its outcome is retained
+MAX_PENDING_VERSIONS = 8  # for each document
+MACHINES = "machines"  # stands for a document name if an entry changed machines in maintenance
 
 
 class DocumentVersion(Struct, array_like=True, frozen=True):
     """One version of a document.
 
     Attributes:
-        number: From 1 on.
-        made_from: The newest version before this one.
+        number: The number of the version; the first one is 1.
+        made_from: The number of the version before this one.
         author: The name of the author.
         reason: Why, in the author's words.
         at: Wall time of the publish in milliseconds; shown, never compared.
         text: The content, with the keys of the stored document.
-        index: The log index of its entry.
+        index: The log index of the entry that published it.
     """
 
     number: int
@@ -57,7 +57,7 @@
     """The retained versions of a document.
 
     Attributes:
-        versions: By ascending number.
+        versions: The versions, by ascending number.
         active_number: The number of the active version; 0 for none.
     """
 
@@ -73,7 +73,7 @@
         return [version for version in self.versions if version.number > self.active_number]
 
     def find(self, number: int) -> DocumentVersion | None:
-        """The version of that number; None if it is not retained."""
+        """The version with that number; None if it is not retained."""
         return next((version for version in self.versions if version.number == number), None)
 
     def drop_oldest(self) -> None:
@@ -110,10 +110,10 @@
 
 
 class ReplicatedState(Struct, array_like=True):
-    """The complete replicated state, in the form of a snapshot.
+    """The complete replicated state, in the form that snapshots store.
 
     Attributes:
-        documents: By name.
+        documents: The documents, by name.
         outcomes: Outcomes of the newest proposals, by proposal id.
         voter_folder_ids: The registered folder ids, by voter.
         maintenance: Machines in maintenance.
@@ -126,10 +126,10 @@
 
 
 class VersionedDocuments:
-    """Applies log entries in order and answers what a member may act on.
+    """Applies log entries in order and derives the content that a member may act on.
 
     Attributes:
-        replicated: The state.
+        replicated: The replicated state.
         last_applied: The index of the last applied entry.
     """
 
@@ -155,7 +155,7 @@
         return msgspec.msgpack.encode(self.replicated)
 
     def document(self, name: str) -> Document:
-        """The document of that name; an empty one if none was published."""
+        """The document with that name; an empty one if none was published."""
         return self.replicated.documents.get(name) or Document()
 
     def apply(self, index: int, entry: LogEntry) -> str:
@@ -165,7 +165,7 @@
             The name of the changed document, `MACHINES`, or the empty string for neither.
 
         Raises:
-            msgspec.ValidationError: The data of the entry has other fields.
+            msgspec.ValidationError: The data of the entry does not have the fields of its kind.
         """
         self.last_applied = index
         if entry.kind == EntryKind.PUBLISH:
@@ -199,7 +199,7 @@
 
     def _apply_publish(self, index: int, data: PublishData) -> str:
         if data.call in self.replicated.outcomes:
-            return ""  # proposed twice: the first entry took effect
+            return ""  # the proposal was appended twice, and the first entry took effect
         document = self.replicated.documents.setdefault(data.doc, Document())
         latest = document.latest_number()
         error = ""
@@ -242,7 +242,7 @@
         """The content to act on: the active version, merged conservatively with each pending one.
 
         Returns:
-            The content; None for settings without an active version, in which case no member acts.
+            The content; None for settings without an active version, on which no member may act.
         """
         document = self.document(name)
         active = document.find(document.active_number)
@@ -255,7 +255,7 @@
         )
 
     def version_numbers(self) -> dict[str, tuple[int, int]]:
-        """The numbers of the active and of the newest version, by document; event logs store the pairs."""
+        """The numbers of the active and of the newest version, by document. Event logs store these pairs."""
         return {
             name: (document.active_number, document.latest_number())
             for name, document in self.replicated.documents.items()
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -1,4 +1,4 @@
-"""A member with a vote: it takes part in the consensus and grants leases to followers.
+"""A member with a vote, which takes part in the consensus and grants leases to followers.
 
 Times and durations are ticks of a tenth of a millisecond.
 """
@@ -39,10 +39,11 @@
 from crankfold.consensus.timing import Timing
 from crankfold.consensus.voter_registry import FolderRegistry
 
-COMPACTION_THRESHOLD_ENTRIES = 256  # applied entries after the snapshot
+# The log is compacted once this many applied entries follow the snapshot.
+COMPACTION_THRESHOLD_ENTRIES = 256
 MAX_ENTRIES_PER_UPDATE = 200
-GOSSIP_INTERVAL_RENEWALS = 5  # lease renew intervals
-MAX_GOSSIP_AGE_RENEWALS = 3 * GOSSIP_INTERVAL_RENEWALS  # lease renew intervals
+GOSSIP_INTERVAL_RENEWALS = 5  # in lease renew intervals
+MAX_GOSSIP_AGE_RENEWALS = 3 * GOSSIP_INTERVAL_RENEWALS  # in lease renew intervals
 
 
 class Voter(Member):
@@ -53,16 +54,16 @@
         stored: The content of its stable storage.
         initial_voters: Addresses by name, for a voter with empty storage.
         timing: Durations of elections and leases.
-        now: Ticks.
-        seed: Of the random part of election timeouts.
+        now: The current time.
+        seed: The seed of the random part of election timeouts.
         incarnation: A random number of this process.
         folder_id: The id of its storage folder.
         host: The dispatcher that acts on the documents.
         coordinator: Proposes transitions of machines in maintenance while this voter leads.
-        initial_settings: Published by the first leader if no settings were published.
+        initial_settings: Settings that the first leader publishes if there are none.
 
     Attributes:
-        raft: Its Raft node, which also queues all messages.
+        raft: Its Raft node, which also queues all outgoing messages.
         registry: The folder id by which each voter is registered.
         leases: The leases that it grants to followers.
         leader_leases: The leases that it grants to other voters as the leader.
@@ -103,7 +104,7 @@
         self._lease_request_due_at = self._gossip_due_at = self._maintenance_due_at = now
 
     def is_leader(self) -> bool:
-        """Whether it leads and has committed an entry of its term, and with it those of earlier terms."""
+        """Whether this voter leads and has committed an entry of its term, and so all earlier entries."""
         return self.raft.role == Role.LEADER and self.raft.commit_index >= self.raft.term_start_index
 
     def next_deadline(self) -> int:
@@ -112,7 +113,7 @@
         return min(due, self._maintenance_due_at) if self._coordinator else due
 
     def tick(self, now: int) -> None:
-        """Sends heartbeats, lease requests and gossip, campaigns, and proposes transitions, where due."""
+        """Sends heartbeats, lease requests and gossip, campaigns and proposes transitions, each when due."""
         self.raft.tick(now)
         self.process(now)
         if now >= self._lease_request_due_at:
@@ -126,7 +127,7 @@
                 self.raft.propose(now, EntryKind.MAINTENANCE, {"steps": transitions})
 
     def take_ready(self, now: int) -> Ready:
-        """Returns state to write to stable storage, with messages to send after it; then call `advance`."""
+        """Returns state to write to stable storage and messages to send after that; then call `advance`."""
         return self.raft.take_ready(now)
 
     def take_immediate_messages(self) -> list[OutgoingMessage]:
@@ -134,12 +135,15 @@
         return self.raft.take_immediate_messages()
 
     def advance(self, now: int, ready: Ready) -> None:
-        """Records that `ready` is on stable storage and its messages are sent."""
+        """Records that `ready` is on stable storage and that its messages were sent."""
         self.raft.advance(now, ready)
         self.process(now)
 
     def process(self, now: int) -> None:
-        """Applies committed entries, extends the leader's lease and proposes; due after every event."""
+        """Applies committed entries and, at the leader, extends the lease and proposes entries.
+
+        To be called after every event.
+        """
         raft = self.raft
         if raft.role == Role.LEADER and raft.term != self.leader_leases.term:
             self._begin_term_as_leader()
@@ -171,7 +175,7 @@
                 self._proposals.answer(proposal_id_of(entry))
 
     def _announce_applied(self, now: int) -> None:
-        """Sends newly applied entries to followers and the new applied index to the leader."""
+        """Sends the newly applied entries to followers, and the new applied index to the leader."""
         self._maintenance_due_at = now
         for name, holder in self.leases.in_contact(now):
             self._send_update(now, name, holder, request_sent_at=0)
@@ -206,7 +210,7 @@
         )
 
     def voter_incarnations(self) -> dict[str, int]:
-        """At the leader: incarnations, by name, of this voter and of those that reported in this term."""
+        """At the leader: incarnations, by name, of this voter and the voters that reported in this term."""
         incarnations = {voter: report.incarnation for voter, report in self.leader_leases.reports.items()}
         return {**incarnations, self.name: self.incarnation}
 
@@ -255,7 +259,11 @@
             self._accept_lease(grant.request_sent_at, grant.lease_duration, grant.required_index)
 
     def admit(self, voter: str, folder_id: str) -> str:
-        """Admits a voter with that folder; returns the reason if it is not admitted, else an empty text."""
+        """Admits a voter with the folder `folder_id`.
+
+        Returns:
+            The reason why the voter is not admitted; empty if it is.
+        """
         return self.registry.admit(self.raft.log, voter, folder_id)
 
     def _rejection_of(self, now: int, heartbeat: FollowerHeartbeat) -> str:
@@ -282,14 +290,14 @@
             self._send_update(now, heartbeat.name, holder, heartbeat.sent_at)
 
     def _send_update(self, now: int, name: str, holder: LeaseHolder, request_sent_at: int) -> None:
-        """Sends a follower the entries that it lacks, and a lease with the last of them.
+        """Sends a follower the entries that it lacks, and a lease if they bring it up to date.
 
         Args:
-            now: Ticks.
+            now: The current time.
             name: The follower.
             holder: Its lease.
-            request_sent_at: When it sent the heartbeat, on its own clock; 0 for an update without one,
-                which carries no lease.
+            request_sent_at: When the follower sent its heartbeat, on its own clock; 0 for an update that
+                does not respond to a heartbeat and carries no lease.
         """
         log = self.raft.log
         snapshot = log.snapshot if holder.last_applied < log.snapshot.index else None
--- a/crankfold/consensus/voter_registry.py
+++ b/crankfold/consensus/voter_registry.py
@@ -12,7 +12,7 @@
 
 
 class VoterRegistry(Protocol):
-    """Decides for a Raft node which voters take part in elections."""
+    """Decides whether a Raft node takes part in elections."""
 
     def may_vote(self, log: RaftLog, candidate_last_index: int, founding_member: bool) -> bool:
         """Whether this node may take part in an election.
@@ -24,28 +24,28 @@
         """
 
     def folder_ids_of(self, names: set[str]) -> dict[str, str]:
-        """The folder ids, by name, of the named voters that sent theirs in a hello."""
+        """The folder ids, by name, of those named voters that sent theirs in a `Hello`."""
 
 
 class FolderRegistry:
-    """Registers voters by the entries of the log.
+    """Reads the registered folder ids from the log and the replicated documents.
 
     Attributes:
         name: The name of this voter.
         folder_id: The id of its folder.
         documents: The replicated documents, with the registered folder ids.
-        folder_ids: The folder ids that voters sent in their hellos, by voter.
+        folder_ids: The folder ids that voters sent in a `Hello`, by voter.
     """
 
     def __init__(self, name: str, folder_id: str, documents: VersionedDocuments) -> None:
-        """For the voter `name` with its folder and its replicated documents."""
+        """Starts with the folder of the voter `name` alone."""
         self.name = name
         self.folder_id = folder_id
         self.documents = documents
         self.folder_ids = {name: folder_id}
 
     def admit(self, log: RaftLog, voter: str, folder_id: str) -> str:
-        """Records the folder that a voter sent in its hello, unless another one is registered.
+        """Records the folder that a voter sent in its `Hello`, unless another one is registered.
 
         Returns:
             The reason why the voter is not admitted; empty if it is.
@@ -56,7 +56,10 @@
         return ""
 
     def _registered(self, log: RaftLog) -> dict[str, str]:
-        """The registered folder ids as of the last entry, committed or not: after a start that is unknown."""
+        """The registered folder ids as of the last log entry.
+
+        Includes uncommitted entries, because a node does not know its commit index after a start.
+        """
         registered = self.documents.replicated.voter_folder_ids
         for entry in log.entries_between(self.documents.last_applied, log.last_index()):
             registered = folder_ids_after(registered, entry)
@@ -70,11 +73,11 @@
         return founding_member or (candidate_last_index == 0 and log.last_index() == 0)
 
     def folder_ids_of(self, names: set[str]) -> dict[str, str]:
-        """The folder ids, by name, of the named voters that sent theirs in a hello."""
+        """The folder ids, by name, of those named voters that sent theirs in a `Hello`."""
         return {name: self.folder_ids[name] for name in names & self.folder_ids.keys()}
 
     def unregistered(self, voters: dict[str, str]) -> dict[str, str]:
-        """The folder ids, by name, of voters that sent one and are not registered by the applied log."""
+        """The folder ids, by name, of voters that sent one and are not registered in the applied log."""
         registered = self.documents.replicated.voter_folder_ids
         return {
             name: folder_id
