--- a/crankfold/service/requests/__init__.py
+++ b/crankfold/service/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in hand: admission, attempts, callbacks, answers."""
+"""Requests in progress: admission, attempts, callbacks and responses."""
--- a/crankfold/service/requests/attempts.py
+++ b/crankfold/service/requests/attempts.py
@@ -32,13 +32,13 @@
 }
 
 
-# Ticks that may pass between the check of the deduplication window and the write, if the process stalls. The
+# A stall of the process may delay the write by this much after the check of the deduplication window. The
 # router checks with a smaller margin, as it does not write (`RoutingState.clock_margin`).
 STALL_ALLOWANCE_TICKS = 1500
 
 
 class RequestOwner(Protocol):
-    """The request handler, as attempts and callbacks depend on it."""
+    """The methods of the request handler that attempts and callbacks use."""
 
     @property
     def routing(self) -> Router:
@@ -47,7 +47,7 @@
     def notify_routing(
         self, event: Callable[..., None], *arguments: object, request_number: int = -1
     ) -> None:
-        """Calls a method of the router with the present time and the arguments."""
+        """Calls a method of the router with the current time and the arguments."""
 
     def respond(self, request: Request, disposition: Disposition, body: bytes = b"") -> None:
         """Sends the final response of an open request."""
@@ -62,7 +62,7 @@
         backends: Holds the connections to the backends.
         load_reports: Stores the load reports in responses and callbacks.
         cluster: Permits attempts while its configuration is valid; records abandoned attempts.
-        clock: Gives the present time.
+        clock: Gives the current time.
         metrics: Counts attempts and their outcomes.
         cancellation_allowed: Whether backends accept the cancellation of a request.
     """
@@ -92,13 +92,16 @@
     # --- sending ---
 
     def send(self, request: Request, backend: int) -> None:
-        """Starts an attempt at the backend with that index."""
+        """Starts an attempt at the backend with that index.
+
+        An attempt that may not be sent ends with the outcome NOT_SENT.
+        """
         attempt = Attempt(len(request.attempts), backend, self.clock.now())
         ambiguous = self._callback_would_be_ambiguous(request, backend)
         request.attempts.append(attempt)
         self.metrics.increment("attempts")
         if ambiguous or not self._may_send(request, attempt):
-            # In the next iteration of the event loop: the router calls this method within its decision.
+            # Deferred, as the router that calls this method has not completed its decision yet.
             self.call_soon(self._on_exchange_ended, request, attempt, ExchangeResult.NOT_SENT, None)
             return
         self._record_sending(request, attempt)
@@ -121,15 +124,15 @@
         time; an attempt counts until the backend has confirmed its cancellation. Backends may repeat
         callbacks, and a repeated "never executed" of the first attempt must not be taken for the outcome of a
         second one, so a backend receives a request that is not idempotent only once. The router usually
-        avoids such backends (`prefer_unattempted`); this check never permits them.
+        avoids such backends (`prefer_unattempted`); this check rules them out.
         """
-        never_twice = self.request_table.class_of(request).idempotency != Idempotency.IDEMPOTENT
+        at_most_once = self.request_table.class_of(request).idempotency != Idempotency.IDEMPOTENT
         return any(
             earlier.backend == backend
             and (
                 earlier.in_flight
                 or earlier.may_still_run
-                or (never_twice and earlier.was_assigned_connection())
+                or (at_most_once and earlier.was_assigned_connection())
             )
             for earlier in request.attempts
         )
@@ -142,7 +145,7 @@
         """
         return (
             request.is_open
-            # The close may be unread yet, behind pipelined data of the client.
+            # The client may have closed the connection behind pipelined data that is still unread.
             and not request.client.peer_has_closed()
             and attempt.in_flight
             and self.backends.records[attempt.backend].state == EndpointState.READY
@@ -154,14 +157,14 @@
     def _record_sending(self, request: Request, attempt: Attempt) -> None:
         """Writes an attempt to the event log.
 
-        Called each time that `_may_send` has permitted the attempt, so it has two lines if it needed a new
-        connection, the first of them even if it was not sent in the end.
+        Called after each check that permits the attempt. An attempt that needs a new connection is checked,
+        and written, twice; its first line does not prove that it was sent.
         """
         backend_id = self.backends.backend_ids.names[attempt.backend]
         self.cluster.record_event(RecordedEvent.ATTEMPT_SENT, request.request_id, backend_id)
 
     def _within_deduplication_window(self, request: Request, attempt: Attempt) -> bool:
-        """Whether backends still know the keys of all attempts that may have been executed."""
+        """Whether backends still remember the keys of all attempts that may have been executed."""
         request_class = self.request_table.class_of(request)
         if request_class.idempotency != Idempotency.IDEMPOTENT_WITH_KEY:
             return True
@@ -187,8 +190,8 @@
         if outcome is Acceptance.ACCEPTED:
             attempt.accepted = True
         elif outcome is Acceptance.REJECTED:
-            # A 4xx response is final, as every backend would reject a retry as well. It is no sign of a fault
-            # of the backend, so the outcome for the router is not an error.
+            # A 4xx response is final, as every backend would reject a retry as well. It does not indicate a
+            # fault of the backend, so the outcome for the router is not an error.
             if request.is_open:
                 self.owner.respond(request, Disposition.REJECTED)
             self.end(request, attempt, Outcome.CANCELLED)
@@ -202,19 +205,19 @@
         """Cancels an attempt; the router gets the outcome in the next iteration of the event loop."""
         if attempt.in_flight:
             self.metrics.increment("attempts-cancelled")
-            self._withdraw(request, attempt)
+            self._cancel_at_backend(request, attempt)
             self.call_soon(self.end, request, attempt, Outcome.CANCELLED)
 
     def time_out(self, request: Request, attempt: Attempt) -> None:
         """Ends the attempt as timed out and cancels it at the backend."""
         if attempt.in_flight:
-            self._withdraw(request, attempt)
+            self._cancel_at_backend(request, attempt)
             self.end(request, attempt, Outcome.TIMED_OUT)
 
-    def _withdraw(self, request: Request, attempt: Attempt) -> None:
-        """Cancels the attempt at the backend.
+    def _cancel_at_backend(self, request: Request, attempt: Attempt) -> None:
+        """Sends a DELETE if the backend has accepted the attempt, else closes the connection.
 
-        Sends a DELETE if the backend has accepted the request, else closes the connection.
+        The backend may still execute the attempt.
         """
         if attempt.exchange is None:
             return
@@ -228,10 +231,10 @@
             target = b"/jobs/" + quote(request.request_id, safe="").encode()
             self.backends.send_control_request(attempt.backend, b"DELETE", target, _ignore_response)
 
-    # --- the end ---
+    # --- outcomes ---
 
     def end(self, request: Request, attempt: Attempt, outcome: Outcome, report: Sequence[float] = ()) -> None:
-        """Ends an attempt and reports the outcome to the router; no effect on one that has ended."""
+        """Ends an attempt and reports the outcome to the router, unless it has ended already."""
         if not attempt.in_flight:
             return
         attempt.in_flight = False
--- a/crankfold/service/requests/callback_handler.py
+++ b/crankfold/service/requests/callback_handler.py
@@ -1,4 +1,4 @@
-"""Callbacks: reports of backends on the requests that they execute."""
+"""Handles callbacks, in which backends report on the requests that they execute."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -22,7 +22,7 @@
         attempts: Ends attempts.
         backends: Maps backend ids to indexes.
         cluster: Records that abandoned attempts have ended.
-        other_processes: Handle callbacks for requests that are not in hand at this process.
+        other_processes: Receive the callbacks for requests that are not in progress at this process.
         metrics: Counts callbacks.
     """
 
@@ -47,18 +47,18 @@
         self.call_soon = asyncio.get_running_loop().call_soon
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the request is in hand at this process."""
+        """Whether the request is in progress at this process."""
         return request_id in self.request_table.by_request_id
 
     def forward_unknown_callback(self, client: ClientChannel, body: bytes) -> bool:
-        """Forwards a callback for a request that is not in hand at this process.
+        """Forwards a callback for a request that is not in progress at this process.
 
         Returns:
             Whether there is another process; its answer then determines the response to the callback.
         """
 
         def on_answer(handled: bool | None) -> None:
-            # The answer may come within the call; the response is sent in the next iteration of the loop.
+            # Deferred, as the answer may come before `forward_callback` has returned.
             self.call_soon(self._respond_to_forwarded, client, handled)
 
         return self.other_processes.forward_callback(body, on_answer)
@@ -85,7 +85,7 @@
         self,
         request_id: str,
         backend_id: str,
-        progress: float,  # noqa: ARG002 - the router does not use the share that is done
+        progress: float,  # noqa: ARG002 - the router does not use the progress
     ) -> None:
         """Handles the report that the backend still executes the request."""
         found = self._find_attempt(request_id, backend_id)
@@ -130,5 +130,5 @@
         return self.request_table.find_active_attempt(request_id, backend)
 
     def _count_unmatched_callback(self) -> None:
-        """Counts a callback for a request that has no attempt in flight at its backend, or is not in hand."""
+        """Counts a callback for a request that is unknown or has no attempt in flight at the backend."""
         self.metrics.increment("callbacks-unknown-request")
--- a/crankfold/service/requests/classes.py
+++ b/crankfold/service/requests/classes.py
@@ -15,7 +15,7 @@
         classes: The classes, in the same order.
 
     Attributes:
-        open_counts: The number of requests in hand for each row.
+        open_counts: The number of requests in progress for each row.
         reassigned: The rows that the last update assigned to another class.
         index_by_name: The row for new requests, by the name of the class.
     """
@@ -27,19 +27,19 @@
         self.index_by_name = {name: index for index, name in enumerate(names)}
 
     def find(self, name: str) -> int:
-        """Returns the row of the class of that name, -1 if there is none."""
+        """Returns the row of the class with that name, or -1 if there is none."""
         return self.index_by_name.get(name, -1)
 
     def request_opened(self, index: int) -> None:
-        """Counts one more request in hand for a row."""
+        """Counts a request that was admitted under the class of that row."""
         self.open_counts[index] += 1
 
     def request_closed(self, index: int) -> None:
-        """Counts one request less in hand for a row."""
+        """Stops counting a request, which has ended, for that row."""
         self.open_counts[index] -= 1
 
     def update(self, names: Iterable[str], classes: Sequence[RequestClass]) -> bool:
-        """Replaces the classes by those of another configuration.
+        """Replaces the classes with those of a new configuration.
 
         Returns:
             Whether any name maps to another row than before.
@@ -56,8 +56,8 @@
         for name, request_class in current.items():
             if name not in self.index_by_name:
                 self.index_by_name[name] = self._assign_row(request_class, free)
-        # A class of another name is another class even with equal settings: the statistics of the router for
-        # one do not apply to the other.
+        # Classes with different names differ even if their settings are equal: the statistics of the router
+        # for one do not apply to the other.
         self.reassigned = frozenset(self.index_by_name.values()) - unchanged
         return self.index_by_name != previous
 
--- a/crankfold/service/requests/collaborators.py
+++ b/crankfold/service/requests/collaborators.py
@@ -1,4 +1,4 @@
-"""The interfaces of the cluster and of the other processes of a dispatcher, as request handling uses them.
+"""The interfaces through which request handling uses the cluster and the other processes of a dispatcher.
 
 A process without peers or without a handover directory uses the `No...` implementations, and so does not
 import the modules of the cluster and of the handover.
@@ -23,13 +23,16 @@
 
 
 class ClusterServices(Protocol):
-    """The cluster of dispatchers, as requests and attempts depend on it."""
+    """The services of the dispatcher cluster that requests and attempts use."""
 
     def may_act(self) -> bool:
         """Whether a request may be admitted, or an attempt sent, under the configuration in force."""
 
     def authorize_action(self) -> bool:
-        """Returns `may_act` for an action that follows; records it if the configuration may be outdated."""
+        """Returns `may_act` for an action that is about to start.
+
+        Records the action if the configuration may be outdated.
+        """
 
     def acquire_quota(self, request_class: str, tenant: str) -> Sequence[str] | None:
         """Counts a request against the cluster-wide limits, unless one of them is used up.
@@ -58,13 +61,13 @@
     """The predecessor and the successors of this process."""
 
     def has_successor(self) -> bool:
-        """Whether a successor accepts the connections in place of this process."""
+        """Whether a successor accepts connections instead of this process."""
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the request is in hand at the predecessor."""
+        """Whether the request is in progress at the predecessor."""
 
     def forward_callback(self, body: bytes, on_answer: CallbackAnswer) -> bool:
-        """Forwards a callback for a request that is not in hand at this process.
+        """Forwards a callback for a request that is not in progress at this process.
 
         Returns:
             Whether there is another process. If so, `on_answer` is called, possibly before the return.
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -25,16 +25,16 @@
 from crankfold.service.requests.table import Disposition, Request, RequestTable
 from crankfold.time_units import TICKS_PER_SECOND
 
-# Between the start of the client's timeout and the moment at which the request is read.
+# Deducted from the timeout of a request, for the time from its start at the client until the request is read.
 TRANSIT_ALLOWANCE_TICKS = 10
 
 ADMITTED_COUNTER = "requests-admitted"
 
 
 class Rejection(NamedTuple):
-    """The reason why a request is not admitted: its counter and its response.
+    """A reason not to admit a request, with its counter and its response.
 
-    No attempt was sent, so the client may retry. `retry_after` is in seconds, 0 for no Retry-After header.
+    No attempt was sent, so a retry is harmless. `retry_after` is in seconds; 0 for no Retry-After header.
     """
 
     counter: str
@@ -43,11 +43,13 @@
     retry_after: int = 0
 
 
-CLIENT_GONE = Rejection("clients-closed-before-read", HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
+CLIENT_DISCONNECTED = Rejection(
+    "clients-closed-before-read", HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True
+)
 SHUTTING_DOWN = Rejection("shed-at-shutdown", HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
 DUPLICATE_ID = Rejection("duplicate-request-ids", HTTPStatus.CONFLICT, closes_connection=True)
 OVERLOADED = Rejection("shed-overloaded", HTTPStatus.SERVICE_UNAVAILABLE)
-# Another dispatcher has a valid configuration at the latest when the present lease expires.
+# By the time the current lease expires, at the latest, another dispatcher has a valid configuration.
 NO_VALID_CONFIG = Rejection("shed-without-valid-config", HTTPStatus.SERVICE_UNAVAILABLE, retry_after=1)
 QUOTA_USED_UP = Rejection("shed-by-quota", HTTPStatus.SERVICE_UNAVAILABLE, retry_after=1)
 
@@ -61,11 +63,11 @@
     Args:
         routing_config: The configuration of the router.
         config: The configuration of connections, limits and names.
-        seed: Of the router's random numbers.
+        seed: The seed of the router's random numbers.
         timers: Schedules callbacks.
         metrics: Counts events.
         backends: The backends with their connections.
-        lifecycle: Whether this process is in service.
+        lifecycle: Tells whether this process is in service.
         cluster: The cluster of dispatchers, or `NoCluster`.
         other_processes: Other processes of this dispatcher, or `NoOtherProcess`.
         poll_endpoints: Starts a poll of the endpoint list.
@@ -93,7 +95,7 @@
         self.cluster = cluster
         self.other_processes = other_processes
         self.poll_endpoints = poll_endpoints
-        self.closed = False  # the process ends: new requests are shed
+        self.closed = False  # set when the process ends, so that new requests are shed
         self.request_classes = RequestClassTable(config.request_classes.names, routing_config.request_classes)
         self.request_table = RequestTable(self.request_classes, cluster)
         self.load_reports = LoadReportStore(timers.clock)
@@ -126,7 +128,7 @@
         )
 
     def _now(self) -> int:
-        """Returns the present time in ticks."""
+        """Returns the current time in ticks."""
         return self.timers.clock.now()
 
     # --- events for the router ---
@@ -134,15 +136,15 @@
     def notify_routing(
         self, event: Callable[..., None], *arguments: object, request_number: int = -1
     ) -> None:
-        """Calls a method of the router with the present time and the arguments.
+        """Calls a method of the router with the current time and the arguments.
 
-        An exception in the router is recorded and fails only the request of the event. A debug build raises
-        it again.
+        An exception in the router is recorded and fails only the request that the event is about. A debug
+        build raises it again.
 
         Args:
             event: The method.
             *arguments: Its arguments after the time.
-            request_number: The request of the event, -1 if there is none.
+            request_number: The request that the event is about, or -1.
         """
         try:
             event(self._now(), *arguments)
@@ -213,13 +215,14 @@
         )
 
     def _check_admission(self, client: ClientChannel, request: ClientRequest) -> Rejection | None:
-        """Returns the first reason to reject a request, None if there is none; quotas are not checked.
+        """Returns the first reason to reject a request, or None; does not check quotas.
 
-        The reasons in their order: the client has disconnected, the process ends, the id is in hand here or
-        at the predecessor, too many connections or requests are open, there is no valid configuration.
+        The reasons are checked in this order: the client has disconnected; the process is ending; a request
+        with the same id is in progress here or at the predecessor; too many connections or requests are open;
+        there is no valid configuration.
         """
         if client.peer_has_closed():
-            return CLIENT_GONE
+            return CLIENT_DISCONNECTED
         if self.closed:
             return SHUTTING_DOWN
         request_id = request.request_id
@@ -294,9 +297,9 @@
 
     def shed(self, request_number: int, retry_after: int) -> None:
         """Sheds a request: the client may retry after `retry_after` ticks; 0 for no Retry-After header."""
-        advice = f"{retry_after / TICKS_PER_SECOND:.3f}".encode()
+        seconds = f"{retry_after / TICKS_PER_SECOND:.3f}".encode()
         self._respond_to_number(
-            request_number, Disposition.SHED, [(b"Retry-After", advice)] if retry_after else []
+            request_number, Disposition.SHED, [(b"Retry-After", seconds)] if retry_after else []
         )
 
     def fail_request(self, request_number: int) -> None:
@@ -333,7 +336,7 @@
         self.timers.call_after(delay, lambda: self.notify_routing(self.routing.timer_fired, token))
 
     def probe(self, backend: int) -> None:
-        """Sends a health check to a backend; its response may have a load report."""
+        """Sends a health check to a backend; its response may carry a load report."""
         self.probes.send(backend)
 
     def _on_probe_ended(self, backend: int, healthy: bool, report: Sequence[float]) -> None:
@@ -342,7 +345,7 @@
     # --- configuration and discovery ---
 
     def config_changed(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """Puts other request classes and limits in force; interned names keep their indexes."""
+        """Applies new request classes and limits; interned names keep their indexes."""
         running = self.config
         self.config = replace(
             config,
@@ -367,7 +370,7 @@
         self.notify_routing(self.routing.endpoints_changed, effective, snapshot)
 
     def effective_endpoints_changed(self, endpoints: Sequence[Endpoint]) -> None:
-        """Reports endpoints to the router whose effective state has changed without a new endpoint list."""
+        """Reports to the router endpoints whose effective state has changed without a new endpoint list."""
         self.notify_routing(self.routing.endpoints_changed, endpoints, False)
 
     def discovery_failed(self) -> None:
--- a/crankfold/service/requests/quotas.py
+++ b/crankfold/service/requests/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas: this dispatcher's allocation of the cluster-wide limits on requests in hand."""
+"""Quotas: this dispatcher's allocation of the cluster-wide limits on requests in progress."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
     Attributes:
         allocated: Requests that each limit allows at this dispatcher, by the name of the limit.
-        in_use: Requests in hand that count against each limit.
+        in_use: Requests in progress that count against each limit.
         rejected: Requests that each limit rejected since the last `collect_usage`.
     """
 
@@ -47,7 +47,7 @@
         return all(self.in_use[name] <= allocated for name, allocated in self.allocated.items())
 
     def collect_usage(self) -> dict[str, int]:
-        """Returns the demand for each limit: requests in hand and those rejected since the last call."""
+        """Returns the demand for each limit: requests in progress and those rejected since the last call."""
         usage = {name: self.in_use[name] + self.rejected[name] for name in self.allocated}
         self.rejected.clear()
         return usage
--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -1,4 +1,4 @@
-"""The table of requests in hand with their attempts; looked up by number, by id and by client."""
+"""The table of requests in progress and their attempts, indexed by number, by id and by client."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class Disposition(Enum):
-    """The final response of a request in hand: its counter and its HTTP status."""
+    """The final response to an admitted request, with its counter and its HTTP status."""
 
     COMPLETED = ("requests-completed", HTTPStatus.OK)
     REJECTED = ("requests-rejected", HTTPStatus.BAD_REQUEST)  # a backend found the request invalid
@@ -33,16 +33,16 @@
     Attributes:
         number: Its position among the attempts of the request, from 0.
         backend: The index of the backend.
-        created_at: In ticks.
+        created_at: When the attempt was created, in ticks.
         exchange: The HTTP exchange; None for an attempt that was not sent.
-        in_flight: Whether its outcome is unknown yet.
+        in_flight: Whether its outcome is still unknown.
         started: Whether the backend reported the start of the execution.
         accepted: Whether the backend accepted it; the outcome comes by callback.
-        may_still_run: Whether it was abandoned and the backend has not confirmed its end since.
+        may_still_run: Whether it was abandoned and the backend has not confirmed its end yet.
         may_have_run: False once its outcome proves that it was never executed.
     """
 
-    # A plain class with slots: importing dataclasses would slow the start of the process.
+    # Not a dataclass: importing `dataclasses` would slow the start of the process.
     __slots__ = (
         "accepted",
         "backend",
@@ -72,7 +72,7 @@
 
 
 class Request:
-    """One request in hand.
+    """One admitted request.
 
     Attributes:
         number: A sequence number; the router identifies the request by it.
@@ -133,7 +133,7 @@
     """Holds each request until it is closed and its last attempt has ended.
 
     Args:
-        request_classes: Counts the requests in hand of each class.
+        request_classes: Counts the requests in progress of each class.
         cluster: Holds the quotas that closed requests release.
     """
 
@@ -190,12 +190,12 @@
         if self.requests.pop(request.number, None):
             self.request_classes.request_closed(request.class_index)
         if request.deadline_timer:
-            request.deadline_timer.cancel()  # it refers to the request, whose body may be large
+            request.deadline_timer.cancel()  # it keeps the request, whose body may be large, in memory
         if self.by_request_id.get(request.request_id) is request:
             del self.by_request_id[request.request_id]
 
     def find_active_attempt(self, request_id: str, backend: int) -> ActiveAttempt | None:
-        """Returns the attempt in flight of a request at a backend; there is at most one."""
+        """Returns the attempt of a request that is in flight at a backend; there is at most one."""
         request = self.by_request_id.get(request_id)
         if request:
             for attempt in request.attempts:
