--- a/crankfold/service/admin_service.py
+++ b/crankfold/service/admin_service.py
@@ -1,4 +1,4 @@
-"""Carries out the admin calls: readiness, manual drains of backends, the drain of this process."""
+"""Carries out admin calls: readiness, manual drains of backends, and the drain of this process."""
 
 import logging
 
@@ -11,7 +11,7 @@
 
 logger = logging.getLogger(__name__)
 
-DRAIN_CHECK_INTERVAL = 0.05  # seconds between checks whether a drain is complete
+DRAIN_CHECK_INTERVAL = 0.05  # seconds between two checks of whether a drain is complete
 
 
 class AdminService:
@@ -32,11 +32,11 @@
         self.other_processes = other_processes
         self.loop = request_handler.timers.loop
         self.cluster_admin: ClusterOperations | None = None
-        """None without a cluster, and until this process has joined it."""
+        """None if there is no cluster, or until this process has joined it."""
         self._checking_drain = False
 
     def is_ready(self) -> bool:
-        """Whether this process would admit a request and a backend may get it."""
+        """Whether this process would admit a request and could send it to a backend."""
         return (
             self.request_handler.is_serving()
             and self.backend_registry.any_ready()
@@ -44,11 +44,11 @@
         )
 
     async def drain_backend(self, backend_id: str) -> bool:
-        """Drains a backend; returns False if no backend of that id was ever listed."""
+        """Drains a backend; returns False if no backend with that id was ever listed."""
         return await self._set_manual_drain(backend_id, drained=True)
 
     async def restore_backend(self, backend_id: str) -> bool:
-        """Ends a manual drain; returns False if no backend of that id was ever listed."""
+        """Ends a manual drain; returns False if no backend with that id was ever listed."""
         return await self._set_manual_drain(backend_id, drained=False)
 
     async def _set_manual_drain(self, backend_id: str, *, drained: bool) -> bool:
@@ -59,9 +59,9 @@
             self.metrics.increment("unknown-backends")
             return False
         if endpoint:
-            word = "drained" if drained else "restored"
-            self.metrics.increment(f"backends-{word}-manually")
-            logger.info("backend %s manually: %r", word, backend_id)
+            action = "drained" if drained else "restored"
+            self.metrics.increment(f"backends-{action}-manually")
+            logger.info("manually %s backend %r", action, backend_id)
             self.request_handler.effective_endpoints_changed([endpoint])
         await self.other_processes.replicate_manual_drain(backend_id, drained)
         return True
@@ -70,7 +70,7 @@
         """Drains this process; a repeated call has no effect."""
         if self.lifecycle.start_drain(self.loop.time()):
             self.metrics.increment("drains")
-            logger.info("out of service, draining")
+            logger.info("out of service: draining")
         if not self._checking_drain:
             self._checking_drain = True
             self._check_drain()
@@ -84,7 +84,7 @@
         return allowed
 
     def _check_drain(self) -> None:
-        """Closes idle connections of clients; scheduled again until the drain of this process ends."""
+        """Closes idle client connections; repeats itself until this process resumes service or shuts down."""
         self._checking_drain = self.lifecycle.is_leaving()
         if not self._checking_drain:
             return
@@ -94,5 +94,5 @@
             self.listener.close_idle(spare_backends=True)
         empty = not self.request_handler.open_request_count() and not self.listener.has_client_connections()
         if self.lifecycle.finish_drain(now, empty):
-            logger.info("out of service, no client left")
+            logger.info("drain complete: no client connections left")
         self.loop.call_later(DRAIN_CHECK_INTERVAL, self._check_drain)
--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -48,9 +48,9 @@
 
 logger = logging.getLogger(__name__)
 
-# Ticks after which every dispatcher is expected to know a change of the endpoint list.
+# Ticks within which every dispatcher is expected to learn of a change of the endpoint list.
 ENDPOINT_PROPAGATION_DELAY = 6 * TICKS_PER_SECOND
-FIRST_LIST_TIMEOUT = 0.3  # seconds that a start waits for discovery, which may be down
+FIRST_LIST_TIMEOUT = 0.3  # seconds that a start waits at most for discovery, which may be down
 SEED_BASE = 16  # the configuration has the seed as a hexadecimal number
 
 
@@ -68,7 +68,7 @@
         Args:
             document: The configuration file as decoded, with the overrides of the command line.
             read_document: Reads the document again, for a reload.
-            handover_directory: Has the handover socket and record; empty disables the handover.
+            handover_directory: Holds the handover socket and record; empty disables the handover.
 
         Raises:
             ConfigError: The document is not valid.
@@ -144,7 +144,7 @@
         """Enables the handover if there is an admin server, which reports the readiness of a successor."""
         if not self.admin_address or not directory:
             return None
-        # Imported only with a handover directory.
+        # Imported here, so that a process without a handover directory does not load these modules.
         from crankfold.service.handover.handover import Handover
         from crankfold.service.handover.identity import DispatcherIdentity
 
@@ -159,7 +159,7 @@
     def _build_cluster(self, document: ConfigDocument) -> "ClusterMembership | None":
         if not document.get("peers"):
             return None
-        from crankfold.service.cluster.membership import ClusterMembership  # imported only with peers
+        from crankfold.service.cluster.membership import ClusterMembership  # loaded only with peers
 
         try:
             return ClusterMembership(document, self.metrics)
@@ -211,13 +211,13 @@
     # --- events of discovery ---
 
     def _endpoint_list_age(self) -> int:
-        """Returns the ticks since the last answer of discovery; 0 where discovery is polled on demand."""
+        """Returns the ticks since the last answer of discovery; 0 if discovery is polled on demand."""
         if self.polls_discovery:
             return 0
         return int((self.timers.loop.time() - self.discovery_watcher.last_answer_at) * TICKS_PER_SECOND)
 
     def _start_polling(self) -> None:
-        # The constructor of the router starts a poll before the watcher is built.
+        # Deferred, as the constructor of the router starts a poll before the watcher is built.
         self.timers.loop.call_soon(lambda: self.discovery_watcher.start(False))
 
     def _endpoints_received(self, endpoints: Sequence[Endpoint], is_snapshot: bool) -> None:
@@ -241,13 +241,13 @@
         self._install_signal_handlers()
         await self._start_discovery()
         await self._open_admin_server()
-        # The known endpoints may be outdated, so the first list of discovery is awaited for a moment.
+        # The known endpoints may be outdated, so the start waits briefly for the first list of discovery.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.discovery_answered.wait()
         await self._join_cluster()
-        if self.shutdown_requested.is_set():  # no connection is accepted only to be closed
-            logger.info("ended by a signal before serving")
+        if self.shutdown_requested.is_set():  # a connection accepted now would only be closed
+            logger.info("received a shutdown signal before serving")
             await self._close()
             return
         await self._start_serving()
@@ -265,7 +265,7 @@
         loop.add_signal_handler(signal.SIGUSR1, self.report_metrics)
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         if take_reload_request():
-            self.reloader.reload()  # SIGHUP came during the start, maybe after the file was read
+            self.reloader.reload()  # the SIGHUP may have come after the start had read the file
 
     async def _start_discovery(self) -> None:
         """Registers the endpoints of the predecessor or of the configuration, and starts the watcher."""
@@ -288,12 +288,12 @@
             return
         self.request_handler.endpoints_changed(endpoints, is_snapshot)
         if self.polls_discovery:
-            # The router starts the polls; discovery then answers with the changes since this revision.
+            # The router starts the polls; discovery answers them with the changes since this revision.
             self.discovery_watcher.revision = revision
             self.discovery_answered.set()
 
     def _inherit_endpoints(self, endpoints: EndpointDocument) -> None:
-        """Registers the endpoints of a further predecessor, unless discovery itself has answered."""
+        """Registers the endpoints of another predecessor, unless discovery itself has answered."""
         if self.discovery_watcher.list_revision < 0:
             self.known_endpoints = endpoints
             self._register_known_endpoints()
@@ -370,17 +370,17 @@
 
 
 def _admin_address(document: ConfigDocument) -> tuple[str, int] | None:
-    """Returns the address of the admin server; None if there is to be none."""
+    """Returns the address of the admin server, or None if the document has none."""
     if not document.get("admin_addr"):
         return None
     return parse_address(document["admin_addr"], "admin_addr")
 
 
 def _parse_document(document: ConfigDocument) -> tuple[RoutingConfig, ServiceConfig, int]:
-    """Returns both configurations and the seed of the router.
+    """Returns the configurations of the router and of the service, and the seed of the router.
 
     Raises:
-        ConfigError: A setting is not valid; the text names it.
+        ConfigError: A setting is not valid; the message names it.
     """
     try:
         parsed = parse_settings(document["settings"])
@@ -393,7 +393,7 @@
 
 @contextlib.contextmanager
 def _config_error_at(address: tuple[str, int]) -> Iterator[None]:
-    """Converts an OSError at the opening of that address to a `ConfigError`."""
+    """Converts an `OSError` from opening that address to a `ConfigError`."""
     try:
         yield
     except OSError as error:
--- a/crankfold/service/backends/health_probes.py
+++ b/crankfold/service/backends/health_probes.py
@@ -20,7 +20,7 @@
     """Sends the health checks that the router requests.
 
     Args:
-        config: Determines the target: `/load` if backends report their load, else `/healthz`.
+        config: Determines the path to probe: `/load` if backends report their load, else `/healthz`.
         backends: Holds the connections to the backends.
         load_reports: Stores the reports.
         metrics: Counts probes and reports.
@@ -43,7 +43,7 @@
         self.target = b"/load" if reports_load else b"/healthz"
 
     def send(self, backend: int) -> None:
-        """Probes the backend with that index."""
+        """Sends a health check to the backend with that index; the result goes to `on_probe_ended`."""
         self.metrics.increment("probes")
         self.backends.send_control_request(backend, b"GET", self.target, partial(self._on_end, backend))
 
--- a/crankfold/service/backends/load_report_store.py
+++ b/crankfold/service/backends/load_report_store.py
@@ -1,4 +1,4 @@
-"""The last load report of each backend, for a successor process."""
+"""Stores the last load report of each backend, which a successor process inherits."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class LoadReport(NamedTuple):
-    """A load report with its arrival time in ticks; `values` are in the order of the configured fields."""
+    """A load report with its arrival time in ticks; `values` has the order of the configured fields."""
 
     received_at: int
     values: Sequence[float]
 
 
 class LoadReportStore:
-    """Holds the last report of each backend, by its index."""
+    """Holds the last report of each backend, by the index of the backend."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -26,7 +26,7 @@
             self.by_backend[backend] = LoadReport(self.clock.now(), values)
 
     def received_since(self, earliest: int) -> dict[int, Sequence[float]]:
-        """Returns the reports that arrived after that tick, by backend."""
+        """Returns the reports that arrived after the tick `earliest`, by backend."""
         return {
             backend: report.values
             for backend, report in self.by_backend.items()
--- a/crankfold/service/backends/manual_drains.py
+++ b/crankfold/service/backends/manual_drains.py
@@ -20,7 +20,7 @@
 
 
 class ManualDrains:
-    """The drains in force and the assumed starts they left, by backend id.
+    """The drains in force and the assumed starts of restored backends, by backend id.
 
     Times are ticks of the dispatcher's clock, as in `Endpoint.started_at`.
     """
@@ -33,7 +33,7 @@
         """Drains a backend.
 
         Returns:
-            False if the backend is drained already; its drain keeps the time at which it began.
+            False if the backend is drained already; the drain then keeps its start time.
         """
         if backend_id in self.drained_since:
             return False
@@ -45,8 +45,8 @@
 
         Args:
             backend_id: The backend.
-            now: The present time.
-            same_process: Whether the backend has certainly not restarted during the drain.
+            now: The current time.
+            same_process: Whether it is certain that the backend has not restarted during the drain.
 
         Returns:
             Whether it was drained.
@@ -56,8 +56,8 @@
             return False
         earlier = self.assumed_starts.pop(backend_id, None)
         if not same_process:
-            # The endpoint list may not show a restart yet, and a backend without slow start after its restart
-            # would be overloaded.
+            # The endpoint list may not show a restart during the drain yet, and without a slow start the
+            # restarted backend would be overloaded.
             self.assumed_starts[backend_id] = AssumedStart(drained_at, now)
         elif earlier:
             self.assumed_starts[backend_id] = earlier  # the slow start before this drain continues
--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -18,12 +18,12 @@
 from crankfold.service.backends.starts import BackendStarts
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-CONTROL_EXCHANGE_TIMEOUT = TICKS_PER_SECOND  # ticks; for health checks and cancellations
+CONTROL_EXCHANGE_TIMEOUT = TICKS_PER_SECOND  # ticks; applies to health checks and cancellations
 HASH_RANGE = 1 << 32  # number of values of a CRC-32
 
 
 class UnknownBackendError(CrankfoldError):
-    """No backend of that id was ever in the endpoint list."""
+    """No backend with that id was ever in the endpoint list."""
 
 
 class BackendAddress(NamedTuple):
@@ -36,13 +36,13 @@
     def announced_start(self) -> int:
         """Returns the start of the process by the clock of the backend, in ticks since the epoch.
 
-        0 means that the backend started long ago. All dispatchers get the same value.
+        0 means that the backend started long ago. Every dispatcher gets the same value.
         """
         return self.boot_ms * TICKS_PER_MILLISECOND
 
 
 class BackendRecord:
-    """One backend.
+    """One backend that was ever in the endpoint list.
 
     Attributes:
         address: As in the newest endpoint list.
@@ -64,7 +64,7 @@
     """All backends that were ever in the endpoint list.
 
     Args:
-        config: Has the names of zones and instance types and the duration of a slow start.
+        config: Provides the names of zones and instance types and the duration of a slow start.
         timers: Schedules the timeouts of exchanges.
         sockets: Limits the connections to all backends together.
 
@@ -74,8 +74,8 @@
         manual_drains: Manual drains at this dispatcher.
         cluster_drains: Drains that are in force at all dispatchers.
         starts: Estimates the starts of backends.
-        known_ids: Backend ids that the predecessor process knew.
-        slow_start_reserved: Whether the slow-start budgets of backends belong to a successor process.
+        known_ids: The backend ids that the predecessor process knew.
+        slow_start_reserved: Whether the slow-start budgets of backends are left to a successor process.
     """
 
     def __init__(self, config: ServiceConfig, timers: Timers, sockets: ConnectionLimiter) -> None:
@@ -97,7 +97,7 @@
     # --- the endpoint list ---
 
     def register(self, entry: DiscoveryEntry) -> Endpoint:
-        """Returns the endpoint of a discovery entry, and assigns an index to a new backend.
+        """Returns the endpoint of a discovery entry; assigns an index to a backend that is new.
 
         The start in the endpoint is that of the entry, by the clock of the backend.
         """
@@ -108,7 +108,7 @@
             pool = ConnectionPool(entry.host, entry.port, self.sockets)
             self.records.append(BackendRecord(address, unlisted, pool))
         elif self.records[backend].address != address:
-            # The backend has restarted or moved, so connections to the earlier process are closed.
+            # The backend has restarted or moved, so the connections to its earlier process are closed.
             record = self.records[backend]
             record.address = address
             record.pool.close()
@@ -217,7 +217,7 @@
         return [endpoint for endpoint in changed if endpoint]
 
     def drained_endpoints(self) -> list[Endpoint]:
-        """Puts all manual drains in force, after those of another process were adopted.
+        """Applies all manual drains, after those of another process were adopted.
 
         Returns:
             The effective endpoints of the drained backends.
@@ -226,7 +226,7 @@
         return [self._put_in_force(backend) for backend in indices if backend >= 0]
 
     def reserve_slow_start(self, is_reserved: bool) -> list[Endpoint]:
-        """Reserves the slow-start budgets of backends for a successor process, or ends that.
+        """Reserves the slow-start budgets of backends for a successor process, or ends the reservation.
 
         Returns:
             The effective endpoints of the backends that may have changed.
@@ -247,9 +247,9 @@
         now = self.timers.clock.now()
         same_process = False
         if drained_at is not None and backend >= 0:
-            # A connection that is older than the drain proves that the backend has not restarted since.
-            drained_for = (now - drained_at) / TICKS_PER_SECOND
-            same_process = self.records[backend].pool.has_connection_older_than(drained_for)
+            # An open connection that is older than the drain proves that the backend has not restarted since.
+            drained_seconds = (now - drained_at) / TICKS_PER_SECOND
+            same_process = self.records[backend].pool.has_connection_older_than(drained_seconds)
         was_drained = drains.restore(backend_id, now, same_process)
         return self._put_in_force(backend) if was_drained and backend >= 0 else None
 
@@ -271,7 +271,7 @@
     ) -> None:
         """Sends an exchange that is not an attempt, such as a health check.
 
-        It has a timeout, as a machine that is down may neither answer nor reset the connection.
+        It has a timeout, because a machine that is down may neither answer nor reset the connection.
         """
         pool = self.records[backend].pool
         host = f"{pool.host}:{pool.port}".encode()
@@ -292,7 +292,7 @@
         exchange.abort()
 
     def abandon_exchange(self, exchange: Exchange) -> None:
-        """Ignores the response of an attempt that has ended by callback.
+        """Ignores the response to an attempt that has ended without it, such as by callback.
 
         The connection is aborted if the response does not arrive within `CONTROL_EXCHANGE_TIMEOUT`.
         """
--- a/crankfold/service/backends/starts.py
+++ b/crankfold/service/backends/starts.py
@@ -13,7 +13,7 @@
 from crankfold.network.timers import Clock
 from crankfold.time_units import TICKS_PER_SECOND
 
-MAX_CLOCK_ERROR = 2 * 3600 * TICKS_PER_SECOND  # ticks; the largest error of a wall clock that is allowed for
+MAX_CLOCK_ERROR = 2 * 3600 * TICKS_PER_SECOND  # ticks; the largest error of a wall clock that is tolerated
 # The capacity of a backend may be overestimated by this share of its initial capacity. Dispatchers use half
 # of the slow-start budget, so even a backend that has just started is not overloaded by it.
 TOLERATED_CAPACITY_GAIN = 0.5
@@ -25,7 +25,7 @@
 
 
 class BackendStarts:
-    """Estimates the starts of all backends, by their index; all times in ticks.
+    """Estimates the starts of all backends, by their index; all times are in ticks.
 
     Args:
         clock: The clock of this process.
@@ -61,7 +61,7 @@
         }
 
     def discovery_answered(self) -> None:
-        """Records the first list of discovery; starts that appear in later ones are recent."""
+        """Records that discovery has answered; starts that first appear in a later list are recent."""
         self._discovery_answered = True
 
     def _estimate_one(self, backend: int, announced_at: int, now: int) -> int:
--- a/crankfold/service/config_file.py
+++ b/crankfold/service/config_file.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file, and derives the values for a start or a reload."""
+"""Reads the configuration file and derives the configurations for a start or a reload."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -24,10 +24,11 @@
 Settings = dict[str, Any]
 """The `settings` of a document."""
 
-DEFAULT_SOCKETS = 1024  # limit of the process if the file has none
+DEFAULT_SOCKETS = 1024  # socket limit of the process if the configuration file sets none
 MIN_SOCKETS = 64
-IDLE_TIMEOUT_SHARE = 0.5  # of a backend's idle timeout; no request meets a connection that it closes
-ADMIN_SPARE_SOCKETS = 4  # the listening socket of the admin server and sockets being closed
+# Share of a backend's idle timeout, so that no request is sent on a connection that the backend closes.
+IDLE_TIMEOUT_SHARE = 0.5
+ADMIN_SPARE_SOCKETS = 4  # for the listening socket of the admin server and sockets being closed
 BACKEND_SOCKETS_DIVISOR = 4  # a quarter of the sockets is for backends
 SPARE_SOCKETS_DIVISOR = 16  # a sixteenth stays free for sockets being closed
 
@@ -57,10 +58,10 @@
     """Returns the document in the file at `path`.
 
     Raises:
-        ConfigError: There is no path, the file cannot be read or is not JSON, or a part is missing.
+        ConfigError: The path is empty, the file cannot be read or is not JSON, or a required key is missing.
     """
     if not path:
-        raise ConfigError("no configuration: set GW_CONFIG or give --config")
+        raise ConfigError("no configuration file: set GW_CONFIG or pass --config")
     try:
         document = orjson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -75,13 +76,13 @@
     """Returns host and port of `HOST:PORT`; an IPv6 host may be in brackets.
 
     Raises:
-        ConfigError: `text`, the value of `key`, has another form.
+        ConfigError: `text`, the value of `key`, has another format.
     """
     host, _, port = text.rpartition(":")
     try:
         return host.strip("[]"), int(port)
     except ValueError:
-        raise ConfigError(f"{key} is no address: {text!r}") from None
+        raise ConfigError(f"{key} is not an address HOST:PORT: {text!r}") from None
 
 
 def divide_socket_limit(document: ConfigDocument, has_admin_server: bool) -> SocketLimits:
@@ -93,7 +94,7 @@
     try:
         sockets = max(int((document.get("limits") or {}).get("sockets") or DEFAULT_SOCKETS), MIN_SOCKETS)
     except (AttributeError, TypeError, ValueError):
-        raise ConfigError("limits: sockets is no number") from None
+        raise ConfigError("limits: sockets is not a number") from None
     for_backends = sockets // BACKEND_SOCKETS_DIVISOR
     # The descriptor of a closed connection is released in the next iteration of the event loop.
     free = sockets // SPARE_SOCKETS_DIVISOR + UNCOUNTED_SOCKETS
@@ -116,7 +117,7 @@
     """Returns the configurations that the settings of a document define.
 
     Raises:
-        ValueError: A setting is not valid; the text names it. `config.schema` checks more.
+        ValueError: A setting is not valid; the message names it. `config.schema` checks more.
     """
     flat = flatten_settings(settings)
     return ParsedConfig(read_routing_config(flat), read_service_config(flat))
@@ -126,9 +127,9 @@
     """Returns the configurations of a document that is to replace the running one.
 
     Raises:
-        ConfigError: The document is not valid; the text names the first such field.
+        ConfigError: The document is not valid; the message names the first invalid field.
     """
-    from crankfold.config import schema  # not at the start, for its import time and memory
+    from crankfold.config import schema  # only here: it costs the start import time and memory
 
     try:
         schema.validate(document, running)
@@ -138,7 +139,7 @@
 
 
 def settings_needing_restart(document: ConfigDocument, running: ConfigDocument) -> list[str]:
-    """Returns the sorted paths of the differences that a reload does not apply."""
+    """Returns the sorted paths of the changed settings that a reload does not apply."""
     new_settings = _without_class_specifics(document["settings"])
     old_settings = _without_class_specifics(running["settings"])
     differing = [
@@ -152,7 +153,7 @@
 
 
 def _without_class_specifics(settings: Settings) -> Settings:
-    """Returns the settings without specifics of request classes, which a reload applies."""
+    """Returns the settings without the specifics of request classes, which a reload applies."""
     specifics = {
         name: value
         for name, value in (settings.get("specifics") or {}).items()
--- a/crankfold/service/lifecycle.py
+++ b/crankfold/service/lifecycle.py
@@ -1,11 +1,12 @@
 """The lifecycle state machine: in service, draining, out of service, shutting down. No I/O.
 
-Times are seconds of one monotonic clock.
+All times are seconds on the same monotonic clock.
 """
 
 from enum import Enum
 
-CLIENT_MIGRATION_PERIOD = 1.5  # seconds in which a response moves a client to another dispatcher
+# Seconds of a drain in which only responses close connections, so that clients move to another dispatcher.
+CLIENT_MIGRATION_PERIOD = 1.5
 
 
 class LifecycleState(Enum):
@@ -19,7 +20,7 @@
 
 
 class Lifecycle:
-    """The state of the process; admin calls drain and resume it, a signal shuts it down for good."""
+    """The state of the process: admin calls drain it and resume service, a signal shuts it down for good."""
 
     def __init__(self) -> None:
         self.state = LifecycleState.STARTING
--- a/crankfold/service/reload.py
+++ b/crankfold/service/reload.py
@@ -25,7 +25,7 @@
 
 
 class ConfigApplier:
-    """Puts other routing and service configurations in force at run time."""
+    """Applies routing and service configurations at run time."""
 
     def __init__(
         self, config: ServiceConfig, request_handler: RequestHandler, connection_limiter: ConnectionLimiter
@@ -33,10 +33,10 @@
         self.request_handler = request_handler
         self.connection_limiter = connection_limiter
         self.longest_deadline = config.longest_deadline / TICKS_PER_SECOND
-        """Seconds; the longest of the request classes in force, which limits a drain."""
+        """The longest deadline of the request classes in force, in seconds; it limits a drain."""
 
     def apply(self, routing_config: RoutingConfig, config: ServiceConfig) -> None:
-        """Puts these configurations in force; requests in hand keep their request class."""
+        """Applies these configurations; requests in progress keep their request class."""
         self.request_handler.config_changed(routing_config, config)
         timeouts = connection_timeouts(config)
         self.connection_limiter.connect_timeout = timeouts.connect
@@ -95,7 +95,7 @@
         logger.info("new configuration: discovery at %s:%s%s", host, port, remarks)
 
     def _remarks(self, document: ConfigDocument) -> str:
-        """Describes for the log which parts of the document are not in force."""
+        """Returns the end of the log line, which names the parts of the document that are not in force."""
         pending = settings_needing_restart(document, self.document)
         remarks = f"; {', '.join(pending)} differs and waits for a restart" if pending else ""
         if self.settings_replicated:
@@ -104,5 +104,5 @@
 
 
 def _without_known_endpoints(document: ConfigDocument) -> ConfigDocument:
-    """Returns the document without the endpoint list, which is used at the start only."""
+    """Returns the document without the endpoint list, which only the start uses."""
     return {name: part for name, part in document.items() if name != "known"}
--- a/crankfold/service/shutdown.py
+++ b/crankfold/service/shutdown.py
@@ -18,13 +18,13 @@
 
 logger = logging.getLogger(__name__)
 
-LATE_CONNECTION_PERIOD = 0.45  # seconds; clients may still open connections so long after the signal
-# Seconds. The platform kills the process soon after the longest deadline, which counts as this at most.
+LATE_CONNECTION_PERIOD = 0.45  # seconds after the signal in which clients may still open connections
+# Seconds. The platform kills the process soon after the longest deadline; a longer one counts as this.
 MAX_DRAIN_DURATION = 3.0
-DRAIN_MARGIN = 0.5  # seconds after the longest deadline in which the process has to end
+DRAIN_MARGIN = 0.5  # seconds after the longest deadline by which the process has to end
 IDLE_CLIENT_PERIOD = 0.5  # seconds in which an idle client may send one more request after a handover
 FINAL_DRAIN_PERIOD = 1.5  # seconds; the last part of a drain, in which each response closes its connection
-CHECK_INTERVAL = 0.01  # seconds
+CHECK_INTERVAL = 0.01  # seconds between two checks of whether a drain is complete
 
 
 class ShutdownSequence:
@@ -53,13 +53,13 @@
         self.loop = asyncio.get_running_loop()
 
     async def drain(self, longest_deadline: float) -> None:
-        """Returns when all requests are answered, or when the time for the drain is over.
+        """Drains until all requests are answered or the time for the drain is over.
 
         Connections stay open until the final period of the drain: during a rolling restart a client may have
         connections to this dispatcher only.
 
         Args:
-            longest_deadline: Seconds; the longest of the request classes in force.
+            longest_deadline: The longest deadline of the request classes in force, in seconds.
         """
         end = self.loop.time() + min(longest_deadline, MAX_DRAIN_DURATION) + DRAIN_MARGIN
         logger.info("draining")
@@ -79,11 +79,11 @@
             self.request_handler.open_request_count() or self.listener.expects_data()
         ):
             await asyncio.sleep(CHECK_INTERVAL)
-            # Backends keep their connections: on a closed one a callback would be retried, possibly too late.
+            # Connections of backends stay open: on a closed one a callback is retried, possibly too late.
             self.listener.close_idle(spare_backends=True)
 
     async def _drain_to_successor(self, end: float) -> None:
-        """Moves clients to the successor: with the next response, or when they stay idle."""
+        """Moves each client to the successor with its next response, or by closing its idle connection."""
         self.listener.closing = True
         close_idle_at = self.loop.time() + IDLE_CLIENT_PERIOD
         while self.loop.time() < end and (
--- a/crankfold/service/socket_budget.py
+++ b/crankfold/service/socket_budget.py
@@ -6,7 +6,7 @@
 
 MIN_BACKEND_CONNECTIONS = 4
 MIN_BACKEND_DIVISOR = 4  # during a handover a process keeps at least a quarter of its backend connections
-MIN_ACCEPTED_DIVISOR = 8  # and an eighth of its accepted ones, which is less than the spare sockets
+MIN_ACCEPTED_DIVISOR = 8  # and an eighth of its accepted connections, which is less than the spare sockets
 
 
 class SocketBudget:
@@ -26,7 +26,7 @@
         self._other_backends = 0
 
     def change_limits(self, limits: SocketLimits) -> None:
-        """Puts other limits in force; the connections of the other process still count."""
+        """Applies new limits; the connections of the other process still count."""
         self.limits = limits
         self._apply()
 
@@ -38,7 +38,7 @@
         self._apply()
 
     def yield_to_successor(self) -> None:
-        """Reduces the backend connections to the minimum for finishing the requests in hand."""
+        """Reduces the backend connections to the minimum for finishing the requests in progress."""
         self._yielded = True
         self._other_clients = 0
         self._other_backends = 0
@@ -46,11 +46,14 @@
 
     def _apply(self) -> None:
         for_backends, for_accepted = self.limits
-        least = max(for_backends // MIN_BACKEND_DIVISOR, MIN_BACKEND_CONNECTIONS)
+        min_for_backends = max(for_backends // MIN_BACKEND_DIVISOR, MIN_BACKEND_CONNECTIONS)
         if self._yielded:
-            # The limit of accepted connections stays: no new ones come, and a lower one would evict clients.
-            self.connection_limiter.max_connections = least
+            # The limit of accepted connections stays: the successor accepts the new ones, and a lower limit
+            # would evict clients.
+            self.connection_limiter.max_connections = min_for_backends
         else:
-            self.connection_limiter.max_connections = max(for_backends - self._other_backends, least)
-            least_accepted = for_accepted // MIN_ACCEPTED_DIVISOR
-            self.listener.max_connections = max(for_accepted - self._other_clients, least_accepted)
+            self.connection_limiter.max_connections = max(
+                for_backends - self._other_backends, min_for_backends
+            )
+            min_for_accepted = for_accepted // MIN_ACCEPTED_DIVISOR
+            self.listener.max_connections = max(for_accepted - self._other_clients, min_for_accepted)
--- a/crankfold/service/wall_clock.py
+++ b/crankfold/service/wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock, for times that are shown to operators. Durations use monotonic clocks."""
+"""The wall clock, for times shown to operators; durations are measured with monotonic clocks."""
 
 import time
 
