--- a/crankfold/service/backends/registry.py
+++ b/crankfold/service/backends/registry.py
@@ -138,9 +138,10 @@
         for endpoint in endpoints:
             record = self.records[endpoint.backend]
             record.endpoint = replace(endpoint, started_at=starts[endpoint.backend])
-        return [self._put_in_force(endpoint.backend) for endpoint in endpoints]
+        return [self._update_effective_endpoint(endpoint.backend) for endpoint in endpoints]
 
-    def _put_in_force(self, backend: int) -> Endpoint:
+    def _update_effective_endpoint(self, backend: int) -> Endpoint:
+        """Applies drains and the slow-start reservation; returns the endpoint, whose state it stores."""
         backend_id = self.backend_ids.names[backend]
         record = self.records[backend]
         endpoint = self.manual_drains.apply_to(backend_id, record.endpoint)
@@ -223,7 +224,7 @@
             The effective endpoints of the drained backends.
         """
         indices = [self.backend_ids.find(backend_id) for backend_id in self.manual_drains.drained_since]
-        return [self._put_in_force(backend) for backend in indices if backend >= 0]
+        return [self._update_effective_endpoint(backend) for backend in indices if backend >= 0]
 
     def reserve_slow_start(self, is_reserved: bool) -> list[Endpoint]:
         """Reserves the slow-start budgets of backends for a successor process, or ends the reservation.
@@ -233,14 +234,14 @@
         """
         self.slow_start_reserved = is_reserved
         return [
-            self._put_in_force(backend)
+            self._update_effective_endpoint(backend)
             for backend, record in enumerate(self.records)
             if record.endpoint.started_at and record.endpoint.state == EndpointState.READY
         ]
 
     def _drain(self, drains: ManualDrains, backend_id: str, backend: int) -> Endpoint | None:
         is_new = drains.drain(backend_id, self.timers.clock.now())
-        return self._put_in_force(backend) if is_new and backend >= 0 else None
+        return self._update_effective_endpoint(backend) if is_new and backend >= 0 else None
 
     def _restore(self, drains: ManualDrains, backend_id: str, backend: int) -> Endpoint | None:
         drained_at = drains.drained_since.get(backend_id)
@@ -251,7 +252,7 @@
             drained_seconds = (now - drained_at) / TICKS_PER_SECOND
             same_process = self.records[backend].pool.has_connection_older_than(drained_seconds)
         was_drained = drains.restore(backend_id, now, same_process)
-        return self._put_in_force(backend) if was_drained and backend >= 0 else None
+        return self._update_effective_endpoint(backend) if was_drained and backend >= 0 else None
 
     def _index_of_known(self, backend_id: str) -> int:
         """Returns the index of a backend; -1 for one that only the predecessor process knew.
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -25,14 +25,14 @@
 
 def send_to_draining_backends() -> None:
     """The list's states count for nothing."""
-    put_in_force = BackendRegistry._put_in_force
+    put_in_force = BackendRegistry._update_effective_endpoint
 
     def ready(self: BackendRegistry, backend: int) -> Any:
         endpoint = put_in_force(self, backend)
         self.records[backend].state = EndpointState.READY
         return replace(endpoint, state=EndpointState.READY)
 
-    put(BackendRegistry, "_put_in_force", ready)
+    put(BackendRegistry, "_update_effective_endpoint", ready)
 
 
 def forget_no_client() -> None:
