--- a/tests/routing/test_rules_ejection.py
+++ b/tests/routing/test_rules_ejection.py
@@ -1,72 +1,79 @@
-"""How long a backend is left out."""
+"""Outlier ejection: how long a backend is ejected, and when it gets a trial attempt."""
 
 from itertools import pairwise
 
 from crankfold.routing.interface import Outcome
-from tests.routing.rule_scene import RuleScene, ready
+from tests.routing.fixtures import RouterFixture, ready_endpoint
 
-LONGEST = 8_000  # ms
-JITTER = 0.25  # of the ejection
-STEP = 100  # ms
-HANG = 1500  # ms until a request at a backend that hangs has timed out
+MAX_EJECTION_MS = 8_000
+MAX_JITTER_SHARE = 0.25  # of the ejection time
+STEP_MS = 100
+ATTEMPT_TIMEOUT_MS = 1500
 
 
-class EjectionRules(RuleScene):
-    def test_ejection_of_a_backend_that_keeps_failing_doubles_up_to_the_longest(self) -> None:
-        self.open_with(*[ready(backend) for backend in range(3)])
-        trials: list[int] = []
-        for step in range(80_000 // STEP):
-            requests = range(3 * step, 3 * step + 3)
-            for request in requests:  # one for each backend that is not left out
-                self.send(request)
-            for request in requests:
-                if self.backends_of(request) == [0]:
-                    trials.append(step * STEP)
-                    self.finish(request, Outcome.UNREACHABLE, last=False)
-                self.finish(request)
-            self.sent.clear()
-            self.elapse(STEP)
-        pauses = [later - earlier for earlier, later in pairwise(trials)]
-        for pause, ejection in zip(pauses, (1000, 2000, 4000, 8000), strict=False):
-            self.assertGreaterEqual(pause, ejection)
-            self.assertLessEqual(pause, ejection * (1 + JITTER) + STEP)
-        self.assertLessEqual(max(pauses), LONGEST * (1 + JITTER) + STEP)
+class EjectionDurationTest(RouterFixture):
+    def test_ejection_of_failing_backend_doubles_up_to_maximum(self) -> None:
+        self.start_router(*[ready_endpoint(backend) for backend in range(3)])
+        trial_times: list[int] = []
+        for step in range(80_000 // STEP_MS):
+            request_ids = range(3 * step, 3 * step + 3)
+            for request_id in request_ids:  # one for each backend that is not ejected
+                self.route_request(request_id)
+            for request_id in request_ids:
+                if self.backends_of(request_id) == [0]:
+                    trial_times.append(step * STEP_MS)
+                    self.end_latest_attempt(request_id, Outcome.UNREACHABLE, last=False)
+                self.end_latest_attempt(request_id)
+            self.sent_attempts.clear()
+            self.advance_by(STEP_MS)
+        intervals = [later - earlier for earlier, later in pairwise(trial_times)]
+        for interval, min_interval in zip(intervals, (1000, 2000, 4000, 8000), strict=False):
+            self.assertGreaterEqual(interval, min_interval)
+            self.assertLessEqual(interval, min_interval * (1 + MAX_JITTER_SHARE) + STEP_MS)
+        self.assertLessEqual(max(intervals), MAX_EJECTION_MS * (1 + MAX_JITTER_SHARE) + STEP_MS)
 
-    # Guards against a hanging backend that takes one request after the other, as its ejection never doubles.
-    def test_ejection_of_a_backend_whose_trial_attempts_hang_doubles_up_to_the_longest(self) -> None:
-        self.open_with(*[ready(backend) for backend in range(3)], max_attempts=1)
-        trials: list[int] = []
-        hanging: list[tuple[int, int]] = []  # request, and when it times out
-        for step in range(80_000 // STEP):
-            requests = range(3 * step, 3 * step + 3)
-            for request in requests:  # one for each backend that is not left out
-                self.send(request, timeout=HANG)
-            for request in requests:
-                if self.backends_of(request) == [0]:
-                    trials.append(step * STEP)
-                    hanging.append((request, step * STEP + HANG))
+    # Guards against an ejection that never doubles, so that a hanging backend gets one request after another.
+    def test_ejection_of_backend_with_hanging_trial_attempts_doubles_up_to_maximum(self) -> None:
+        self.start_router(*[ready_endpoint(backend) for backend in range(3)], max_attempts=1)
+        trial_times: list[int] = []
+        hanging: list[tuple[int, int]] = []  # request id, and the ms at which its attempt times out
+        for step in range(80_000 // STEP_MS):
+            request_ids = range(3 * step, 3 * step + 3)
+            for request_id in request_ids:  # one for each backend that is not ejected
+                self.route_request(request_id, timeout=ATTEMPT_TIMEOUT_MS)
+            for request_id in request_ids:
+                if self.backends_of(request_id) == [0]:
+                    trial_times.append(step * STEP_MS)
+                    hanging.append((request_id, step * STEP_MS + ATTEMPT_TIMEOUT_MS))
                 else:
-                    self.finish(request)
-            self.elapse(STEP)
-            for request, due in list(hanging):
-                if due <= (step + 1) * STEP:
-                    hanging.remove((request, due))
-                    self.finish(request, Outcome.TIMED_OUT)
-        first_trial = next(at for at in trials if at >= 2 * HANG)
-        pauses = [later - earlier for earlier, later in pairwise(at for at in trials if at >= first_trial)]
-        for pause, ejection in zip(pauses, (2000, 4000, 8000, 8000), strict=False):
-            self.assertGreaterEqual(pause, ejection)
-        self.assertLessEqual(max(pauses), HANG + LONGEST * (1 + JITTER) + STEP)
+                    self.end_latest_attempt(request_id)
+            self.advance_by(STEP_MS)
+            for request_id, times_out_at in list(hanging):
+                if times_out_at <= (step + 1) * STEP_MS:
+                    hanging.remove((request_id, times_out_at))
+                    self.end_latest_attempt(request_id, Outcome.TIMED_OUT)
+        first_trial = next(trial_time for trial_time in trial_times if trial_time >= 2 * ATTEMPT_TIMEOUT_MS)
+        intervals = [
+            later - earlier
+            for earlier, later in pairwise(
+                trial_time for trial_time in trial_times if trial_time >= first_trial
+            )
+        ]
+        for interval, min_interval in zip(intervals, (2000, 4000, 8000, 8000), strict=False):
+            self.assertGreaterEqual(interval, min_interval)
+        self.assertLessEqual(
+            max(intervals), ATTEMPT_TIMEOUT_MS + MAX_EJECTION_MS * (1 + MAX_JITTER_SHARE) + STEP_MS
+        )
 
-    # Guards against a backend with a rounding residue in its own slots, which never gets its trial attempt.
-    def test_a_backend_that_served_fractional_slots_gets_its_trial_attempt(self) -> None:
-        self.open_with(ready(0))
-        for request, slots in enumerate((0.1, 0.2, 0.3)):
-            self.send(request, slots=slots)
-        for request in range(3):
-            self.finish(request)
-        self.send(3, slots=0.1)
-        self.finish(3, Outcome.UNREACHABLE, last=True)
-        self.change(ready(1), ready(2))
-        self.elapse(1500)
-        self.assertIn(0, {self.send(request) for request in range(4, 8)})
+    # Guards against a rounding residue in the own slots of an idle backend that rules out its trial attempt.
+    def test_backend_that_served_fractional_slots_gets_its_trial_attempt(self) -> None:
+        self.start_router(ready_endpoint(0))
+        for request_id, slots in enumerate((0.1, 0.2, 0.3)):
+            self.route_request(request_id, slots=slots)
+        for request_id in range(3):
+            self.end_latest_attempt(request_id)
+        self.route_request(3, slots=0.1)
+        self.end_latest_attempt(3, Outcome.UNREACHABLE, last=True)
+        self.update_endpoints(ready_endpoint(1), ready_endpoint(2))
+        self.advance_by(1500)
+        self.assertIn(0, {self.route_request(request_id) for request_id in range(4, 8)})
--- a/tests/routing/test_rules_limit.py
+++ b/tests/routing/test_rules_limit.py
@@ -1,66 +1,70 @@
-"""How far the concurrency limit falls, and how often a list may lower it."""
+"""Concurrency limit: its lowest value, and how often an endpoint list may lower it."""
 
-from tests.routing.rule_scene import RuleScene, ready
+from tests.routing.fixtures import RouterFixture, ready_endpoint
 
-INSTANCES = 2
-SLOTS = 16  # of each of two backends
+INSTANCE_COUNT = 2
+SLOTS_PER_BACKEND = 16  # there are two backends
 
 
-class LimitRules(RuleScene):
-    def sent_at_once(self, first: int, count: int) -> list[int]:
-        """Takes so many requests; those of them that are not queued."""
-        before = len(self.sent)
-        for request in range(first, first + count):
-            self.receive_request(request, timeout=60_000, work=0)
-        return [request for request, _ in self.sent[before:]]
+class ConcurrencyLimitTest(RouterFixture):
+    def receive_requests(self, first_id: int, count: int) -> list[int]:
+        """Receives `count` requests from `first_id` on; returns the ids of those that are sent at once."""
+        count_before = len(self.sent_attempts)
+        for request_id in range(first_id, first_id + count):
+            self.receive_request(request_id, timeout=60_000, work=0)
+        return [request_id for request_id, _ in self.sent_attempts[count_before:]]
 
-    def test_limit_never_falls_below_the_instances_part_of_the_fleet(self) -> None:
-        self.open_with(
-            ready(0), ready(1), free_slots=float(SLOTS), instance_count=INSTANCES, hedging_allowed=False
+    def test_limit_never_falls_below_fair_share_of_fleet_capacity(self) -> None:
+        self.start_router(
+            ready_endpoint(0),
+            ready_endpoint(1),
+            free_slots=float(SLOTS_PER_BACKEND),
+            instance_count=INSTANCE_COUNT,
+            hedging_allowed=False,
         )
-        counts = []
-        for first in range(0, 400, 40):
-            sent = self.sent_at_once(first, 40)
-            counts.append(len(sent))
-            self.elapse(900)  # every attempt waits much longer than it runs
-            for request in sent:
-                self.start_attempt(request, self.backends_of(request)[0])
-            for queued in set(range(first, first + 40)) - set(sent):
-                self.router.client_disconnected(self.now, queued)
-            for request in sent:
-                self.finish(request)
-        self.assertGreater(counts[0], SLOTS)
-        self.assertEqual(min(counts), 2 * SLOTS // INSTANCES)
+        sent_counts = []
+        for first_id in range(0, 400, 40):
+            sent_ids = self.receive_requests(first_id, 40)
+            sent_counts.append(len(sent_ids))
+            self.advance_by(900)  # every attempt waits for its start much longer than it runs
+            for request_id in sent_ids:
+                self.start_attempt(request_id, self.backends_of(request_id)[0])
+            for queued_id in set(range(first_id, first_id + 40)) - set(sent_ids):
+                self.router.client_disconnected(self.now, queued_id)
+            for request_id in sent_ids:
+                self.end_latest_attempt(request_id)
+        self.assertGreater(sent_counts[0], SLOTS_PER_BACKEND)
+        self.assertEqual(min(sent_counts), 2 * SLOTS_PER_BACKEND // INSTANCE_COUNT)
 
 
-class ListedLimitRules(RuleScene):
-    def limit_after_lists(self, *pauses: int) -> int:
-        """Attempts that go out at once after lists, so many ms apart, that show long queues."""
-        self.open_with(
-            ready(0, weight=4.0),
-            ready(1, weight=4.0),
+class ListedWeightLimitTest(RouterFixture):
+    def attempts_after_lists(self, *intervals_ms: int) -> int:
+        """Returns how many attempts are sent at once after lists of long queues at these intervals."""
+        self.start_router(
+            ready_endpoint(0, weight=4.0),
+            ready_endpoint(1, weight=4.0),
             free_slots=0,
             weights_follow_load=True,
             start_notifications=False,
             hedging_allowed=False,
             instance_count=16,
         )
-        for request in range(16):
-            self.send(request, timeout=60_000, work=0)
-        self.elapse(1000)
-        for pause in (0, *pauses):
-            self.elapse(pause)
-            self.change_endpoints([ready(0, weight=0.8), ready(1, weight=0.8)])
-        for request in range(16):
-            self.finish(request)
-        before = len(self.sent)
-        for request in range(100, 130):
-            self.receive_request(request, timeout=60_000, work=0)
-        return len(self.sent) - before
+        for request_id in range(16):
+            self.route_request(request_id, timeout=60_000, work=0)
+        self.advance_by(1000)
+        for interval_ms in (0, *intervals_ms):
+            self.advance_by(interval_ms)
+            self.change_endpoints([ready_endpoint(0, weight=0.8), ready_endpoint(1, weight=0.8)])
+        for request_id in range(16):
+            self.end_latest_attempt(request_id)
+        count_before = len(self.sent_attempts)
+        for request_id in range(100, 130):
+            self.receive_request(request_id, timeout=60_000, work=0)
+        return len(self.sent_attempts) - count_before
 
-    def test_lists_within_half_a_second_lower_the_limit_once(self) -> None:
-        self.assertEqual(self.limit_after_lists(100, 100, 100, 100), self.limit_after_lists())
+    def test_lists_within_half_a_second_lower_limit_once(self) -> None:
+        self.assertEqual(self.attempts_after_lists(100, 100, 100, 100), self.attempts_after_lists())
 
-    def test_lists_half_a_second_apart_lower_the_limit_each(self) -> None:
-        self.assertLess(self.limit_after_lists(500), self.limit_after_lists())
-        self.assertLess(self.limit_after_lists(500, 500), self.limit_after_lists(500))
+    def test_lists_half_a_second_apart_each_lower_limit(self) -> None:
+        self.assertLess(self.attempts_after_lists(500), self.attempts_after_lists())
+        self.assertLess(self.attempts_after_lists(500, 500), self.attempts_after_lists(500))
