--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,15 +1,15 @@
-"""The queue, the concurrency limit, and requests that come too late."""
+"""Admission: the request queue, the concurrency limit, and requests that arrive too late."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from tests.scene import MS, RouterTestCase
 
 
 class AdmissionTest(RouterTestCase):
-    def test_held_units_go_richest_then_newest_and_are_shed_when_late(self) -> None:
+    def test_queued_requests_are_sent_by_value_then_newest_first_and_shed_when_late(self) -> None:
         self.open(backend_count=1)
         self.router.limit.limit = 1.0
-        for n in range(4):
-            self.receive_request(n)
+        for request_id in range(4):
+            self.receive_request(request_id)
         self.start_attempt(0, 0)
         self.advance_to(100)
         self.router.state.averages.mean_wait = 3000.0
@@ -17,21 +17,20 @@
         self.advance_to(800)
         self.close("held")
 
-    def test_the_limit_falls_as_waits_grow_and_rises_when_they_end(self) -> None:
+    def test_limit_falls_as_waits_grow_and_rises_when_they_end(self) -> None:
         self.open()
         self.router.limit.in_flight = 30
-        for wait in (0, 400, 400, 400, 0, 0, 0):
+        for wait_ms in (0, 400, 400, 400, 0, 0, 0):
             for _ in range(10):
-                self.router.limit.sample_wait(self.now, self.now, wait * MS)
-            self.router.limit.sample_wait(
-                self.now, self.now - 1, 9999 * MS
-            )  # sent under the old limit: counts no more
+                self.router.limit.sample_wait(self.now, self.now, wait_ms * MS)
+            # Sent before the last adjustment, so it does not count.
+            self.router.limit.sample_wait(self.now, self.now - 1, 9999 * MS)
             self.router.limit.in_flight = min(30, int(self.router.limit.limit))
-            self.say(f"ten starts after {wait} ms: limit {min(self.router.limit.limit, 999):.1f}")
+            self.say(f"ten starts after {wait_ms} ms: limit {min(self.router.limit.limit, 999):.1f}")
             self.advance_to(self.now / MS - 10_000 + 100)
         self.close("limit")
 
-    def test_the_limit_shrinks_at_once_with_the_fleet(self) -> None:
+    def test_limit_shrinks_at_once_with_fleet_capacity(self) -> None:
         self.open(backend_count=3)
         self.router.limit.limit = 30.0
         self.change_endpoints([Endpoint(1, EndpointState.DRAINING, 1.0, 1, 1, 0)], snapshot=False)
@@ -40,17 +39,17 @@
         self.say(f"it is back, cold: limit {self.router.limit.limit:.0f}")
         self.close("scaled-limit")
 
-    def test_a_unit_waits_here_rather_than_behind_two_fillings(self) -> None:
+    def test_request_is_queued_rather_than_sent_to_backend_beyond_max_load(self) -> None:
         self.open(backend_count=1, free_slots=1.0)
-        for n in range(4):
-            self.receive_request(n)
+        for request_id in range(4):
+            self.receive_request(request_id)
         self.advance_to(200)
         self.start_attempt(0, 0)
         self.end_attempt(0, 0)
         self.close("deep")
 
-    def test_a_retry_past_its_worth_is_shed_at_once(self) -> None:
+    def test_retry_past_latest_useful_start_is_shed_on_arrival(self) -> None:
         self.open()
-        self.receive_request(0, timeout=4400)  # its first try came 600 ms ago
+        self.receive_request(0, timeout=4400)  # its first try was 600 ms ago
         self.receive_request(1, timeout=4900)
         self.close("late-retry")
--- a/tests/routing/test_config_changes.py
+++ b/tests/routing/test_config_changes.py
@@ -1,4 +1,4 @@
-"""A changed configuration: requests in hand keep theirs, and what is known of backends stays."""
+"""Configuration changes: pending requests keep their class, and measurements of backends are kept."""
 
 from dataclasses import replace
 
@@ -7,34 +7,39 @@
 
 
 class ConfigChangesTest(RouterTestCase):
-    def fails(self, request_id: int) -> None:
-        """Where it was sent first."""
-        sent_to = next(line for line in self.lines if f"unit {request_id} -> runner" in line)
-        self.end_attempt(request_id, int(sent_to[-1]), Outcome.ERROR)
+    def fail_first_attempt(self, request_id: int) -> None:
+        """Ends the first attempt of the request with an error."""
+        send_line = next(line for line in self.lines if f"unit {request_id} -> runner" in line)
+        self.end_attempt(request_id, int(send_line[-1]), Outcome.ERROR)
 
-    def test_units_in_hand_keep_their_orders(self) -> None:
+    def test_pending_requests_keep_their_class_and_lowest_max_attempts(self) -> None:
         self.open(backend_count=4, idempotency=Idempotency.IDEMPOTENT)
-        old = replace(REQUEST_CLASS)
-        new = replace(old, idempotency=Idempotency.NON_IDEMPOTENT)
+        idempotent_class = replace(REQUEST_CLASS)
+        non_idempotent_class = replace(idempotent_class, idempotency=Idempotency.NON_IDEMPOTENT)
         self.receive_request(0)
         self.say("the grade becomes once-only, in a row of its own")
-        self.router.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
+        self.router.config_changed(
+            self.now, replace(ROUTING_CONFIG, request_classes=[idempotent_class, non_idempotent_class])
+        )
         self.receive_request(1, request_class=1)
-        self.fails(0)
-        self.fails(1)
+        self.fail_first_attempt(0)
+        self.fail_first_attempt(1)
         self.say("one dispatch is allowed from here on, also for what was taken before")
         self.receive_request(2)
         self.router.config_changed(
-            self.now, replace(ROUTING_CONFIG, request_classes=[old, new], max_attempts=1)
+            self.now,
+            replace(ROUTING_CONFIG, request_classes=[idempotent_class, non_idempotent_class], max_attempts=1),
         )
-        self.fails(2)
+        self.fail_first_attempt(2)
         self.say("three are allowed again, but not for what was taken meanwhile")
         self.receive_request(3)
-        self.router.config_changed(self.now, replace(ROUTING_CONFIG, request_classes=[old, new]))
-        self.fails(3)
+        self.router.config_changed(
+            self.now, replace(ROUTING_CONFIG, request_classes=[idempotent_class, non_idempotent_class])
+        )
+        self.fail_first_attempt(3)
         self.close("renewal-units")
 
-    def test_measurements_of_backends_and_classes_outlast_a_change(self) -> None:
+    def test_measurements_of_backends_and_classes_are_kept_on_config_change(self) -> None:
         self.open(backend_count=3)
         self.router.state.classes[0].typical_run, self.router.limit.limit = 77.0, 5.0
         self.backends[1].reported_queue, self.backends[2].ejection_time = 4.5, 10_000
@@ -49,7 +54,10 @@
             ),
         )
         self.assertEqual(
-            ([known.typical_run for known in self.router.state.classes], self.router.limit.limit),
+            (
+                [class_record.typical_run for class_record in self.router.state.classes],
+                self.router.limit.limit,
+            ),
             ([77.0, 500.0 * MS], 5.0),
         )
         self.assertEqual((self.backends[1].reported_queue, self.backends[2].ejection_time), (4.5, 10_000))
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""Pauses between two polls of the endpoint list, and defaults of timeouts."""
+"""Discovery polling: delays between polls of the endpoint list, and default timeouts."""
 
 from crankfold.config.parser import read_service_config
 from crankfold.network.discovery_watcher import CONNECT_TIMEOUT
@@ -7,8 +7,8 @@
 from tests.scene import RouterTestCase
 
 
-class DiscoveryCrossings(RouterTestCase):
-    def test_where_endpoints_are_polled_no_pause_is_longer_than_a_change_may_take(self) -> None:
+class DiscoveryTimeoutTest(RouterTestCase):
+    def test_poll_delay_leaves_time_to_notice_endpoint_change(self) -> None:
         self.open(
             backend_count=0,
             discovery_by_poll=True,
@@ -18,15 +18,13 @@
         )
         for _ in range(9):
             self.router.discovery_failed(self.now)
-        pauses = [at - self.now for at, label in self.timers if label == POLL_TIMER]
-        self.assertEqual(len(pauses), 10)
-        self.assertLess(
-            max(pauses), 60_000 - CONNECT_TIMEOUT * 20_000
-        )  # what is left: to connect and to be answered
+        delays = [fires_at - self.now for fires_at, token in self.timers if token == POLL_TIMER]
+        self.assertEqual(len(delays), 10)
+        # The remaining time is left for the connection and the response.
+        self.assertLess(max(delays), 60_000 - CONNECT_TIMEOUT * 20_000)
 
-    def test_defaults_of_timeouts_allow_a_lost_packet_and_a_backend_that_closes_early(self) -> None:
-        rules = read_service_config({})
-        self.assertGreater(
-            rules.connect_timeout, TICKS_PER_SECOND
-        )  # a first packet that is lost is sent again after it
-        self.assertLess(rules.idle_timeout, 5 * TICKS_PER_SECOND)
+    def test_default_timeouts_allow_for_lost_first_packet_and_early_close_by_backend(self) -> None:
+        config = read_service_config({})
+        # A lost first packet is retransmitted after one second.
+        self.assertGreater(config.connect_timeout, TICKS_PER_SECOND)
+        self.assertLess(config.idle_timeout, 5 * TICKS_PER_SECOND)
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -1,4 +1,4 @@
-"""What does no harm at one instance and would at forty: rules that limit all instances together."""
+"""Rules that bound the combined effect of many instances, where a single one would do no harm."""
 
 import re
 from collections import Counter
@@ -8,19 +8,19 @@
 from crankfold.routing.router import Router
 from tests.scene import MS, REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase, TraceTestCase
 
-INSTANCES = 40
-WARM_BACKENDS = 60
-WORK = 100 * MS  # of each request
+INSTANCE_COUNT = 40
+WARM_BACKEND_COUNT = 60
+WORK_TICKS = 100 * MS  # work of each request
 
 
-class Instance:
-    """A router of one of many instances, with its attempts, polls and timers."""
+class InstanceFixture:
+    """The router of one of many instances; records its attempts and polls, and fires its timers."""
 
     def __init__(self, seed: int, **settings: object) -> None:
         self.timers: list[tuple[int, int]] = []
-        self.attempts: list[tuple[int, int, int]] = []  # sent at, request id, backend
+        self.attempts: list[tuple[int, int, int]] = []  # tick of sending, request id, backend
         self.now = 100_000
-        self.polls: list[int] = []  # times
+        self.polls: list[int] = []  # ticks
         self.router = Router(replace(ROUTING_CONFIG, **settings), seed, self)  # type: ignore[arg-type]
 
     def send_attempt(self, request_id: int, backend: int) -> None:
@@ -47,38 +47,54 @@
 
 
 class ManyInstancesTest(TraceTestCase):
-    def open(self, warming: int = 0, **settings: object) -> None:
+    def open(self, warming_count: int = 0, **settings: object) -> None:
         self.instances = [
-            Instance(
+            InstanceFixture(
                 seed * 7919,
-                instance_count=INSTANCES,
+                instance_count=INSTANCE_COUNT,
                 zone=seed % 3,
                 request_classes=[REQUEST_CLASS],
                 instance_index=seed - 1,
                 **settings,
             )
-            for seed in range(1, INSTANCES + 1)
+            for seed in range(1, INSTANCE_COUNT + 1)
         ]
         endpoints = [
             Endpoint(
-                r, EndpointState.READY, (8.0, 4.0, 3.0)[r % 3], r // 3 % 3, r % 6, 0, r % 3, r / WARM_BACKENDS
+                index,
+                EndpointState.READY,
+                (8.0, 4.0, 3.0)[index % 3],
+                index // 3 % 3,
+                index % 6,
+                0,
+                index % 3,
+                index / WARM_BACKEND_COUNT,
             )
-            for r in range(WARM_BACKENDS)
+            for index in range(WARM_BACKEND_COUNT)
         ]
         endpoints += [
-            Endpoint(WARM_BACKENDS + r, EndpointState.READY, 4.0, r % 3, r % 6, 100_000, 1, r / warming)
-            for r in range(warming)
+            Endpoint(
+                WARM_BACKEND_COUNT + index,
+                EndpointState.READY,
+                4.0,
+                index % 3,
+                index % 6,
+                100_000,
+                1,
+                index / warming_count,
+            )
+            for index in range(warming_count)
         ]
         for instance in self.instances:
             instance.router.endpoints_changed(instance.now, endpoints, True)
-            for r in range(WARM_BACKENDS):
-                instance.router.probe_ended(instance.now, r, True, (0.0, 4.0))
-
-    def play(self, seconds: int, every: int) -> None:
-        """Each instance receives a request every so many ticks; it starts at once and runs for its work."""
-        running: list[tuple[int, Instance, int, int]] = []  # ends at, instance, request id, backend
-        for round_number in range(seconds * 10_000 // every):
-            now = 100_000 + round_number * every
+            for index in range(WARM_BACKEND_COUNT):
+                instance.router.probe_ended(instance.now, index, True, (0.0, 4.0))
+
+    def run_traffic(self, seconds: int, interval: int) -> None:
+        """Sends each instance a request every `interval` ticks; attempts start at once."""
+        running: list[tuple[int, InstanceFixture, int, int]] = []  # end tick, instance, request id, backend
+        for round_number in range(seconds * 10_000 // interval):
+            now = 100_000 + round_number * interval
             for ended in [attempt for attempt in running if attempt[0] <= now]:
                 running.remove(ended)
                 _, instance, request_id, backend = ended
@@ -89,16 +105,16 @@
             for instance in self.instances:
                 instance.advance_to(now)
                 instance.router.request_received(
-                    now, RequestArrival(round_number, 0, deadline=now + 5000 * MS, work=WORK, slots=1.0)
+                    now, RequestArrival(round_number, 0, deadline=now + 5000 * MS, work=WORK_TICKS, slots=1.0)
                 )
                 if instance.attempts and instance.attempts[-1][1] == round_number:
                     instance.router.attempt_started(now, round_number, 0, instance.attempts[-1][2])
-                    running.append((now + WORK, instance, round_number, instance.attempts[-1][2]))
+                    running.append((now + WORK_TICKS, instance, round_number, instance.attempts[-1][2]))
 
-    def test_all_subsets_together_spread_the_load_by_the_listed_weights(self) -> None:
-        # Subsets of most of the fleet would give each instance type the same load, whatever its weight.
+    def test_subsets_of_all_instances_spread_load_by_listed_weights(self) -> None:
+        # Subsets of most of the fleet would give each instance type the same load, regardless of its weight.
         self.open()
-        self.play(8, 100 * MS)
+        self.run_traffic(8, 100 * MS)
         attempts_by_weight = Counter(
             (8, 4, 3)[backend % 3]
             for instance in self.instances
@@ -106,10 +122,12 @@
             if sent_at > 140_000
         )
         subsets = [instance.router.subset.members for instance in self.instances]
-        self.say(f"circles of {max(len(subset) for subset in subsets)} at most of {WARM_BACKENDS}")
+        self.say(f"circles of {max(len(subset) for subset in subsets)} at most of {WARM_BACKEND_COUNT}")
         memberships = Counter(backend.index for subset in subsets for backend in subset)
         for weight in (8, 4, 3):
-            counts = [memberships[r] for r in range(WARM_BACKENDS) if (8, 4, 3)[r % 3] == weight]
+            counts = [
+                memberships[index] for index in range(WARM_BACKEND_COUNT) if (8, 4, 3)[index % 3] == weight
+            ]
             self.say(f"runners of weight {weight} are in {min(counts)} to {max(counts)} circles")
         for weight in (8, 3):
             share = attempts_by_weight[weight] / attempts_by_weight.total()
@@ -117,37 +135,40 @@
             self.say(f"weight {weight}: within 15% of its part: {abs(share / fair - 1) < 0.15}")
         self.close("grown-weights")
 
-    def test_all_allowances_together_use_a_cold_fleet_and_stay_under_the_rule(
-        self,
-    ) -> None:
-        self.open(warming=30, initial_capacity=0.4, overload_factor=4.0)
-        self.play(5, 150 * MS)
+    def test_slow_start_budgets_of_all_instances_use_warming_fleet_within_limit(self) -> None:
+        self.open(warming_count=30, initial_capacity=0.4, overload_factor=4.0)
+        self.run_traffic(5, 150 * MS)
         attempts = sorted(
             (sent_at, backend)
             for instance in self.instances
             for sent_at, _, backend in instance.attempts
-            if backend >= WARM_BACKENDS
+            if backend >= WARM_BACKEND_COUNT
         )
-        initial_slots = 0.4 * 4  # of one backend that has just started
-        most_work = max(
-            sum(WORK for at, other in attempts if other == backend and since <= at < since + 1000 * MS)
-            for since, backend in attempts
+        initial_slots = 0.4 * 4  # slots of a backend that has just started
+        max_work = max(
+            sum(
+                WORK_TICKS
+                for time, other_backend in attempts
+                if other_backend == backend and window_start <= time < window_start + 1000 * MS
+            )
+            for window_start, backend in attempts
         )
         self.say(
-            f"under four times the least capacity in any second: {most_work < 4 * initial_slots * 1000 * MS}"
+            f"under four times the least capacity in any second: {max_work < 4 * initial_slots * 1000 * MS}"
         )
-        used = len(attempts) * WORK / (30 * initial_slots * 5000 * MS)
-        self.say(f"a fifth of the least capacity used by few units: {used > 0.2}")
+        used_share = len(attempts) * WORK_TICKS / (30 * initial_slots * 5000 * MS)
+        self.say(f"a fifth of the least capacity used by few units: {used_share > 0.2}")
         self.close("grown-cold")
 
-    def test_a_list_service_with_a_queue_gets_to_answer_all_that_start_together(self) -> None:
-        # Discovery serves five polls a second in turn, rejects a poll while the queue is longer than four
-        # seconds, and answers none that waited for two. If all polled again at once, it would stay full.
+    def test_discovery_service_with_queue_answers_all_instances_that_start_together(self) -> None:
+        # The discovery service answers five polls per second in order, rejects a poll while its queue exceeds
+        # four seconds, and drops polls that have waited for two. If all instances repeated failed polls at
+        # once, the queue would stay full.
         self.open(discovery_by_poll=True)
         free_at = 100_000
-        informed: set[Instance] = set()
+        informed: set[InstanceFixture] = set()
         poll_count = 0
-        queue: list[tuple[int, Instance, bool]] = []  # ends at, instance, whether it is answered
+        queue: list[tuple[int, InstanceFixture, bool]] = []  # end tick, instance, whether it is answered
         for now in range(100_000, 400_000, 100):
             for poll in [poll for poll in queue if poll[0] <= now]:
                 queue.remove(poll)
@@ -167,13 +188,13 @@
                     queue.append((min(free_at, now + 20_000), instance, free_at <= now + 20_000))
                 instance.polls.clear()
             if now in (200_000, 399_900):
-                self.say(f"after {now / 10_000 - 10:.0f} s {len(informed)} of {INSTANCES} have the list")
-        self.say(f"with less than three calls each: {poll_count < 3 * INSTANCES}")
+                self.say(f"after {now / 10_000 - 10:.0f} s {len(informed)} of {INSTANCE_COUNT} have the list")
+        self.say(f"with less than three calls each: {poll_count < 3 * INSTANCE_COUNT}")
         self.close("grown-list")
 
 
 class SlowStartTest(RouterTestCase):
-    def open_with_backend_in_slow_start(self) -> None:
+    def start_router_with_warming_backend(self) -> None:
         self.open(backend_count=0, free_slots=0, overload_factor=4.0)
         self.change_endpoints(
             [
@@ -182,31 +203,31 @@
                 Endpoint(2, EndpointState.READY, 4.0, 0, 0, 98_000),
             ]
         )
-        for r in (0, 1):
-            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
+        for index in (0, 1):
+            self.router.probe_ended(self.now, index, True, (0.0, 4.0))
         self.backends[2].slow_start_share = 1.0
-        for n in range(4):  # makes typical running times known
-            self.receive_request(n, work=200)
+        for request_id in range(4):  # so that running times are known
+            self.receive_request(request_id, work=200)
             backend = int(self.lines[-1][-1])
-            self.start_attempt(n, backend)
-            self.advance_to(200 * (n + 1))
-            self.end_attempt(n, backend)
+            self.start_attempt(request_id, backend)
+            self.advance_to(200 * (request_id + 1))
+            self.end_attempt(request_id, backend)
         self.lines.clear()
 
-    def test_a_slow_start_budget_that_would_expire_is_used_first(self) -> None:
-        self.open_with_backend_in_slow_start()
+    def test_slow_start_budget_that_would_expire_is_used_first(self) -> None:
+        self.start_router_with_warming_backend()
         self.backends[2].slow_start_next = self.now
         self.receive_request(10, work=50)
         self.close("grown-cold-first")
 
-    def test_a_request_that_would_be_late_in_slow_start_goes_elsewhere(self) -> None:
-        self.open_with_backend_in_slow_start()
+    def test_request_that_would_be_late_in_slow_start_goes_to_warm_backend(self) -> None:
+        self.start_router_with_warming_backend()
         self.backends[2].slow_start_next = self.now
         self.receive_request(10, work=200)
         self.close("grown-cold-late")
 
-    def test_beyond_the_concurrency_limit_a_backend_in_slow_start_gets_its_budget(self) -> None:
-        self.open_with_backend_in_slow_start()
+    def test_backend_in_slow_start_gets_its_budget_at_concurrency_limit(self) -> None:
+        self.start_router_with_warming_backend()
         self.router.limit.limit, self.backends[2].slow_start_next = 0.0, self.now
         self.receive_request(10, work=50)
         self.receive_request(11, work=50)
@@ -217,12 +238,12 @@
         self.say(f"after its end {self.router.limit.in_flight}")
         self.close("grown-cold-limit")
 
-    def test_the_floor_of_the_limit_counts_backends_that_have_not_reported(self) -> None:
+    def test_lowest_limit_counts_backends_without_report(self) -> None:
         self.open(backend_count=0, free_slots=0, instance_count=24)
-        self.change_endpoints([Endpoint(r, EndpointState.READY, 4.0, 0, 0, 0) for r in range(72)])
+        self.change_endpoints([Endpoint(index, EndpointState.READY, 4.0, 0, 0, 0) for index in range(72)])
         self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
         self.router.limit.limit = 1.0
-        for _ in range(10):  # ten starts after long waits bring the limit down to its floor
+        for _ in range(10):  # ten starts after long waits lower the limit to its lowest value
             self.router.limit.sample_wait(self.now, self.now, 5000 * MS)
         self.say(f"limit {self.router.limit.limit:.0f} of {72 * 4} slots over 24 dispatchers")
         self.close("grown-fair")
@@ -230,8 +251,8 @@
 
 class SmallDeploymentTest(RouterTestCase):
     def test_three_instances_use_all_of_ten_backends(self) -> None:
-        """Subsets of five of ten backends would leave capacity unused on a calm day."""
+        """Subsets of five of ten backends would leave capacity unused."""
         self.open(backend_count=10, instance_count=3)
-        for n in range(10):
-            self.receive_request(n, slots=4.0)
+        for request_id in range(10):
+            self.receive_request(request_id, slots=4.0)
         self.assertEqual(len(set(re.findall(r"-> runner (\d)", "\n".join(self.lines)))), 10)
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,18 +1,18 @@
-"""Backends that fail, hang, slow down or refuse; hedges; lists that do not come."""
+"""Outlier ejection: failing, silent, slow and overloaded backends, hedges, and failed polls."""
 
 from crankfold.routing.interface import Outcome
 from tests.scene import MS, RouterTestCase
 
 
 class OutlierEjectionTest(RouterTestCase):
-    def test_a_request_is_not_hedged_for_want_of_reports_within_900_ms(self) -> None:
+    def test_request_in_subset_is_not_hedged_within_900_ms_of_silence(self) -> None:
         self.open(backend_count=30, instance_count=60)
         self.receive_request(0)
         self.advance_to(900)
         self.say("no copy so far")
         self.close("no-news")
 
-    def test_a_request_completed_in_no_time_does_not_break_the_periodic_refresh(self) -> None:
+    def test_request_completed_within_one_tick_does_not_break_refresh(self) -> None:
         self.open(backend_count=1)
         self.receive_request(0)
         self.start_attempt(0, 0)
@@ -20,14 +20,14 @@
         self.advance_to(600)
         self.close("no-time")
 
-    def test_a_slow_backend_loses_weight(self) -> None:
+    def test_slow_backend_loses_weight(self) -> None:
         self.open(backend_count=5)
-        for n in range(8):
-            self.receive_request(n, work=100)
-            r = int(self.lines[-1][-1])
-            self.start_attempt(n, r)
-            self.advance_to(self.now / MS - 10_000 + (900 if r == 2 else 100))
-            self.end_attempt(n, r)
+        for request_id in range(8):
+            self.receive_request(request_id, work=100)
+            index = int(self.lines[-1][-1])
+            self.start_attempt(request_id, index)
+            self.advance_to(self.now / MS - 10_000 + (900 if index == 2 else 100))
+            self.end_attempt(request_id, index)
         self.advance_to(self.now / MS - 10_000 + 300)
         self.router.refresh_if_due(self.now)
         self.say(
@@ -36,25 +36,25 @@
         )
         self.close("slow")
 
-    def test_a_backend_that_errs_quickly_is_ejected_and_tried_with_one_request_at_a_time(self) -> None:
+    def test_failing_backend_is_ejected_and_gets_one_trial_attempt_at_a_time(self) -> None:
         self.open(backend_count=4, free_slots=0, seed=15)
         self.router.probe_ended(self.now, 0, True, (0.0, 4.0))
-        for n in range(2):
-            self.receive_request(n)
-            self.end_attempt(n, 0, Outcome.ERROR)
-            self.end_attempt(n, int(self.lines[-1][-1]), attempt_number=1)
-        for r in (1, 2, 3):
-            self.backends[r].last_seen_at = self.now
-        for n, ms in enumerate((100, 200, 1300, 1301, 1302, 1303), 2):
-            self.advance_to(ms)
-            self.receive_request(n)
-            if ms != 1300:
-                self.end_attempt(n, int(self.lines[-1][-1]))
+        for request_id in range(2):
+            self.receive_request(request_id)
+            self.end_attempt(request_id, 0, Outcome.ERROR)
+            self.end_attempt(request_id, int(self.lines[-1][-1]), attempt_number=1)
+        for index in (1, 2, 3):
+            self.backends[index].last_seen_at = self.now
+        for request_id, at_ms in enumerate((100, 200, 1300, 1301, 1302, 1303), 2):
+            self.advance_to(at_ms)
+            self.receive_request(request_id)
+            if at_ms != 1300:
+                self.end_attempt(request_id, int(self.lines[-1][-1]))
         self.end_attempt(4, 0)
         self.receive_request(9)
         self.close("errors")
 
-    def test_an_overloaded_backend_is_avoided_for_a_while_and_not_ejected(self) -> None:
+    def test_overloaded_backend_gets_backoff_and_is_not_ejected(self) -> None:
         self.open(backend_count=1)
         self.receive_request(0)
         self.end_attempt(0, 0, Outcome.OVERLOADED)
@@ -64,7 +64,7 @@
         self.router.probe_ended(self.now, 0, True, (1.0, 2.0))
         self.close("full")
 
-    def test_a_silent_backend_is_ejected_and_its_request_hedged(self) -> None:
+    def test_silent_backend_is_ejected_and_its_request_hedged(self) -> None:
         self.open(backend_count=3)
         self.receive_request(0, work=2000)
         self.advance_to(600)
@@ -73,7 +73,7 @@
         self.end_attempt(0, 2, Outcome.CANCELLED, last=True)
         self.close("hang")
 
-    def test_a_busy_backend_is_no_reason_for_a_hedge(self) -> None:
+    def test_request_at_busy_backend_is_not_hedged(self) -> None:
         self.open(backend_count=2)
         self.receive_request(0, work=2000)
         self.advance_to(20)
@@ -81,30 +81,30 @@
         self.advance_to(400)
         self.close("busy")
 
-    def test_when_nearly_all_backends_are_ejected_the_ejections_are_ignored(self) -> None:
+    def test_ejections_are_ignored_when_all_backends_are_ejected(self) -> None:
         self.open(backend_count=3)
-        for r in range(3):
-            self.router.ejection.eject(self.now, self.backends[r])
-        for n in range(3):
-            self.receive_request(n)
+        for index in range(3):
+            self.router.ejection.eject(self.now, self.backends[index])
+        for request_id in range(3):
+            self.receive_request(request_id)
         self.close("all-bad")
 
-    def test_a_worn_connection_blames_nobody_and_dead_runners_rest_though_doubt_is_distrusted(self) -> None:
+    def test_stale_connection_ejects_nothing_and_backoff_applies_if_ejections_are_ignored(self) -> None:
         self.open(backend_count=3, max_attempts=5)
         self.receive_request(0)
-        first = int(self.lines[-1][-1])
-        self.end_attempt(0, first, Outcome.STALE_CONNECTION)
+        first_backend = int(self.lines[-1][-1])
+        self.end_attempt(0, first_backend, Outcome.STALE_CONNECTION)
         errors = [backend.error_rate for backend in self.backends]
         ejection_times = [backend.ejection_time for backend in self.backends]
         self.say(f"errors {errors}, doubt {ejection_times}")
-        for r in {0, 1, 2} - {first}:
-            self.router.ejection.record_outcome(self.now, self.backends[r], Outcome.UNREACHABLE)
-        self.router.ejection.eject(self.now, self.backends[first])
+        for index in {0, 1, 2} - {first_backend}:
+            self.router.ejection.record_outcome(self.now, self.backends[index], Outcome.UNREACHABLE)
+        self.router.ejection.eject(self.now, self.backends[first_backend])
         self.receive_request(1)
-        self.say(f"all in doubt, two of them refuse: {set(self.lines[-1][-1]) == {str(first)}}")
+        self.say(f"all in doubt, two of them refuse: {set(self.lines[-1][-1]) == {str(first_backend)}}")
         self.close("dead")
 
-    def test_list_failures_are_asked_again_after_a_jittered_pause(self) -> None:
+    def test_failed_poll_of_endpoint_list_is_repeated_after_jittered_delay(self) -> None:
         self.open(discovery_by_poll=True)
         self.router.discovery_failed(self.now)
         self.advance_to(3000)
--- a/tests/routing/test_request_class_records.py
+++ b/tests/routing/test_request_class_records.py
@@ -1,4 +1,4 @@
-"""What is known of a request class over changes of the configuration."""
+"""Request class records: which measurements are kept on a configuration change."""
 
 from dataclasses import replace
 
@@ -7,27 +7,34 @@
 from tests.scene import REQUEST_CLASS, ROUTING_CONFIG, RouterTestCase
 
 
-class RequestClassCrossings(RouterTestCase):
-    def test_what_was_learnt_of_a_request_class_is_not_kept_for_another_with_equal_settings(self) -> None:
+class RequestClassRecordTest(RouterTestCase):
+    def test_typical_run_is_not_kept_for_another_class_with_equal_settings(self) -> None:
         self.open()
-        book = RequestClassTable(["a"], [REQUEST_CLASS])
+        class_table = RequestClassTable(["a"], [REQUEST_CLASS])
         self.router.state.classes[0].typical_run = 77.0
-        book.update(["a"], [REQUEST_CLASS])
+        class_table.update(["a"], [REQUEST_CLASS])
         self.router.config_changed(
-            self.now, replace(ROUTING_CONFIG, request_classes=book.classes), book.reassigned
+            self.now, replace(ROUTING_CONFIG, request_classes=class_table.classes), class_table.reassigned
         )
         self.assertEqual(
-            ([known.typical_run for known in self.router.state.classes], book.reassigned),
+            (
+                [class_record.typical_run for class_record in self.router.state.classes],
+                class_table.reassigned,
+            ),
             ([77.0], frozenset()),
         )
-        book.update(["b"], [REQUEST_CLASS])
+        class_table.update(["b"], [REQUEST_CLASS])
         self.router.config_changed(
-            self.now, replace(ROUTING_CONFIG, request_classes=book.classes), book.reassigned
+            self.now, replace(ROUTING_CONFIG, request_classes=class_table.classes), class_table.reassigned
         )
         self.assertEqual(
-            ([known.typical_run for known in self.router.state.classes], book.reassigned),
+            (
+                [class_record.typical_run for class_record in self.router.state.classes],
+                class_table.reassigned,
+            ),
             ([REQUEST_CLASS.deadline / 10], frozenset({0})),
         )
         self.assertEqual(
-            [known.settings.idempotency for known in self.router.state.classes], [Idempotency.IDEMPOTENT]
+            [class_record.settings.idempotency for class_record in self.router.state.classes],
+            [Idempotency.IDEMPOTENT],
         )
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,11 +1,11 @@
-"""What is safe to send again, and where; each by a trace that changes when its guard is taken out."""
+"""Retries: which requests may be sent again, and where; removing a guard changes the trace of its test."""
 
 from crankfold.routing.interface import DeduplicationScope, Endpoint, EndpointState, Idempotency, Outcome
 from tests.scene import MS, RouterTestCase
 
 
 class RetriesTest(RouterTestCase):
-    def test_every_unit_is_answered_by_its_cutoff(self) -> None:
+    def test_every_request_is_answered_by_its_deadline(self) -> None:
         self.open(idempotency=Idempotency.NON_IDEMPOTENT)
         self.receive_request(0)
         self.start_attempt(0, 0)
@@ -15,7 +15,7 @@
         self.end_attempt(0, 0, Outcome.CANCELLED, last=True)
         self.close("cutoff")
 
-    def test_nothing_is_sent_for_an_ended_unit(self) -> None:
+    def test_no_attempt_is_sent_for_closed_request(self) -> None:
         self.open()
         self.receive_request(0)
         self.router.client_disconnected(self.now, 0)
@@ -26,7 +26,7 @@
         self.say(f"slots still counted as out: {sum(backend.own_slots for backend in self.backends):.0f}")
         self.close("ended")
 
-    def test_without_a_ready_backend_requests_wait_and_are_shed(self) -> None:
+    def test_requests_are_queued_and_then_shed_without_ready_backend(self) -> None:
         self.open(backend_count=0, free_slots=0)
         self.receive_request(0)
         self.advance_to(470)
@@ -35,17 +35,17 @@
         self.change_endpoints([Endpoint(0, EndpointState.READY, 0.0, 0, 0, 0)])
         self.close("no-runner")
 
-    def test_once_only_is_never_sent_again_after_it_may_have_run(self) -> None:
+    def test_non_idempotent_request_is_not_retried_after_possible_execution(self) -> None:
         self.open(idempotency=Idempotency.NON_IDEMPOTENT)
-        may_have_run = (Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT, Outcome.UNKNOWN)
-        for n, outcome in enumerate((*may_have_run, Outcome.OVERLOADED, Outcome.UNREACHABLE)):
-            self.receive_request(n)
-            sent_to = int(self.lines[-1][-1])
-            self.end_attempt(n, sent_to, outcome)
+        may_have_executed = (Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT, Outcome.UNKNOWN)
+        for request_id, outcome in enumerate((*may_have_executed, Outcome.OVERLOADED, Outcome.UNREACHABLE)):
+            self.receive_request(request_id)
+            backend = int(self.lines[-1][-1])
+            self.end_attempt(request_id, backend, outcome)
         self.advance_to(800)
         self.close("once-only")
 
-    def test_tagged_keeps_to_its_zone(self) -> None:
+    def test_keyed_request_is_retried_only_in_its_zone(self) -> None:
         self.open(
             backend_count=3,
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -59,7 +59,7 @@
         self.end_attempt(0, 2, Outcome.RESET, 1)
         self.close("tagged-zone")
 
-    def test_tagged_outside_its_window_or_cell_is_given_up(self) -> None:
+    def test_keyed_request_fails_outside_its_deduplication_window(self) -> None:
         self.open(
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
             deduplication_scope=DeduplicationScope.CELL,
@@ -71,7 +71,7 @@
         self.end_attempt(0, 0, Outcome.ERROR)
         self.close("tagged-window")
 
-    def test_tagged_keeps_to_its_cell(self) -> None:
+    def test_keyed_request_is_retried_only_in_its_cell(self) -> None:
         self.open(
             backend_count=4,
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -82,7 +82,7 @@
         self.end_attempt(0, int(self.lines[-1][-1]), Outcome.ERROR)
         self.close("tagged-cell")
 
-    def test_tagged_known_everywhere_may_be_shed(self) -> None:
+    def test_request_with_globally_scoped_key_may_be_shed(self) -> None:
         self.open(
             backend_count=1,
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -94,7 +94,7 @@
         self.end_attempt(0, 0, Outcome.ERROR)
         self.close("tagged-all")
 
-    def test_nothing_goes_to_a_draining_or_gone_runner(self) -> None:
+    def test_no_request_goes_to_draining_or_removed_backend(self) -> None:
         self.open(backend_count=3)
         self.change_endpoints([Endpoint(0, EndpointState.DRAINING, 1.0, 0, 0, 0)], snapshot=False)
         self.receive_request(0)
@@ -106,15 +106,15 @@
         self.advance_to(900)
         self.close("drain")
 
-    def test_a_cold_runner_gets_its_part_only(self) -> None:
-        # Alone in the list: what its part does not hold yet has to wait or be shed.
+    def test_warming_backend_gets_only_its_slow_start_budget(self) -> None:
+        # The backend is alone in the list, so requests beyond its budget are queued or shed.
         self.open(backend_count=2)
         self.change_endpoints([Endpoint(2, EndpointState.READY, 1.0, 0, 0, self.now - 1000 * MS)])
-        for n in range(12):
-            self.advance_to(250 * n)
-            self.receive_request(n, work=120)
+        for request_id in range(12):
+            self.advance_to(250 * request_id)
+            self.receive_request(request_id, work=120)
             if "->" in self.lines[-1]:
-                self.start_attempt(n, 2)
-                self.end_attempt(n, 2)
+                self.start_attempt(request_id, 2)
+                self.end_attempt(request_id, 2)
         self.advance_to(3500)
         self.close("cold")
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -1,4 +1,4 @@
-"""Which backend a request goes to, what feeds the choice, and the subset of a large fleet."""
+"""Selection: the choice of a backend, the load reports behind it, and the subset of a large fleet."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.routing.router import Router
@@ -6,29 +6,31 @@
 
 
 class SelectionTest(RouterTestCase):
-    def test_the_backend_with_the_least_load_for_its_weight_is_chosen(self) -> None:
+    def test_backend_with_least_load_for_its_weight_is_chosen(self) -> None:
         self.open(backend_count=0, free_slots=0)
         self.change_endpoints(
             [Endpoint(0, EndpointState.READY, 1.0, 0, 0, 0), Endpoint(1, EndpointState.READY, 2.0, 0, 0, 0)]
         )
-        for r in (0, 1):
-            self.router.probe_ended(self.now, r, True, (0.0, 8.0))
-        for n in range(6):
-            self.receive_request(n)
-            self.start_attempt(n, int(self.lines[-1][-1]))
+        for index in (0, 1):
+            self.router.probe_ended(self.now, index, True, (0.0, 8.0))
+        for request_id in range(6):
+            self.receive_request(request_id)
+            self.start_attempt(request_id, int(self.lines[-1][-1]))
         self.close("weights")
 
-    def test_a_repeated_report_is_not_fresh(self) -> None:
+    def test_repeated_report_is_ignored(self) -> None:
         self.open()
         self.router.probe_ended(self.now, 0, True, (3.0, 0.0))
-        once = [backend.reported_queue for backend in self.backends]
+        first_queues = [backend.reported_queue for backend in self.backends]
         self.router.probe_ended(self.now, 0, True, (3.0, 0.0))
-        self.say(f"moved again: {once != [backend.reported_queue for backend in self.backends]}")
+        self.say(f"moved again: {first_queues != [backend.reported_queue for backend in self.backends]}")
         self.router.probe_ended(self.now, 0, True, (3.5, 0.0))
-        self.say(f"moved by a fresh one: {once != [backend.reported_queue for backend in self.backends]}")
+        self.say(
+            f"moved by a fresh one: {first_queues != [backend.reported_queue for backend in self.backends]}"
+        )
         self.close("repeat")
 
-    def test_a_late_report_does_not_hide_own_sends(self) -> None:
+    def test_late_report_does_not_hide_own_attempts(self) -> None:
         self.open(backend_count=1)
         self.receive_request(0)
         self.router.probe_ended(self.now, 0, True, (0.0, 3.9))
@@ -38,11 +40,11 @@
         self.say(f"load {self.backends[0].load:.2f}")
         self.close("late-report")
 
-    def test_without_a_fresh_report_the_mean_of_the_others_counts(self) -> None:
+    def test_backend_without_fresh_report_gets_mean_queue_of_others(self) -> None:
         self.open(backend_count=3)
         self.advance_to(4900)
-        for r in (0, 1):
-            self.report_busy(r)
+        for index in (0, 1):
+            self.report_busy(index)
         self.advance_to(5600)
         self.router.refresh_if_due(self.now)
         self.say(
@@ -52,57 +54,61 @@
         self.lines = [line for line in self.lines if "probe" not in line]
         self.close("stale")
 
-    def test_a_small_subset_is_stable_and_widened_only_when_all_its_backends_are_unavailable(self) -> None:
+    def test_subset_is_stable_and_whole_fleet_used_only_if_no_member_is_available(self) -> None:
         self.open(backend_count=0, free_slots=0, instance_count=60)
-        self.router.state.averages.total_work = 10_000.0  # long runs
-        self.change_endpoints([Endpoint(r, EndpointState.READY, 1.0, r % 2, r % 2, 0) for r in range(30)])
-        for r in range(30):
-            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
+        self.router.state.averages.total_work = 10_000.0  # ticks: long running times
+        self.change_endpoints(
+            [Endpoint(index, EndpointState.READY, 1.0, index % 2, index % 2, 0) for index in range(30)]
+        )
+        for index in range(30):
+            self.router.probe_ended(self.now, index, True, (0.0, 4.0))
         self.say(f"circle {sorted(self.members)}")
         self.change_endpoints([Endpoint(7, EndpointState.REMOVED, 1.0, 1, 1, 0)], snapshot=False)
         self.say(f"without 7 {sorted(self.members)}")
-        for r in self.members[1:]:
-            self.router.ejection.eject(self.now, self.backends[r])
+        for index in self.members[1:]:
+            self.router.ejection.eject(self.now, self.backends[index])
         self.receive_request(0)
-        for r in self.members:
-            self.backends[r].backoff_until = self.now + 100 * MS
+        for index in self.members:
+            self.backends[index].backoff_until = self.now + 100 * MS
         self.receive_request(1)
-        outside = int(self.lines[-1][-2:]) not in self.members
-        self.say(f"outside the circle: {outside}")
+        is_outside = int(self.lines[-1][-2:]) not in self.members
+        self.say(f"outside the circle: {is_outside}")
         self.close("circle")
 
-    def test_odd_lists_raise_nothing(self) -> None:
-        # No own zone in the list, one runner, none, hundreds, all replaced at once.
+    def test_unusual_endpoint_lists_raise_no_error(self) -> None:
+        # No endpoint in the own zone: one backend, none, hundreds, and all replaced at once.
         self.open(backend_count=0, zone=9, instance_count=300)
-        for n, indices in enumerate((range(1), range(0), range(400), range(400, 420))):
-            self.change_endpoints([Endpoint(r, EndpointState.READY, 1.0, 3, r // 4, 0) for r in indices])
-            self.receive_request(n)
+        for request_id, indices in enumerate((range(1), range(0), range(400), range(400, 420))):
+            self.change_endpoints(
+                [Endpoint(index, EndpointState.READY, 1.0, 3, index // 4, 0) for index in indices]
+            )
+            self.receive_request(request_id)
             self.say(f"circle of {len(self.members)}")
         self.close("odd-lists")
 
-    def test_hundreds_that_start_at_once_pick_differently(self) -> None:
-        met = set()
+    def test_instances_that_start_at_once_choose_different_backends(self) -> None:
+        first_sends = set()
         for seed in range(40):
             self.open(backend_count=30, free_slots=0, instance_count=60, seed=seed, instance_index=seed)
             self.receive_request(0)
-            met.add(self.lines[-1])
-        self.say(f"40 dispatchers meet {len(met)} of 30 runners")
+            first_sends.add(self.lines[-1])
+        self.say(f"40 dispatchers meet {len(first_sends)} of 30 runners")
         self.close("starts")
 
-    def test_same_calls_same_actions(self) -> None:
-        seen = []
+    def test_same_events_give_same_actions(self) -> None:
+        recorded_lines = []
         for _ in range(2):
             self.open(backend_count=6)
-            for n in range(12):
-                self.receive_request(n)
-            seen.append(self.lines)
-        self.assertEqual(seen[0], seen[1])
-        drawn = {Router(ROUTING_CONFIG, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
-        self.assertEqual(len(drawn), 2)
+            for request_id in range(12):
+                self.receive_request(request_id)
+            recorded_lines.append(self.lines)
+        self.assertEqual(recorded_lines[0], recorded_lines[1])
+        random_numbers = {Router(ROUTING_CONFIG, seed, self).state.random.below(1 << 20) for seed in (1, 2)}
+        self.assertEqual(len(random_numbers), 2)
 
-    def test_a_little_load_of_other_instances_does_not_hide_free_capacity(self) -> None:
+    def test_low_load_of_other_instances_does_not_hide_free_capacity(self) -> None:
         self.open(backend_count=3, free_slots=1.0)
-        self.router.probe_ended(self.now, 0, True, (1.0, 0.0))  # one busy report moves the load by an eighth
+        self.router.probe_ended(self.now, 0, True, (1.0, 0.0))  # one report moves the estimate by an eighth
         self.router.probe_ended(self.now, 2, True, (9.0, 0.0))
         self.receive_request(0)
         self.close("spare")
--- a/tests/routing/test_weights_and_keys.py
+++ b/tests/routing/test_weights_and_keys.py
@@ -1,4 +1,4 @@
-"""Weights that follow the load, keys with preferred backends, no start notifications, impatient clients."""
+"""Listed weights that follow the load, key affinity, and retries of clients with short timeouts."""
 
 from dataclasses import replace
 
@@ -10,12 +10,12 @@
     def change_weights(self, *weights: float) -> None:
         self.change_endpoints(
             [
-                Endpoint(r, EndpointState.READY, weight, 0, 0, 0, 0, r / len(weights))
-                for r, weight in enumerate(weights)
+                Endpoint(index, EndpointState.READY, weight, 0, 0, 0, 0, index / len(weights))
+                for index, weight in enumerate(weights)
             ]
         )
 
-    def test_load_in_a_weight_is_not_size(self) -> None:
+    def test_load_in_listed_weight_does_not_change_size(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True)
         self.change_weights(4.0, 4.0)
         self.change_weights(4.0, 1.0)
@@ -26,17 +26,19 @@
         self.say(f"sizes {sizes}, held for each core {self.backends[0].utilization:.1f}")
         self.close("move-sizes")
 
-    def test_where_sparse_a_backend_with_a_long_listed_queue_is_avoided(self) -> None:
+    def test_overutilized_members_of_subset_are_avoided(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         self.change_weights(*[4.0] * 30)
         member = self.members[0]
-        self.change_weights(*[4.0 if r == member or r not in self.members else 1.0 for r in range(30)])
-        for n in range(4):
-            self.receive_request(n)
+        self.change_weights(
+            *[4.0 if index == member or index not in self.members else 1.0 for index in range(30)]
+        )
+        for request_id in range(4):
+            self.receive_request(request_id)
         self.say(f"all to {member}: {all(line.endswith(f'runner {member}') for line in self.lines[1::2])}")
         self.close("move-long")
 
-    def test_a_key_has_the_same_homes_at_every_dispatcher(self) -> None:
+    def test_key_has_same_preferred_backends_at_every_instance(self) -> None:
         preferred = set()
         for seed in range(20):
             self.open(
@@ -53,15 +55,14 @@
             preferred.add(self.lines[-1].split()[-1])
         self.lines = []
         self.say(f"homes at twenty dispatchers: {len(preferred)}")
-        for r in range(12):
-            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
-        self.change_weights(
-            *[1.0 if str(r) in preferred else 4.0 for r in range(12)]
-        )  # three held for each core there
+        for index in range(12):
+            self.router.probe_ended(self.now, index, True, (0.0, 4.0))
+        # Three requests per core at the preferred backend.
+        self.change_weights(*[1.0 if str(index) in preferred else 4.0 for index in range(12)])
         self.receive_request(1, work=0, key=77)
         self.say(f"another where that is full: {self.lines[-1].split()[-1] not in preferred}")
-        for n in range(2, 22):
-            self.receive_request(n, work=0, key=1000 + n)
+        for request_id in range(2, 22):
+            self.receive_request(request_id, work=0, key=1000 + request_id)
         self.say(f"homes of 20 keys: {len({line.split()[-1] for line in self.lines if '->' in line}) > 5}")
         self.lines = [line for line in self.lines if ": " in line]
         self.close("move-homes")
@@ -69,25 +70,25 @@
     def test_keys_are_ignored_without_key_affinity(self) -> None:
         self.open(backend_count=0, free_slots=0, key_affinity=False, start_notifications=False)
         self.change_weights(4.0, 4.0)
-        for n in range(4):
-            self.receive_request(n, key=77)
+        for request_id in range(4):
+            self.receive_request(request_id, key=77)
         self.close("move-no-keys")
 
-    def test_the_limit_follows_the_list_where_weights_move(self) -> None:
+    def test_limit_follows_list_if_weights_follow_load(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, start_notifications=False)
         self.change_weights(4.0, 4.0)
-        for r in range(2):
-            self.router.probe_ended(self.now, r, True, (0.0, 4.0))
-        for n in range(3):
-            self.receive_request(n, work=0)
+        for index in range(2):
+            self.router.probe_ended(self.now, index, True, (0.0, 4.0))
+        for request_id in range(3):
+            self.receive_request(request_id, work=0)
         self.advance_to(600)
-        self.change_weights(0.8, 0.8)  # four held for each core
-        for n in range(3, 8):
-            self.receive_request(n, work=0)
+        self.change_weights(0.8, 0.8)  # four requests per core
+        for request_id in range(3, 8):
+            self.receive_request(request_id, work=0)
         self.say(f"limit {self.router.limit.limit:.1f}, held {len(self.router.admission.queue)}")
         self.close("move-limit")
 
-    def test_a_wait_within_the_latency_objective_does_not_lower_the_limit(self) -> None:
+    def test_wait_within_latency_objective_does_not_lower_limit(self) -> None:
         self.open(
             backend_count=0,
             free_slots=0,
@@ -96,33 +97,36 @@
             request_classes=[replace(REQUEST_CLASS, latency_objective=2000 * MS)],
         )
         self.change_weights(4.0, 4.0)
-        for n in range(3):
-            self.receive_request(n, work=0)
-        for at, weight in ((600, 1.6667), (1200, 0.8)):  # 1.4 held for each core, then four
-            self.advance_to(at)
+        for request_id in range(3):
+            self.receive_request(request_id, work=0)
+        for at_ms, weight in ((600, 1.6667), (1200, 0.8)):  # 1.4 requests per core, then four
+            self.advance_to(at_ms)
             self.change_weights(weight, weight)
             self.say(f"listed at {weight:.1f}: limit {self.router.limit.limit:.1f}")
         self.close("move-wait")
 
-    def test_frantic_repeats_are_shed_and_the_first_try_is_not(self) -> None:
+    def test_late_retries_are_shed_and_first_try_is_not(self) -> None:
         self.open()
         self.receive_request(0, timeout=300, work=0)
         self.receive_request(1, timeout=300, work=0, is_retry=True)
         self.receive_request(2, timeout=4900, work=0, is_retry=True)
         self.close("move-frantic")
 
-    def test_a_backend_in_slow_start_outside_the_subset_gets_no_request(self) -> None:
+    def test_backend_in_slow_start_outside_subset_gets_no_request(self) -> None:
         self.open(backend_count=0, free_slots=0, weights_follow_load=True, instance_count=60)
         start = self.now - 1000 * MS
         self.change_endpoints(
-            [Endpoint(r, EndpointState.READY, 4.0, 0, 0, start * (r % 2), 0, r / 30) for r in range(30)]
+            [
+                Endpoint(index, EndpointState.READY, 4.0, 0, 0, start * (index % 2), 0, index / 30)
+                for index in range(30)
+            ]
         )
-        for r in range(30):
-            if not r % 2:
-                self.backends[r].backoff_until = self.now + 10_000 * MS
-            self.backends[r].slow_start_next = 1  # saved up long since
-        for n in range(20):
-            self.receive_request(n, work=20)
+        for index in range(30):
+            if not index % 2:
+                self.backends[index].backoff_until = self.now + 10_000 * MS
+            self.backends[index].slow_start_next = 1  # the budget has been saved up
+        for request_id in range(20):
+            self.receive_request(request_id, work=20)
         used = {int(line.split()[-1]) for line in self.lines if "->" in line}
         self.say(f"cold ones met outside the circle: {len(used - set(self.members))}")
         self.lines = self.lines[-1:]
