--- a/crankfold/routing/admission.py
+++ b/crankfold/routing/admission.py
@@ -171,7 +171,7 @@
             if self._selection.try_send(now, request, self._limit.reached()):
                 self.queue.discard(request)
             else:
-                unsent += 1  # goes on to the next: this one may be restricted to a full zone or cell
+                unsent += 1  # the next may be sent, as this one may be restricted to a full zone or cell
             if unsent > MAX_UNSENT_REQUESTS:
                 return
 
--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -44,7 +44,7 @@
         self.mean_wait = 0.0
         self.mean_run = 1.0 * TICKS_PER_SECOND
         self.run_per_work = 0.0  # ticks per tick of hinted work, on a slot of weight 1; 0 while unknown
-        # As of the last refresh, of backends with a fresh report:
+        # Figures of the backends with a fresh report, as of the last refresh:
         self.mean_reported_queue = 0.0
         self.slots_per_weight = 1.0
         self.median_slowness = 1.0  # running time over hinted work, of all members of the subset
--- a/crankfold/routing/candidates.py
+++ b/crankfold/routing/candidates.py
@@ -29,7 +29,7 @@
 from crankfold.routing.state import RoutingState
 from crankfold.routing.subsetting import Subset
 
-# A backend counts as free up to this estimated load above its capacity, as the estimate is not exact.
+# The load may exceed the capacity by this, as a small estimated load of others must not hide free slots.
 SPARE_SLOTS = 0.25
 MAX_LOAD_RATIO = 1.3  # load over slots; above it a request would be late, so it is queued here instead
 MAX_UTILIZATION = 2.0  # requests per core, derived from listed weights
--- a/crankfold/routing/records.py
+++ b/crankfold/routing/records.py
@@ -6,9 +6,9 @@
 from crankfold.routing.backend_table import Backend
 from crankfold.routing.interface import RequestClass
 
-ASSUMED_RUNS_PER_DEADLINE = 10  # typical running times that a deadline covers, until one was measured
+ASSUMED_RUNS_PER_DEADLINE = 10  # typical running times that a deadline covers, while no run is known
 MIN_TYPICAL_RUN_TICKS = 1.0
-NOT_STARTED = -1  # in place of the tick of a start that is not known
+NOT_STARTED = -1  # the value of `started_at` while no start is known
 
 
 class ClassRecord:
--- a/crankfold/routing/subsetting.py
+++ b/crankfold/routing/subsetting.py
@@ -13,19 +13,19 @@
 from crankfold.routing.state import RoutingState
 
 MIN_SUBSET_BACKENDS = 5
-MIN_SHORT_SUBSET_BACKENDS = 3  # members of the subset that are kept for short requests
+MIN_SHORT_SUBSET_BACKENDS = 3  # members of the subset reserved for short requests
 MAX_SLOW_START_SENDERS = 5  # instances that share the budget of one warming backend
 MAX_INSTANCES_WITHOUT_SUBSETS = 20  # up to this number, each knows enough about the load of all backends
 SHARE_STEPS = 64  # the share of short requests is a multiple of 1 / SHARE_STEPS
 SHARE_TOLERANCE_STEPS = 8  # a smaller change of that share does not cause a new draw
-MIN_SHORT_SHARE = 0.25  # part of the fleet that is kept for short requests
+MIN_SHORT_SHARE = 0.25  # lowest share of the fleet reserved for short requests
 MIN_OBSERVED_REQUESTS = 10  # needed before their slots decide whether short requests get separate backends
 # The size of a subset changes only if the wanted size is under 3/5 or over 6/5 of it, as little is known
 # about the load of new members. The ratios are integers so that the comparison is exact.
 SIZE_RATIO_DENOMINATOR = 5
 MIN_SIZE_RATIO_NUMERATOR = 3
 MAX_SIZE_RATIO_NUMERATOR = 6
-GOLDEN_RATIO_32 = 0x9E3779B1  # 2^32 over the golden ratio: multiples of it are spread evenly
+GOLDEN_RATIO_32 = 0x9E3779B1  # 2^32 over the golden ratio: its multiples, modulo a number, are spread evenly
 MIDDLE = 0.5  # an instance draws at the middle of its part of a segment
 
 
@@ -36,7 +36,7 @@
         self._state = state
         self._slow_start = slow_start
         self._limit = limit
-        self._ring: Backends = []  # all ready backends, in the order in which they are drawn
+        self._ring: Backends = []  # all ready backends, in the order of the draw
         self.members: Backends = []
         self.short: Backends = []  # members for short requests
         self.long: Backends = []  # members for the other requests
