--- a/crankfold/service/handover/__init__.py
+++ b/crankfold/service/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacement of one process by another under load."""
+"""Handover: replaces a serving dispatcher process with another one without losing requests."""
--- a/crankfold/service/handover/actions.py
+++ b/crankfold/service/handover/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the handover state machine at this process."""
+"""Carries out the actions of the handover state machine in this process."""
 
 import asyncio
 import logging
@@ -22,13 +22,13 @@
 class ActionExecutor:
     """Owns the state machine and carries out its actions; implements `HandoverActions`.
 
-    The actions need the parts that serve clients, and these need the other processes, which the state machine
-    knows. So all of them are built here, in that order.
+    The actions need the parts that serve clients. These parts need the other processes, which the state
+    machine keeps track of. So the constructor builds all of them, from the state machine to these parts.
 
     Args:
-        channel: To the other processes.
-        manual_drain_file: Of this dispatcher.
-        metrics: Of this process.
+        channel: The connections to the other processes.
+        manual_drain_file: Stores the manual drains of this dispatcher.
+        metrics: The counters of this process.
         build_serving_parts: Builds the parts that serve clients, given the other processes; called once.
 
     Attributes:
@@ -66,11 +66,11 @@
         return transferred_state.describe_state(self.request_handler, self.dispatcher_name)
 
     def describe_usage(self) -> ProcessUsage:
-        """Returns the requests and connections that this process still has."""
+        """Returns the requests that this process still handles, and its numbers of connections."""
         return transferred_state.describe_usage(self.request_handler, len(self.listener.connections))
 
     def stop_accepting(self) -> None:
-        """Leaves new connections and the slow-start budgets of backends to the successor."""
+        """Stops accepting connections, and leaves the slow-start budgets of backends to the successor."""
         logger.info("a successor process takes over")
         self.metrics.increment("handovers")
         self.listener.pause()
@@ -93,7 +93,10 @@
         await self.accept_successors()
 
     async def accept_successors(self) -> None:
-        """Opens the channel for successors; a failure is logged, and the process serves without it."""
+        """Opens the handover channel to successors.
+
+        A failure is logged, and this process serves without the channel.
+        """
         try:
             await self.channel.open()
         except OSError as error:
@@ -108,11 +111,11 @@
         self.takeover_decision.complete()
 
     def takeover_refused(self) -> None:
-        """Makes this process connect again, to the process that serves."""
+        """Makes the takeover connect again, to the process that serves."""
         self.takeover_decision.refuse()
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if its request is in hand at this process; returns whether it is."""
+        """Handles a callback if its request is at this process; returns whether the callback was handled."""
         body = callback.encode()
         callbacks = self.request_handler.callbacks
         return callbacks.has_request(request_id_of(body)) and handle_callback(
@@ -120,7 +123,7 @@
         )
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Drains or restores a backend, which may be missing in the endpoint list of this process."""
+        """Drains or restores a backend, which may be missing from the endpoint list of this process."""
         self.backend_registry.known_ids.add(backend_id)
         change = self.backend_registry.drain if drained else self.backend_registry.restore
         endpoint = change(backend_id)
@@ -128,6 +131,6 @@
             self.request_handler.effective_endpoints_changed([endpoint])
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
-        """Notes the requests in hand at the predecessor and reserves sockets for its connections."""
+        """Records which requests the predecessor handles and reserves sockets for its connections."""
         self.other_processes.predecessor_request_ids = frozenset(usage.request_ids)
         self.socket_budget.reserve(usage.accepted_connections, usage.backend_connections)
--- a/crankfold/service/handover/handover.py
+++ b/crankfold/service/handover/handover.py
@@ -1,4 +1,4 @@
-"""Replaces a running process without loss of requests: builds the parts of the handover and joins them."""
+"""Replaces a running process without loss of requests: builds the parts of the handover and connects them."""
 
 import logging
 import socket
@@ -19,21 +19,21 @@
 
 
 class Handover:
-    """The handover at one process; passes the events of its channel on to the state machine.
+    """The handover in one process; passes the events of its channel on to the state machine.
 
     The request handler needs the other processes, so the parts that serve clients are built here.
 
     Args:
-        directory: Has the handover socket and the record of manual drains.
-        identity: Of the dispatcher; its processes share it.
-        backend_registry: Of this process.
-        metrics: Of this process.
+        directory: The directory of the handover socket and of the file of manual drains.
+        identity: The identity of the dispatcher, which all its processes share.
+        backend_registry: The backends of this process.
+        metrics: The counters of this process.
         build_serving_parts: Builds the parts that serve clients, given the other processes; called once.
 
     Attributes:
-        other_processes: For request handling and the admin calls.
-        takeover: From the predecessor.
-        serving_parts: As built.
+        other_processes: The predecessor and the successors, for request handling and the admin calls.
+        takeover: The takeover from the predecessor.
+        serving_parts: The result of `build_serving_parts`.
     """
 
     def __init__(
@@ -63,13 +63,16 @@
         )
 
     async def open(self) -> None:
-        """Accepts connections of successors; a failure is logged, and the process serves without it."""
+        """Accepts connections of successors.
+
+        A failure is logged, and this process serves without the handover channel.
+        """
         await self.actions.accept_successors()
 
     def run_periodic_tasks(self) -> None:
         """Ends queries that have timed out and reports the usage to the successor.
 
-        To be called several times a second.
+        Must be called several times a second.
         """
         self.state_machine.expire_queries(self.loop.time())
         self.state_machine.report_usage()
@@ -81,7 +84,7 @@
     # --- events of the channel ---
 
     def successor_found(self, process: int, sock: socket.socket, hello: HandoverMessage) -> None:
-        """Passes the listening socket to a new process of this dispatcher; disconnects other processes."""
+        """Passes the listening socket to a new process of this dispatcher; disconnects any other process."""
         self.metrics.increment("successors-connected")
         shared_socket = self.serving_parts.listener.shared_socket
         try:
--- a/crankfold/service/handover/identity.py
+++ b/crankfold/service/handover/identity.py
@@ -1,4 +1,4 @@
-"""What the processes of one dispatcher have in common, by which they recognise each other."""
+"""The identity of a dispatcher, by which its processes recognise each other."""
 
 import zlib
 from typing import NamedTuple
@@ -9,34 +9,34 @@
 class DispatcherIdentity(NamedTuple):
     """The name and the address of a dispatcher.
 
-    The directory may have the socket or the record of another dispatcher that used the same address, so names
-    are compared as well.
+    The handover directory may contain the socket or the manual drain record of another dispatcher that used
+    the same address, so names are compared as well.
 
     Attributes:
-        dispatcher_name: Of the configuration.
-        listen_address: Host and port for clients.
+        dispatcher_name: The name in the configuration.
+        listen_address: The host and the port for clients.
     """
 
     dispatcher_name: str
     listen_address: tuple[str, int]
 
     def socket_name(self) -> str:
-        """Returns the name of the handover socket in its directory."""
+        """Returns the file name of the handover socket."""
         address_hash = zlib.crc32(f"{self.listen_address[0]}:{self.listen_address[1]}".encode())
         return f"crankfold-{address_hash:08x}"
 
     def hello(self) -> Hello:
-        """Returns the first message to a predecessor."""
+        """Returns the first message that a successor sends to its predecessor."""
         return Hello(FORMAT_VERSION, self.listen_address, self.dispatcher_name)
 
     def state_in_welcome(
         self, welcome: HandoverMessage, socket_address: tuple[str, int]
     ) -> ProcessState | None:
-        """Returns the state in a welcome; None unless its sender is a process of this dispatcher.
+        """Returns the state in a welcome message; None unless its sender is a process of this dispatcher.
 
         Args:
             welcome: The first message of a predecessor.
-            socket_address: Of the listening socket that it passed.
+            socket_address: The address of the listening socket that the predecessor passed on.
         """
         if not isinstance(welcome, Welcome):
             return None
--- a/crankfold/service/handover/manual_drain_file.py
+++ b/crankfold/service/handover/manual_drain_file.py
@@ -1,4 +1,4 @@
-"""The file of manual drains, from which a process starts after all others of its dispatcher have ended."""
+"""The file of manual drains, which preserves them while no process of the dispatcher runs."""
 
 import logging
 
@@ -11,7 +11,7 @@
 
 
 class ManualDrainFile:
-    """Saves the manual drains of a dispatcher, and puts those of an earlier process in force."""
+    """Saves the manual drains of a dispatcher, and applies those that an earlier process saved."""
 
     def __init__(
         self, channel: HandoverChannel, dispatcher_name: str, backend_registry: BackendRegistry
@@ -33,7 +33,7 @@
             )
 
     def adopt(self) -> None:
-        """Puts the manual drains in force that an earlier process of the same dispatcher saved."""
+        """Applies the manual drains that an earlier process of the same dispatcher saved."""
         record = self.channel.load_record()
         if record and record.dispatcher_name == self.dispatcher_name:
             adopt_manual_drains(self.backend_registry, record.manual_drains, times_known=False)
--- a/crankfold/service/handover/other_processes.py
+++ b/crankfold/service/handover/other_processes.py
@@ -13,7 +13,7 @@
     """The predecessor and the successors that are connected; implements `OtherProcesses`.
 
     Attributes:
-        predecessor_request_ids: The requests in hand at the predecessor, as it last reported them.
+        predecessor_request_ids: The ids of the requests that the predecessor handled at its last report.
     """
 
     def __init__(
@@ -26,15 +26,15 @@
         self.predecessor_request_ids: frozenset[str] = frozenset()
 
     def has_successor(self) -> bool:
-        """Whether a successor accepts the connections in place of this process."""
+        """Whether a successor accepts connections in place of this process."""
         return self.state_machine.role == HandoverRole.SUPERSEDED
 
     def has_request(self, request_id: str) -> bool:
-        """Whether the request is in hand at the predecessor."""
+        """Whether the predecessor handles the request."""
         return request_id in self.predecessor_request_ids
 
     def forward_callback(self, body: bytes, on_answer: CallbackAnswer) -> bool:
-        """Forwards a callback for a request that is not in hand at this process.
+        """Forwards a callback for a request that this process does not handle.
 
         Returns:
             Whether there is another process. If so, `on_answer` is called, possibly before the return.
@@ -46,7 +46,10 @@
         return True
 
     async def replicate_manual_drain(self, backend_id: str, drained: bool) -> None:
-        """Saves the manual drains and applies a drain, or its end, at the other processes."""
+        """Saves the manual drains and applies a drain, or its end, at the other processes.
+
+        Returns when all of them have answered, or when the query has timed out.
+        """
         self.manual_drain_file.save()
         answered: asyncio.Future[None] = self.loop.create_future()
         self.state_machine.query_manual_drain(
--- a/crankfold/service/handover/state_machine.py
+++ b/crankfold/service/handover/state_machine.py
@@ -36,7 +36,7 @@
     Welcome,
 )
 
-QUERY_TIMEOUT = 0.5  # seconds; the response to a callback or to an admin call waits for the answer
+QUERY_TIMEOUT = 0.5  # seconds; the sender of a callback or of an admin call waits for the answer
 NO_PROCESS = -1
 NO_USAGE = ProcessUsage([], 0, 0)
 
@@ -54,7 +54,7 @@
 
 
 class HandoverActions(Protocol):
-    """The effects of the state machine on this process and on others, which are given by number."""
+    """The effects of the state machine on this process and on others, which are identified by number."""
 
     def send(self, process: int, message: HandoverMessage) -> None:
         """Sends a message to another process."""
@@ -66,28 +66,28 @@
         """Returns the state that a successor adopts."""
 
     def describe_usage(self) -> ProcessUsage:
-        """Returns the requests and connections that this process still has."""
+        """Returns the requests that this process still handles, and its numbers of connections."""
 
     def stop_accepting(self) -> None:
-        """Leaves new connections to the successor."""
+        """Stops accepting connections, which the successor accepts from here on."""
 
     def resume_accepting(self) -> None:
         """Accepts connections again after the successor has ended."""
 
     def takeover_completed(self) -> None:
-        """Handles that the predecessor has stopped accepting or has ended."""
+        """Ends the wait for the predecessor, which has stopped accepting or has ended."""
 
     def takeover_refused(self) -> None:
-        """Handles that the predecessor does not serve, so that the process that serves has to be found."""
+        """Makes this process look for the process that serves, as the predecessor does not."""
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if its request is in hand at this process; returns whether it is."""
+        """Handles a callback if its request is at this process; returns whether the callback was handled."""
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
         """Drains or restores a backend."""
 
     def predecessor_usage_changed(self, usage: ProcessUsage) -> None:
-        """Handles a change of the requests and connections that the predecessor still has."""
+        """Handles a report of the requests and connections that the predecessor still has."""
 
 
 class _PendingQuery:
@@ -110,7 +110,7 @@
         self.successor = NO_PROCESS
         self.shutting_down = False
         self.queries: dict[int, _PendingQuery] = {}
-        self.last_query = 0
+        self.last_query_id = 0
 
     # --- connections and roles ---
 
@@ -126,7 +126,11 @@
         self.actions.send(process, Welcome(self.actions.describe_state()))
 
     def request_takeover(self) -> bool:
-        """Requests the takeover, once this process is ready to serve; returns False without a predecessor."""
+        """Requests the takeover; to be called when this process is ready to serve.
+
+        Returns:
+            Whether there is a predecessor to take over from.
+        """
         if self.role != HandoverRole.WAITING:
             return False
         self.actions.send(self.predecessor, TakeoverRequest())
@@ -144,13 +148,13 @@
         self.expire_queries(now)
 
     def _drop(self, now: float, process: int) -> None:
-        """Disconnects a process, after all sent messages; the channel does not report this as a loss."""
+        """Disconnects a process after all sent messages are written; the channel does not report a loss."""
         self._forget(process)
         self.actions.disconnect(process)
         self.expire_queries(now)
 
     def _forget(self, process: int) -> None:
-        """Awaits no more answers of a process that is disconnected."""
+        """Removes a disconnected process; queries no longer wait for its answer."""
         self.processes.discard(process)
         for pending in self.queries.values():
             pending.awaited.discard(process)
@@ -201,7 +205,7 @@
 
     def _takeover_requested(self, now: float, process: int) -> None:
         if self.role in (HandoverRole.SUPERSEDED, HandoverRole.WAITING) or self.shutting_down:
-            # This process does not serve, or is about to end: the sender has to find the process that serves.
+            # This process does not serve, or is about to end, so the sender has to find another one.
             self.actions.send(process, TakeoverRefusal())
             self._drop(now, process)
             return
@@ -222,7 +226,8 @@
 
         match query:
             case ManualDrainQuery():
-                # Sent once the processes behind this one have applied the drain; always negative for drains.
+                # Answers once the processes behind this one have applied the drain; the answer is always
+                # negative, as a positive one would end the query before the others have answered.
                 self.actions.apply_manual_drain(query.backend_id, query.drained)
                 self._forward_query(now, query, lambda _: answer(False), sender=process)
             case CallbackQuery():
@@ -249,11 +254,11 @@
     def query_manual_drain(
         self, now: float, backend_id: str, drained: bool, on_answer: AnswerCallback
     ) -> None:
-        """Makes all other processes drain or restore a backend; the answer is False or None."""
+        """Makes all other processes drain or restore a backend; `on_answer` takes False or None."""
         self._forward_query(now, ManualDrainQuery(0, backend_id, drained), on_answer)
 
     def query_callback(self, now: float, callback: str, on_answer: AnswerCallback) -> None:
-        """Forwards a callback to the process that has its request in hand."""
+        """Forwards a callback, which the process that handles its request answers with True."""
         self._forward_query(now, CallbackQuery(0, callback), on_answer)
 
     def _forward_query(
@@ -263,19 +268,19 @@
         on_answer: AnswerCallback,
         sender: int = NO_PROCESS,
     ) -> None:
-        """Forwards a query to all processes except its sender, under an id of this process."""
+        """Forwards a query to all processes except its sender, under a query id of this process."""
         awaited = self.processes - {sender}
         if not awaited:
             on_answer(False)
             return
-        self.last_query += 1
-        self.queries[self.last_query] = _PendingQuery(awaited, now + QUERY_TIMEOUT, on_answer)
-        numbered = query._replace(query_id=self.last_query)
+        self.last_query_id += 1
+        self.queries[self.last_query_id] = _PendingQuery(awaited, now + QUERY_TIMEOUT, on_answer)
+        forwarded = query._replace(query_id=self.last_query_id)
         for process in sorted(awaited):
-            self.actions.send(process, numbered)
+            self.actions.send(process, forwarded)
 
     def expire_queries(self, now: float) -> None:
-        """Answers the queries that no process is awaited for, and those that have timed out."""
+        """Resolves the queries that wait for no process any more, and those that have timed out."""
         for query_id, pending in list(self.queries.items()):
             if not pending.awaited:
                 self._resolve(query_id, False)
--- a/crankfold/service/handover/takeover.py
+++ b/crankfold/service/handover/takeover.py
@@ -32,7 +32,7 @@
         self._decided = asyncio.Event()
 
     def clear(self) -> None:
-        """Forgets an earlier response."""
+        """Discards an earlier response."""
         self.refused = False
         self._decided.clear()
 
@@ -49,7 +49,7 @@
         """Waits for the response.
 
         Raises:
-            TimeoutError: There was none within TAKEOVER_TIMEOUT.
+            TimeoutError: There was no response within `TAKEOVER_TIMEOUT`.
         """
         async with asyncio.timeout(TAKEOVER_TIMEOUT):
             await self._decided.wait()
@@ -59,7 +59,7 @@
     """Takes over from the predecessor in three steps: `connect`, `replay_reports` and `take_over`.
 
     Attributes:
-        listening_socket: The one that the predecessor passed on; None without a predecessor.
+        listening_socket: The listening socket that the predecessor passed on; None without a predecessor.
     """
 
     def __init__(
@@ -88,7 +88,8 @@
         Without a predecessor, adopts the saved manual drains.
 
         Returns:
-            The endpoint list of the predecessor in the JSON form of discovery; None if there is none.
+            The endpoint list of the predecessor in the JSON form of discovery; None if it has none, or
+            without a predecessor.
         """
         connection = await self.channel.connect(self.identity.hello())
         if connection:
@@ -136,7 +137,7 @@
         """Waits until the predecessor has stopped accepting.
 
         Args:
-            on_endpoints: Called with the endpoint list of a predecessor found after another one refused.
+            on_endpoints: Called with the endpoint list of each predecessor found after another one refused.
 
         Returns:
             The listening socket that the predecessor passed on; None without a predecessor.
--- a/crankfold/service/handover/transferred_state.py
+++ b/crankfold/service/handover/transferred_state.py
@@ -1,9 +1,9 @@
 """The state that a process transfers to its successor, and the part of it that the successor adopts.
 
-Weights are adopted if both processes interpret weights in the same way, load reports if both have the same
-report fields; manual drains, starts and states of backends always. Queued requests, ejections, moving
-averages, preferred backends and concurrency limits are not transferred: the successor rebuilds them within
-seconds.
+Weights are adopted if both processes interpret them in the same way, and load reports if both have the same
+report fields; manual drains, starts and states of backends are always adopted. Queued requests, ejections,
+moving averages, preferred backends and concurrency limits are not transferred, as the successor rebuilds them
+within seconds.
 """
 
 from collections.abc import Sequence
@@ -32,7 +32,7 @@
 
 
 def inherited_endpoints(state: ProcessState, weights_follow_load: bool) -> EndpointDocument | None:
-    """Returns the endpoint list of the predecessor in the JSON form of discovery, None without one.
+    """Returns the endpoint list of the predecessor in the JSON form of discovery; None if it has none.
 
     Weights are reset if the predecessor interprets them differently.
     """
@@ -73,7 +73,7 @@
 
 
 def _transferred_endpoints(request_handler: RequestHandler) -> EndpointDocument | None:
-    """Returns the endpoint list in the JSON form of discovery; None without a listed backend."""
+    """Returns the endpoint list in the JSON form of discovery; None if no backend is listed."""
     registry = request_handler.backends
     entries = [
         _transferred_entry(request_handler, backend)
@@ -88,12 +88,12 @@
     routing = request_handler.routing
     if not routing.weights_follow_load:
         return entry
-    # The router has the size without the load; a listed weight that follows the load is outdated at once.
+    # The router has the weight without the load; a listed weight that follows the load is outdated at once.
     return entry._replace(weight=routing.backend_weight(backend))
 
 
 def manual_drain_state(registry: BackendRegistry) -> ManualDrainState:
-    """Returns the manual drains of this process, with times by the present wall clock."""
+    """Returns the manual drains of this process, with times of the current wall clock."""
     drains = registry.manual_drains
     shift = registry.timers.clock.wall_shift()
     assumed_starts = {
@@ -107,22 +107,24 @@
 def adopt_manual_drains(
     registry: BackendRegistry, state: ManualDrainState, *, times_known: bool = True
 ) -> None:
-    """Puts the manual drains of an earlier process in force.
+    """Applies the manual drains of an earlier process.
 
     Args:
         registry: The backends of this process.
         state: The manual drains of the earlier process.
         times_known: Whether the state was received from a running process, so that the wall clock was not
-            stepped in between. Else backends that may still be in slow start are assumed to start now.
+            stepped in between. Otherwise backends that may still be in slow start are assumed to start now.
     """
     now = registry.timers.clock.now()
-    doubtful_from = now + 1 if times_known else now - MAX_CLOCK_ERROR
+    uncertain_from = now + 1 if times_known else now - MAX_CLOCK_ERROR
     registry.manual_drains.drained_since.update(
         {backend_id: min(at, now) for backend_id, at in state.drained_since.items()}
     )
     registry.manual_drains.assumed_starts.update(
         {
-            backend_id: AssumedStart(min(drained_at, now), now if started_at >= doubtful_from else started_at)
+            backend_id: AssumedStart(
+                min(drained_at, now), now if started_at >= uncertain_from else started_at
+            )
             for backend_id, (drained_at, started_at) in state.assumed_starts.items()
         }
     )
@@ -130,7 +132,7 @@
 
 
 def describe_usage(request_handler: RequestHandler, accepted_connections: int) -> ProcessUsage:
-    """Returns the requests and connections that this process still has."""
+    """Returns the requests that this process still handles, and its numbers of connections."""
     return ProcessUsage(
         request_ids=[request.request_id for request in request_handler.request_table.requests.values()],
         accepted_connections=accepted_connections,
--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -204,7 +204,7 @@
         a.machine.query_callback(self.now, "nobody's", answers.append)
         self.outbox.clear()
         of_b, of_c = sorted(a.machine.processes)
-        a.machine.message_received(self.now, of_b, QueryAnswer(a.machine.last_query, False))
+        a.machine.message_received(self.now, of_b, QueryAnswer(a.machine.last_query_id, False))
         self.assertEqual(answers, [])
         a.machine.message_received(self.now, of_c, TakeoverRequest())
         self.assertEqual(answers, [False])
