--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -1,6 +1,6 @@
 """The admin API of the cluster: its members, documents, voters and maintenance.
 
-Imported only with peers. The JSON keys of calls and answers are in `admin_messages`.
+Imported only with peers. `admin_messages` defines the JSON keys of calls and answers.
 """
 
 import time
@@ -39,15 +39,15 @@
 PUBLISH_TIMEOUT = 10.0  # seconds until the outcome of a proposal is reported as unknown
 READ_TIMEOUT = 2.0  # seconds that a read waits for the minimum version of its caller
 MAX_WAIT = 60.0  # seconds that a publish waits at most until all dispatchers have applied the version
-VOTERS = "voters"  # in place of the name of a document: changes the membership
-FORECAST = "plan"  # in place of the name of a document: forecasts a maintenance job
+VOTERS = "voters"  # a call with this name in place of a document's changes the voters
+FORECAST = "plan"  # a call with this name in place of a document's forecasts a maintenance job
 
 
 class ClusterAdmin:
-    """Carries out the admin calls at a member of a cluster."""
+    """Carries out admin calls at a member of the cluster."""
 
     def __init__(self, cluster_node: ClusterNode, maintenance: Callable[[], "MaintenanceAdmin"]) -> None:
-        """`maintenance` gives the admin API of maintenance, whose modules are imported on the first call."""
+        """`maintenance` returns the admin API of maintenance, whose modules its first call imports."""
         self.cluster_node = cluster_node
         self.maintenance = maintenance
 
@@ -58,15 +58,17 @@
     async def read_document(self, name: str, minimum_version: int) -> AdminAnswer:
         """Returns a document whose newest version is `minimum_version` or later.
 
-        Waits `READ_TIMEOUT` for that version; the answer is an error if it does not arrive.
+        Waits up to `READ_TIMEOUT` for that version, and returns an error if it does not arrive.
         """
         if name == MACHINES:
             return encode_answer(HTTPStatus.OK, self.maintenance().describe())
         if name not in DOCUMENTS:
-            return encode_answer(HTTPStatus.NOT_FOUND, ErrorAnswer(f"there are {', '.join(DOCUMENTS)}"))
+            return encode_answer(
+                HTTPStatus.NOT_FOUND, ErrorAnswer(f"no such document; documents are {', '.join(DOCUMENTS)}")
+            )
         if not await self.cluster_node.wait_until_known(name, minimum_version, READ_TIMEOUT):
-            reason = self.cluster_node.inactive_reason() or "it lags behind"
-            text = f"version {minimum_version} of {name} is not known here yet: {reason}"
+            reason = self.cluster_node.inactive_reason() or "this member lags behind"
+            text = f"version {minimum_version} of {name} is not known to this member yet: {reason}"
             return encode_answer(HTTPStatus.GATEWAY_TIMEOUT, ErrorAnswer(text))
         document = self.cluster_node.consensus.documents.document(name)
         return encode_answer(
@@ -82,7 +84,10 @@
         )
 
     async def publish(self, name: str, body: bytes) -> AdminAnswer:
-        """Proposes a version of a document, a change of the voters or a transition of a machine."""
+        """Proposes a version of a document, a change of the voters or a transition of a machine.
+
+        A call named `FORECAST` returns a forecast and proposes nothing.
+        """
         try:
             if name == VOTERS:
                 return await self._change_voters(body)
@@ -104,7 +109,7 @@
             return _rejection(HTTPStatus.BAD_REQUEST, str(error))
         member = self.cluster_node.consensus
         if not isinstance(member, Voter):
-            return _rejection(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
+            return _rejection(HTTPStatus.BAD_REQUEST, "this member is not a voter; call a voter instead")
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
         response = await self.cluster_node.propose(
@@ -116,7 +121,10 @@
         )
 
     async def _publish_version(self, name: str, request: PublishRequest) -> AdminAnswer:
-        """Proposes a version; a longer author or reason, which every voter would reject, is truncated."""
+        """Proposes a version of a document.
+
+        An author or reason that is too long, which every voter would reject, is truncated.
+        """
         response = await self.cluster_node.propose(
             EntryKind.PUBLISH,
             {
@@ -143,12 +151,12 @@
         """Waits until all dispatchers have applied a version.
 
         Args:
-            name: Of the document.
-            outcome: Of the publish that made the version.
-            max_wait: Seconds.
+            name: The name of the document.
+            outcome: The outcome of the publish that made the version.
+            max_wait: In seconds.
 
         Returns:
-            The outcome with whether the version is active, and which members lag.
+            That outcome, with whether the version is active and which members lag.
         """
         started = time.monotonic()
         index = await self.cluster_node.wait_until_active(name, outcome.number, max_wait)
@@ -164,7 +172,7 @@
         )
 
     def _lagging_members(self) -> list[str]:
-        """Describes the members that have not applied all entries that this member has applied."""
+        """Returns descriptions of the members that have not applied all entries that this member has."""
         status = self.cluster_node.status()
         lagging = [
             f"{member['name']} at {member['at']}: {member['state']}, {member['lag']} behind"
@@ -172,7 +180,7 @@
             if member["lag"] and member["state"] != "left"
         ]
         lagging += [f"voter {name}: {lag} behind" for name, lag in status.get("lag", {}).items() if lag]
-        return lagging or ["somebody, who is not known here; ask at the leader's door"]
+        return lagging or ["a member that is not known to this one; ask the leader"]
 
     async def _request_transition(self, body: bytes) -> AdminAnswer:
         result = await self.maintenance().request_transition(body)
@@ -184,7 +192,7 @@
 
 
 def _rejection_status(response: ProposalResponse) -> HTTPStatus:
-    """Returns CONFLICT if a version was certainly rejected, GATEWAY_TIMEOUT if its outcome is unknown."""
+    """Returns CONFLICT if a version is known to be rejected, GATEWAY_TIMEOUT if its outcome is unknown."""
     known = response.version_number or not response.reason.startswith("no outcome")
     return HTTPStatus.CONFLICT if known else HTTPStatus.GATEWAY_TIMEOUT
 
--- a/crankfold/service/cluster/admin_messages.py
+++ b/crankfold/service/cluster/admin_messages.py
@@ -1,6 +1,6 @@
 """The calls and answers of the admin API of the cluster, with the JSON keys that operators' commands use.
 
-This is the one place where these keys are mapped to the names in the code.
+Only this module maps these keys to the names in the code.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class AdminAnswer(NamedTuple):
-    """The HTTP status of an answer and its JSON body."""
+    """The HTTP status and the JSON body of an answer."""
 
     status: int
     body: str
@@ -27,15 +27,15 @@
     content: dict[str, Any] = field(name="text")
     author: str = ""
     reason: str = ""
-    wait: float = 0.0  # seconds until all dispatchers have applied the version
+    wait: float = 0.0  # seconds to wait at most until all dispatchers have applied the version
 
 
 class MembershipChangeRequest(Struct, forbid_unknown_fields=True):
-    """The call that adds voters, by name and address, or removes one; one change at a time."""
+    """The call that adds voters or removes one; the cluster accepts one change at a time."""
 
-    call: str
-    add: dict[str, str] = field(default_factory=dict)
-    remove: str = ""
+    call: str  # idempotency key of the call
+    add: dict[str, str] = field(default_factory=dict)  # voter name to address
+    remove: str = ""  # voter name
 
 
 class CallOutcome(Struct):
@@ -46,9 +46,9 @@
 
 
 class MembershipOutcome(CallOutcome):
-    """The outcome of a change of the voters, with the voters as requested, by name."""
+    """The outcome of a change of the voters, with the requested voters."""
 
-    voters: dict[str, str]
+    voters: dict[str, str]  # voter name to address
 
 
 class PublishOutcome(CallOutcome):
@@ -58,10 +58,10 @@
 
 
 class AppliedPublishOutcome(PublishOutcome):
-    """The outcome of a publish that waited for all dispatchers."""
+    """The outcome of a publish that waited for all dispatchers to apply the version."""
 
     is_active: bool = field(name="counts")
-    lagging_members: list[str] = field(name="lag")
+    lagging_members: list[str] = field(name="lag")  # a description of each
 
 
 class DocumentAnswer(Struct):
@@ -76,11 +76,11 @@
 
 
 class ErrorAnswer(Struct):
-    """Why a document cannot be read."""
+    """The reason why a document cannot be read."""
 
     reason: str = field(name="text")
 
 
 def encode_answer(status: HTTPStatus, content: Struct | Mapping[str, Any]) -> AdminAnswer:
-    """Returns the answer with that content as JSON."""
+    """Returns an answer whose body is `content` as JSON."""
     return AdminAnswer(int(status), orjson.dumps(msgspec.to_builtins(content)).decode())
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -27,15 +27,15 @@
 
 
 class LimitsDocument(Struct, forbid_unknown_fields=True):
-    """The form of the document of cluster-wide limits on requests in hand, by the name of the limit."""
+    """The schema of the document of cluster-wide limits on admitted requests."""
 
-    limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)
+    limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)  # by name of the limit
 
 
 class BackendListDocument(Struct, forbid_unknown_fields=True):
-    """The form of both documents of backends that get no requests: the drained and the excluded ones."""
+    """The schema of the two documents of backends that get no requests: the drained and the excluded ones."""
 
-    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # why, by backend id
+    reasons: dict[str, str] = field(name="runners", default_factory=dict)  # by backend id
 
 
 def replicated_settings(settings: Settings) -> DocumentContent:
@@ -51,14 +51,16 @@
     local_settings: Settings,
     list_machines: Callable[[], Sequence[Machine]],
 ) -> str:
-    """Returns why a new version of a document is not valid, with path, found and allowed; empty if it is.
+    """Returns why a new version of a document is not valid; empty if it is valid.
+
+    The text has the path of the first error, the value found there and the allowed values.
 
     Args:
         document: The name of the document.
         content: The new version.
         previous: The newest version before it, if there is one; used for settings and maintenance only.
         local_settings: The settings in the configuration file, which the replicated ones override.
-        list_machines: Gives the machines that maintenance jobs may cover.
+        list_machines: Returns the machines that maintenance jobs may cover.
     """
     try:
         if document == SETTINGS:
@@ -72,7 +74,7 @@
             return _maintenance_error(content, previous, list_machines)
     except ValueError as error:
         return str(error)
-    return f"{document}: dealt by whoever leads, not by operators"
+    return f"{document}: only the leader publishes this document; operators cannot"
 
 
 def _maintenance_error(
@@ -86,7 +88,7 @@
 def _settings_error(
     content: DocumentContent, previous: DocumentContent | None, local_settings: Settings
 ) -> str:
-    """Returns the first setting that is not replicated, as an error; empty if there is none.
+    """Returns an error about the first setting that is not replicated; empty if there is none.
 
     Raises:
         ValueError: A setting is not valid; the text names the first one.
@@ -95,17 +97,17 @@
         if name not in RELOADABLE:
             return f"settings.{name}: not a replicated setting; replicated are {', '.join(RELOADABLE)}"
     settings = {**local_settings, **content}
-    running = None if previous is None else {**PLACEHOLDERS, "settings": {**local_settings, **previous}}
-    schema.validate({**PLACEHOLDERS, "settings": settings}, running)
-    flat = flatten_settings(settings)
-    read_service_config(flat)
-    read_routing_config(flat)
+    current = None if previous is None else {**PLACEHOLDERS, "settings": {**local_settings, **previous}}
+    schema.validate({**PLACEHOLDERS, "settings": settings}, current)
+    flat_settings = flatten_settings(settings)
+    read_service_config(flat_settings)
+    read_routing_config(flat_settings)
     return ""
 
 
 def _limits_error(content: DocumentContent) -> str:
     for name in msgspec.convert(content, LimitsDocument).limits:
-        # The colon may be missing; no request counts against such a limit.
+        # A name without the colon is accepted as well, but no request counts against such a limit.
         prefix = name.partition(":")[0] + ":"
         if name != ALL_REQUESTS and prefix not in (REQUEST_CLASS_PREFIX, TENANT_PREFIX):
             allowed = f"{ALL_REQUESTS}, {REQUEST_CLASS_PREFIX}NAME or {TENANT_PREFIX}NAME"
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -1,7 +1,8 @@
-"""The event log of a dispatcher with peers: one JSON object a line, for the invariants of fault injection.
+"""The event log of a dispatcher with peers: one JSON object per line, read by the fault-injection harness.
 
-The JSON keys differ from the names in the code; they are mapped in this module. A line that cannot be written
-is dropped and a warning is logged, as no request depends on it. Imported only with peers.
+The harness checks its invariants on it. The JSON keys differ from the names in the code; this module maps
+them. A line that cannot be written is dropped with a warning, as no request depends on it. This module is
+imported only with peers.
 """
 
 import logging
@@ -21,8 +22,8 @@
 logger = logging.getLogger(__name__)
 
 STANDARD_OUTPUT = "-"  # in place of a path
-TRANSITION = "step"  # the kind of the lines for transitions of machines in maintenance
-FILE_MODE = 0o666  # less the umask
+TRANSITION = "step"  # value of `what` in the lines for transitions of machines in maintenance
+FILE_MODE = 0o666  # the umask clears bits of it
 
 
 class EventLine(TypedDict):
@@ -34,7 +35,7 @@
     where: str  # a request class or a backend id
     applied: int  # the last applied log index
     versions: dict[str, tuple[int, int]]  # the active and the newest version, by document
-    acting: NotRequired[dict[str, DocumentContent | None]]  # the effective contents, by document
+    acting: NotRequired[dict[str, DocumentContent | None]]  # the effective content, by document
 
 
 class TransitionLine(TypedDict):
@@ -51,10 +52,10 @@
 
 
 class EventLog:
-    """Appends events to a file without a buffer, so that a kill of the process loses no event."""
+    """Appends events to a file without a buffer, so that no event is lost when the process is killed."""
 
     def __init__(self, path: str) -> None:
-        """Opens the file at `path`, or standard output, until the process ends.
+        """Opens the file at `path`, or standard output for "-"; it stays open until the process ends.
 
         Raises:
             OSError: The file cannot be opened.
@@ -63,13 +64,13 @@
             self._file = sys.stdout.fileno()
         else:
             self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
-        self._line_is_torn = False
+        self._last_line_is_partial = False
         self.recorded_index = 0  # log index up to which transitions are written
 
     def record_event(
         self, event: RecordedEvent, request_id: str, subject: str, member: Voter | Follower
     ) -> None:
-        """Writes an event with the versions of the documents that are in force at `member`."""
+        """Writes an event with the active and the newest document versions at `member`."""
         line: EventLine = {
             "at": _boot_time_ns(),
             "what": event.value,
@@ -105,16 +106,16 @@
 
     def _write(self, line: EventLine | TransitionLine) -> None:
         data = orjson.dumps(line) + b"\n"
-        if self._line_is_torn:
+        if self._last_line_is_partial:
             data = b"\n" + data
         unwritten = memoryview(data)
         try:
             while unwritten:
                 unwritten = unwritten[os.write(self._file, unwritten) :]
         except OSError as error:
-            logger.warning("event log: %s; a line is lost", error, extra={"category": "event-log"})
+            logger.warning("event log: %s; the event is not logged", error, extra={"category": "event-log"})
         if len(unwritten) < len(data):
-            self._line_is_torn = bool(unwritten)
+            self._last_line_is_partial = bool(unwritten)
 
 
 def _boot_time_ns() -> int:
--- a/crankfold/service/cluster/membership.py
+++ b/crankfold/service/cluster/membership.py
@@ -1,4 +1,4 @@
-"""The membership of this dispatcher in its cluster, from before it joins until it leaves.
+"""The membership of this dispatcher in its cluster, including the time before it joins.
 
 Imported only with peers.
 """
@@ -20,7 +20,7 @@
 
 
 class _NotJoined(NoCluster):
-    """The services before the cluster is joined: there is no valid configuration yet."""
+    """The services until the cluster is joined: no action is permitted without a valid configuration."""
 
     def may_act(self) -> bool:
         """See `ClusterServices`."""
@@ -28,10 +28,10 @@
 
 
 class ClusterMembership:
-    """Joins the cluster, and passes on the calls of requests and attempts to it as `ClusterServices`.
+    """Joins the cluster; implements `ClusterServices` by passing each call on to the replicated configuration.
 
-    Requests need it before the parts are built that the cluster needs in turn; until it has joined, no
-    request is admitted.
+    It exists before the cluster is joined, as request handling depends on it, and the cluster in turn depends
+    on request handling. No request is admitted until the cluster is joined.
     """
 
     def __init__(self, document: ConfigDocument, metrics: Metrics) -> None:
@@ -39,7 +39,7 @@
 
         Args:
             document: The configuration file as decoded.
-            metrics: Counts events.
+            metrics: The counters of this process.
 
         Raises:
             ValueError: The document is not valid.
@@ -62,12 +62,12 @@
         *,
         is_successor: bool,
     ) -> None:
-        """Joins the cluster, and offers the calls about it at the admin server.
+        """Joins the cluster; the admin server answers calls about the cluster from then on.
 
         Args:
-            admin_service: Of this process.
-            config_applier: Puts replicated settings in force.
-            endpoint_list_age: Gives the ticks since the last answer of discovery.
+            admin_service: Drains this process for maintenance jobs, and answers calls about the cluster.
+            config_applier: Applies replicated settings.
+            endpoint_list_age: Returns the ticks since the last answer of discovery.
             is_successor: Whether this process replaces one of the same name that is still a member.
 
         Raises:
--- a/crankfold/service/cluster/replicated_config.py
+++ b/crankfold/service/cluster/replicated_config.py
@@ -37,12 +37,12 @@
     """Implements `ClusterServices` for requests, and applies changed documents of the cluster.
 
     Args:
-        cluster_config: How this process takes part in the cluster.
+        cluster_config: The `peers` section of the configuration file.
         local_settings: The settings in the configuration file, which the replicated ones override.
-        admin_service: Of this process.
-        config_applier: Puts replicated settings in force.
-        endpoint_list_age: Gives the ticks since the last answer of discovery.
-        event_log: None unless the configuration names one.
+        admin_service: Drains this process for maintenance jobs, and answers calls about the cluster.
+        config_applier: Applies replicated settings.
+        endpoint_list_age: Returns the ticks since the last answer of discovery.
+        event_log: Records events; None unless the configuration names a file for it.
 
     Raises:
         ConfigError: The storage folder of a voter cannot be used.
@@ -85,13 +85,13 @@
             raise ConfigError(f"peers: {error}") from None
 
     async def open(self) -> None:
-        """Joins the cluster, and offers the calls about it at the admin server.
+        """Joins the cluster; the admin server answers calls about the cluster from then on.
 
         Raises:
             OSError: An address cannot be opened.
         """
         await self.cluster_node.open()
-        # The admin server is open already; calls about the cluster are answered from here on.
+        # The admin server is already open, so these calls are answered from here on.
         self.admin_service.cluster_admin = ClusterAdmin(
             self.cluster_node, lambda: self._maintenance_agent().admin
         )
@@ -116,12 +116,13 @@
             self.maintenance.close()
         await self.cluster_node.close()
 
-    # --- for requests and attempts: ClusterServices ---
+    # --- ClusterServices, called for requests and attempts ---
 
     def may_act(self) -> bool:
         """See `ClusterServices`.
 
-        An action is permitted while this member holds a lease, or is isolated and configured to continue.
+        An action is permitted while this member holds a lease, or while it is isolated if it is configured to
+        continue then.
         """
         has_settings = self.effective_settings is not None
         return has_settings and (self.cluster_node.has_lease() or self.acts_when_isolated)
@@ -137,7 +138,7 @@
         return self.may_act()
 
     def _record_isolation(self) -> None:
-        """Logs the loss of the lease at the first action after it, and counts the permitted actions."""
+        """Logs the loss of the lease at the first action after it, and counts actions that are permitted."""
         if not self.was_isolated:
             logger.warning(
                 "%s; %s",
@@ -176,10 +177,10 @@
         if self.maintenance:
             self.maintenance.abandoned_attempt_finished(request_id, backend_id)
 
-    # --- for the cluster node: cluster.node.Dispatcher ---
+    # --- cluster.node.Dispatcher, called by the cluster node ---
 
     def validate_document(self, name: str, content: DocumentContent) -> str:
-        """Returns why a new version of a document is not valid here; empty if it is valid."""
+        """Returns why a new version of a document is not valid at this dispatcher; empty if it is valid."""
         previous = None
         if name in (SETTINGS, MAINTENANCE):
             versions = self.cluster_node.consensus.documents.document(name).versions
@@ -195,7 +196,7 @@
     def documents_changed(self, names: set[str]) -> None:
         """Applies the effective content of changed documents.
 
-        The member confirms their versions to the cluster only after this returns.
+        The member confirms the new versions to the cluster only after this method returns.
         """
         member = self.cluster_node.consensus
         settings = member.effective_content(SETTINGS)
@@ -241,7 +242,7 @@
         Requests that were admitted under a larger quota may exceed a new one until they are answered.
 
         Args:
-            applied: The last applied index, which is the result while no quota is exceeded.
+            applied: The last applied index; it is returned unless a quota is exceeded.
         """
         if self.quotas.within_allocation():
             return applied
@@ -257,7 +258,7 @@
         return self.maintenance.build_report() if self.maintenance else None
 
     def propose_transitions(self, now: int) -> list[TransitionDocument]:
-        """Returns the transitions of machines to propose; none unless this member leads.
+        """Returns the transitions of machines to propose; none unless this member is the leader.
 
         `now` is in ticks of the boot clock.
         """
