--- a/crankfold/service/cluster/membership.py
+++ b/crankfold/service/cluster/membership.py
@@ -28,7 +28,7 @@
 
 
 class ClusterMembership:
-    """Joins the cluster; implements `ClusterServices` by passing each call on to the replicated configuration.
+    """Joins the cluster; implements `ClusterServices` by passing each call to the replicated configuration.
 
     It exists before the cluster is joined, as request handling depends on it, and the cluster in turn depends
     on request handling. No request is admitted until the cluster is joined.
--- a/crankfold/service/maintenance/__init__.py
+++ b/crankfold/service/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Maintenance of machines at one dispatcher: reports, commands and admin calls."""
+"""Maintenance of machines as one dispatcher takes part in it: reports, commands and admin calls."""
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -1,6 +1,6 @@
-"""The admin API of maintenance: status, forecast of a job, transitions of machines by operators.
+"""The admin API of maintenance: status, forecast of a job, transitions that operators request.
 
-The JSON keys of calls and answers are in `admin_messages`.
+`admin_messages` defines the JSON keys of calls and answers.
 """
 
 import msgspec
@@ -52,7 +52,7 @@
 
 
 class MaintenanceAdmin:
-    """Carries out the admin calls about maintenance at one dispatcher."""
+    """Carries out admin calls about maintenance at one dispatcher."""
 
     def __init__(self, agent: MaintenanceStatus) -> None:
         self.agent = agent
@@ -87,11 +87,11 @@
             if is_dispatcher_id(machine.machine_id) == (job.target == Target.DISPATCHERS)
             and target.covers(machine)
         ]
-        under_way = any(machine.job == name for machine in state.machines.values())
+        in_progress = any(machine.job == name for machine in state.machines.values())
         job_state: str = job.state
         if name in state.halted_jobs:
             job_state = "stopped by itself"
-        elif wanted and not under_way and all(machine_id in completed for machine_id in wanted):
+        elif wanted and not in_progress and all(machine_id in completed for machine_id in wanted):
             job_state = "done"
         return JobStatus(
             reason=job.reason,
@@ -107,7 +107,7 @@
         )
 
     def forecast(self, body: bytes) -> ForecastAnswer | CallOutcome:
-        """Returns the departures of machines if this job were published now; changes nothing.
+        """Returns the departures of machines if this job were published now; does not publish it.
 
         Raises:
             msgspec.DecodeError: The body is not a `ForecastRequest`.
@@ -115,9 +115,9 @@
         request = msgspec.json.decode(body, type=ForecastRequest)
         agent = self.agent
         document = agent.cluster_node.consensus.documents.document(MAINTENANCE)
-        before = document.versions[-1].text if document.versions else {}
-        content = {"works": {**before.get("works", {}), request.name: request.job}}
-        error = validation_error(content, before, agent.machines())
+        previous = document.versions[-1].text if document.versions else {}
+        content = {"works": {**previous.get("works", {}), request.name: request.job}}
+        error = validation_error(content, previous, agent.machines())
         if error:
             return CallOutcome(False, error)
         jobs = parse_jobs(content)
@@ -126,10 +126,10 @@
         if target == Target.DISPATCHERS:
             member = agent.cluster_node.consensus
             if not isinstance(member, Voter):
-                return CallOutcome(False, "ask at the door of a voter")
+                return CallOutcome(False, "this member is not a voter; call a voter instead")
             machines = agent.dispatchers(member, boottime_ticks())
-        same_target = {name: job for name, job in jobs.items() if job.target == target}
-        return _forecast_answer(forecast_job(request.name, self._forecast_inputs(same_target, machines)))
+        jobs_of_target = {name: job for name, job in jobs.items() if job.target == target}
+        return _forecast_answer(forecast_job(request.name, self._forecast_inputs(jobs_of_target, machines)))
 
     def _forecast_inputs(self, jobs: dict[str, JobSpecification], machines: list[Machine]) -> ForecastInputs:
         agent = self.agent
@@ -172,7 +172,10 @@
         )
 
     def _objection(self, machine_id: str, machine: MachineInMaintenance, phase: MaintenancePhase) -> str:
-        """Returns why an operator may not request a transition that the state permits; empty if allowed."""
+        """Returns why an operator may not request a transition; empty if the agent has no objection.
+
+        Whether the replicated state permits the transition is checked when it is applied.
+        """
         job = self.agent.jobs().get(machine.job)
         if (
             phase in (MaintenancePhase.IN_WORK, MaintenancePhase.WORK_DONE)
@@ -181,17 +184,19 @@
             and job
             and job.method == WorkMethod.COMMAND
         ):
-            return f"{machine_id} is for {machine.job}'s command"
+            return f"{machine_id} is reserved for the command of job {machine.job}"
         if phase == MaintenancePhase.RETURNING and machine.phase not in MAY_RETURN:
             return f"{machine_id} is in state {machine.phase}"
         return ""
 
     def _restore_locally(self, machine_id: str) -> TransitionResult:
-        """Restores a machine at this dispatcher only, which is isolated and cannot propose a transition."""
+        """Restores a machine at this dispatcher only, if it is isolated and cannot propose a transition."""
         if machine_id not in self.agent.state.out_of_rotation():
             return _not_out(machine_id)
         if self.agent.cluster_node.has_lease():
-            return TransitionResult(False, "the fleet is heard here; hand it in as a step of all: back")
+            return TransitionResult(
+                False, "this dispatcher is not isolated; request the step `back`, for the whole cluster"
+            )
         self.agent.restore_locally(machine_id)
         return TransitionResult(True)
 
@@ -210,7 +215,7 @@
 
 
 def _not_out(machine_id: str) -> TransitionResult:
-    return TransitionResult(False, f"{machine_id} is not out for any work, as far as is known here")
+    return TransitionResult(False, f"{machine_id} is not out for any job that is known to this dispatcher")
 
 
 def _forecast_answer(forecast: Forecast) -> ForecastAnswer:
--- a/crankfold/service/maintenance/admin_messages.py
+++ b/crankfold/service/maintenance/admin_messages.py
@@ -1,6 +1,6 @@
 """The calls and answers of the admin API of maintenance, with the JSON keys that operators' commands use.
 
-This is the one place where these keys are mapped to the names in the code.
+Only this module maps these keys to the names in the code.
 """
 
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class TransitionRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """The call for a transition of a machine."""
+    """The call that requests a transition of a machine."""
 
     call: str  # idempotency key of the call
     machine_id: str = field(name="machine")
@@ -20,7 +20,7 @@
 
 
 class ForecastRequest(Struct, rename="kebab", forbid_unknown_fields=True):
-    """The call for the forecast of a job that is not published."""
+    """The call that requests a forecast of a job that is not published."""
 
     name: str
     job: dict[str, Any] = field(name="work")
@@ -31,7 +31,7 @@
 
     accepted: bool
     reason: str = ""  # of a rejection
-    outcome_known: bool = True  # False if the transition may still be accepted
+    outcome_known: bool = True  # False if the transition may have been accepted, or may still be
 
 
 class JobStatus(Struct):
@@ -39,14 +39,14 @@
 
     reason: str = field(name="why")
     state: str
-    halted: str  # why the job halted by itself; empty if it has not
-    wanted: int  # machines that the job covers
+    halted: str  # why the job has halted by itself; empty if it has not
+    wanted: int  # number of machines that the job covers
     done: dict[str, str]  # machine id to the phase in which its maintenance ended
-    left: list[str]  # ids of machines that are not taken out yet
+    left: list[str]  # ids of machines that have not been taken out yet
 
 
 class MachineWait(Struct):
-    """Why a machine waits, or a whole job if the machine id is empty."""
+    """The reason why a machine waits; an empty machine id stands for the whole job."""
 
     machine_id: str = field(name="machine")
     job: str = field(name="work")
@@ -54,7 +54,7 @@
 
 
 class MaintenanceOverview(Struct):
-    """The jobs, the machines in maintenance, the transitions and the wait reasons."""
+    """The status of maintenance: jobs, machines in maintenance, transitions and wait reasons."""
 
     jobs: dict[str, JobStatus] = field(name="works")
     machines: dict[str, dict[str, Any]]
@@ -66,18 +66,18 @@
 
 
 class ForecastDeparture(Struct):
-    """When a machine would be taken out; times are seconds from now."""
+    """The period for which a machine would be out; times are seconds from now."""
 
     begin: float
     end: float
     machine_id: str = field(name="machine")
     zone: str
-    waited_for: str = field(name="why")
+    waited_for: str = field(name="why")  # what the machine would wait for before
 
 
 class ForecastAnswer(Struct):
-    """The departures of a job, if it were published now, and the machines that would never go out."""
+    """The departures of machines if a job were published now, and the machines that would never be out."""
 
     accepted: bool = field(name="well")
     departures: list[ForecastDeparture] = field(name="turns")
-    wait_reasons: dict[str, str] = field(name="waits")
+    wait_reasons: dict[str, str] = field(name="waits")  # by id of a machine that would never be out
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -1,6 +1,7 @@
 """Maintenance at one dispatcher: reports its observations, and proposes transitions while it is the leader.
 
-The decisions are in `crankfold/maintenance/`. Imported only once there is a maintenance job.
+The decisions are made in `crankfold/maintenance/`. This module is imported only once there is a maintenance
+job.
 """
 
 import logging
@@ -37,19 +38,19 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # no machine is taken out by an older list
+MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # with an older list no machine is taken out
 AREA_OF_SCOPE = {DeduplicationScope.ZONE: Area.ZONE, DeduplicationScope.CELL: Area.CELL}
 
 
 class MaintenanceAgent:
-    """Connects the maintenance decisions with requests, the cluster node and commands at this dispatcher.
+    """Connects the maintenance decisions to requests, the cluster node and commands at this dispatcher.
 
     Args:
-        request_handler: Of this process.
+        request_handler: The request handler of this process.
         admin_service: Drains this process for a job on dispatchers.
-        cluster_node: Has the replicated state, and takes proposals.
-        metrics: Counts events.
-        endpoint_list_age: Gives the ticks since the last answer of discovery.
+        cluster_node: Holds the replicated state and accepts proposals.
+        metrics: The counters of this process.
+        endpoint_list_age: Returns the ticks since the last answer of discovery.
         machines_out_changed: Called when `machines_out` changes without a change of the replicated state.
     """
 
@@ -92,7 +93,7 @@
             self._jobs_version = document.latest_number()
             try:
                 self._jobs = specification.parse_jobs(document.versions[-1].text) if document.versions else {}
-            except ValueError as error:  # validated by members with another program version
+            except ValueError as error:  # members with another program version have validated it
                 logger.warning(
                     "job document not valid for this version of the program: %s",
                     error,
@@ -102,15 +103,18 @@
         return self._jobs
 
     def machines(self) -> list[Machine]:
-        """Returns the backends as machines."""
+        """Returns the backends as the machines of maintenance jobs."""
         return self.inventory.machines(self.state)
 
     def dispatchers(self, member: Voter, now: int) -> list[Machine]:
-        """Returns the members of the cluster as machines; `now` is in ticks of the boot clock."""
+        """Returns the members of the cluster as the machines of jobs on dispatchers.
+
+        `now` is in ticks of the boot clock.
+        """
         return dispatcher_machines(member, now, self.dispatcher_zones)
 
     def machines_out(self) -> set[str]:
-        """Ids of the machines that this dispatcher sends no requests to."""
+        """Returns the ids of the machines that this dispatcher sends no requests to."""
         return self.state.out_of_rotation() - self.restored_locally
 
     def restore_locally(self, machine_id: str) -> None:
@@ -145,7 +149,7 @@
     # --- the replicated state ---
 
     def state_changed(self) -> None:
-        """Applies the replicated state: drains or resumes this process, starts the commands that are due."""
+        """Applies the replicated state: drains or resumes this process, and starts commands that are due."""
         machines = self.state.machines
         out_of_rotation = self.state.out_of_rotation()
         self.observations.state_changed(
@@ -165,9 +169,9 @@
         self.commands.start_due(self.state, self.jobs())
 
     def build_report(self) -> MaintenanceReport | None:
-        """Makes the report that goes with each lease request; None while there is no maintenance.
+        """Returns the report that each lease request carries; None while there is no maintenance.
 
-        Also starts the commands that are due, and ends local restorations once this member holds a lease.
+        Also starts commands that are due, and ends local restorations once this member holds a lease.
         """
         if not self.jobs() and not self.state.machines:
             return None
@@ -235,10 +239,10 @@
         age = self.endpoint_list_age()
         if age <= MAX_ENDPOINT_LIST_AGE:
             return ""
-        return f"the list was not heard of for {age // TICKS_PER_SECOND} s"
+        return f"no answer of discovery for {age // TICKS_PER_SECOND} s"
 
     def _deduplication_areas(self) -> list[Area]:
-        """Returns the areas in which retries of requests with an idempotency key have to stay."""
+        """Returns the areas that retries of requests with an idempotency key must not leave."""
         return sorted(
             {
                 AREA_OF_SCOPE[request_class.deduplication_scope]
@@ -258,11 +262,13 @@
 ) -> str:
     """Returns why a machine that is out may still have requests; empty if it has none.
 
+    The text is shown to operators as a wait reason.
+
     Args:
         own_name: The name of this dispatcher.
         cluster_report: The reports of all dispatchers.
-        available_dispatchers: Machine ids of dispatchers that hold a lease.
-        machine_id: A backend or a dispatcher.
+        available_dispatchers: Machine ids of dispatchers that are available.
+        machine_id: The machine id of a backend or a dispatcher.
         index: The log index of the transition that took the machine out.
     """
     if not is_dispatcher_id(machine_id):
@@ -270,4 +276,4 @@
     name = machine_id.removeprefix(DISPATCHER_PREFIX)
     is_running = name == own_name or machine_id in available_dispatchers
     has_requests = name not in cluster_report.combined.idle_dispatchers
-    return "it has units in hand" if is_running and has_requests else ""
+    return "it has open requests" if is_running and has_requests else ""
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -1,4 +1,4 @@
-"""Runs the commands of maintenance jobs that are assigned to this dispatcher."""
+"""Runs the commands of maintenance jobs that the cluster assigns to this dispatcher."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 
 logger = logging.getLogger(__name__)
 
-PROPOSE_TIMEOUT = 10.0  # seconds between proposals of an outcome
-MAX_ERROR_OUTPUT = 200  # last characters of a command's standard error in its outcome
+PROPOSE_TIMEOUT = 10.0  # seconds until an outcome is proposed again
+MAX_ERROR_OUTPUT = 200  # characters from the end of a command's standard error that its outcome has
 
 
 class CommandKey(NamedTuple):
@@ -39,7 +39,7 @@
 
 
 class CommandOutcome(NamedTuple):
-    """The outcome of a command."""
+    """The phase that a command has brought its machine to, and why."""
 
     phase: MaintenancePhase
     reason: str
@@ -76,7 +76,7 @@
                 self.tasks[key] = asyncio.get_running_loop().create_task(self._run(command))
 
     def close(self) -> None:
-        """Kills the commands, as no process would report their outcomes."""
+        """Kills the commands, as no process would be left to report their outcomes."""
         for process in self.processes.values():
             _kill_process_group(process)
         for task in self.tasks.values():
@@ -114,7 +114,7 @@
                 return
 
     async def _execute(self, command: Command) -> CommandOutcome:
-        """Runs a command to its end, or kills it when its time is over.
+        """Runs a command, and kills it if it exceeds the time limit of its job.
 
         Raises:
             OSError: The command cannot be started.
@@ -134,7 +134,7 @@
         except TimeoutError:
             _kill_process_group(process)
             return CommandOutcome(
-                MaintenancePhase.WORK_FAILED, f"was ended after {command.job.work_seconds:g} s"
+                MaintenancePhase.WORK_FAILED, f"killed after {command.job.work_seconds:g} s"
             )
         if process.returncode == 0:
             return CommandOutcome(MaintenancePhase.WORK_DONE, "exit 0")
--- a/crankfold/service/maintenance/interface.py
+++ b/crankfold/service/maintenance/interface.py
@@ -12,13 +12,13 @@
 
 
 class MaintenanceStatus(Protocol):
-    """The maintenance agent, as the admin API depends on it.
+    """The maintenance agent as the admin API uses it.
 
     Attributes:
-        request_handler: Of this process.
-        cluster_node: Has the replicated state, and takes proposals.
-        coordinator: Has the wait reasons, while this member is the leader.
-        restored_locally: Ids of machines that are restored at this dispatcher only.
+        request_handler: The request handler of this process.
+        cluster_node: Holds the replicated state and accepts proposals.
+        coordinator: Holds the wait reasons while this member is the leader.
+        restored_locally: The ids of machines that are restored at this dispatcher only.
     """
 
     request_handler: RequestHandler
@@ -34,10 +34,13 @@
         """Returns the newest version of the jobs, by name."""
 
     def machines(self) -> list[Machine]:
-        """Returns the backends as machines."""
+        """Returns the backends as the machines of maintenance jobs."""
 
     def dispatchers(self, member: Voter, now: int) -> list[Machine]:
-        """Returns the members of the cluster as machines; `now` is in ticks of the boot clock."""
+        """Returns the members of the cluster as the machines of jobs on dispatchers.
+
+        `now` is in ticks of the boot clock.
+        """
 
     def restore_locally(self, machine_id: str) -> None:
         """Restores a machine at this dispatcher only, until this dispatcher holds a lease again."""
--- a/crankfold/service/maintenance/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -1,4 +1,4 @@
-"""The machines that maintenance jobs may cover: the listed backends and the members of the cluster."""
+"""The machines that maintenance jobs may cover: listed backends and the members of the cluster."""
 
 from crankfold.cluster.clock import boottime_ticks
 from crankfold.consensus.leases import LeaseHolderState
@@ -10,25 +10,25 @@
 from crankfold.service.backends.registry import BackendRecord, BackendRegistry
 from crankfold.time_units import TICKS_PER_SECOND
 
-MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # after it a machine that is not listed is removed
-MAX_LOG_LAG = 50  # log entries by which an available dispatcher may lag
+MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # a machine that is not listed for longer is left out
+MAX_LOG_LAG = 50  # log entries; a dispatcher that lags by more is not available
 
 
 class MachineInventory:
-    """The backends as machines, with those that are missing in the endpoint list for a short time."""
+    """The backends as machines, with those that have been missing from the endpoint list for a short time."""
 
     def __init__(self, backend_registry: BackendRegistry) -> None:
         self.backend_registry = backend_registry
         self.missing_since: dict[str, int] = {}  # ticks of the boot clock, by machine id
 
     def machines(self, state: MaintenanceState) -> list[Machine]:
-        """Returns the listed machines and the missing ones that were not replaced."""
+        """Returns the listed machines, and the missing ones that were not replaced."""
         machines = []
         for backend, record in enumerate(self.backend_registry.records):
             machine_id = self.backend_registry.backend_ids.names[backend]
             if record.endpoint.state != EndpointState.REMOVED:
                 self.missing_since.pop(machine_id, None)
-            elif self._is_forgotten(machine_id):
+            elif self._is_missing_too_long(machine_id):
                 continue
             machines.append(self._machine(machine_id, record, state))
         replaced = {
@@ -53,12 +53,12 @@
             discovered=endpoint.state != EndpointState.REMOVED,
         )
 
-    def _is_forgotten(self, machine_id: str) -> bool:
+    def _is_missing_too_long(self, machine_id: str) -> bool:
         now = boottime_ticks()
         return now - self.missing_since.setdefault(machine_id, now) > MISSING_MACHINE_PERIOD
 
     def _is_drained_manually(self, machine_id: str, state: MaintenanceState) -> bool:
-        """Whether a manual drain of this dispatcher or of the cluster is in force, not a maintenance job."""
+        """Whether a manual drain, not a maintenance job, drains the machine here or in the whole cluster."""
         registry = self.backend_registry
         if machine_id in registry.manual_drains.drained_since:
             return True
@@ -66,14 +66,14 @@
 
 
 def dispatcher_machines(member: Voter, now: int, zones: dict[str, str]) -> list[Machine]:
-    """Returns the members of the cluster as machines, as a voter knows them.
+    """Returns the members of the cluster that a voter knows, as machines.
 
-    The start of such a machine is the incarnation of its process.
+    The `started_at` of such a machine is the incarnation of its process.
 
     Args:
         member: The voter.
-        now: Ticks of the boot clock.
-        zones: By the name of a dispatcher.
+        now: In ticks of the boot clock.
+        zones: The zones of dispatchers, by dispatcher name.
     """
     statuses = [(member.name, member.incarnation, member.last_applied, True)]
     for holder in [*member.leases.statuses(now), *member.remote_lease_holders.all()]:
--- a/crankfold/service/maintenance/observations.py
+++ b/crankfold/service/maintenance/observations.py
@@ -1,4 +1,4 @@
-"""Observations for maintenance reports: attempts at the machines, admitted and shed requests."""
+"""Observations for maintenance reports: attempts at machines, and numbers of accepted and shed requests."""
 
 import time
 from collections import Counter, deque
@@ -16,9 +16,9 @@
 )
 from crankfold.service.requests.table import Disposition
 
-LOAD_WINDOW = 5.0  # seconds; the period of the reported admitted and shed requests
+LOAD_WINDOW = 5.0  # seconds; reports count the requests that were accepted or shed in this period
 MAX_UNCONFIRMED = 1000  # request ids for each machine; the oldest are dropped
-MAX_UNCONFIRMED_REPORTED = 5  # request ids for each machine, the newest
+MAX_UNCONFIRMED_REPORTED = 5  # request ids for each machine; the newest are reported
 FAILURES = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET, Outcome.UNKNOWN)
 RESPONSES = (Outcome.COMPLETED, *FAILURES)
 SHED_BY_ROUTING_COUNTER = Disposition.SHED.counter
@@ -39,7 +39,7 @@
 
 
 class ResponseCount:
-    """The attempts at a machine since its return, and those of them that failed."""
+    """The number of attempts at a machine since its return, and of those that failed."""
 
     def __init__(self) -> None:
         self.total = 0
@@ -52,7 +52,7 @@
     def __init__(self, request_handler: RequestHandler, counters: Counter[str]) -> None:
         self.request_handler = request_handler
         self.counters = counters
-        # By machine, the ids of requests whose abandoned attempts it may still execute, in order.
+        # By machine id, the ids of requests whose abandoned attempts it may still execute, oldest first.
         self.unconfirmed: dict[str, dict[str, None]] = {}
         self.response_counts: dict[str, ResponseCount] = {}
         self.returned_machines: dict[str, int] = {}  # machine id to the log index of its return
@@ -77,7 +77,10 @@
             count.failed += outcome in FAILURES
 
     def state_changed(self, returned_machines: dict[str, int]) -> None:
-        """Resets the counts of machines that have returned by another transition than the known one."""
+        """Sets the machines that have returned, by id, with the log index of their return.
+
+        Drops the counts of machines that are not among them, or have since been out and returned again.
+        """
         for machine_id, index in self.returned_machines.items():
             if returned_machines.get(machine_id) != index:
                 self.response_counts.pop(machine_id, None)
@@ -86,7 +89,7 @@
             del self.unconfirmed[machine_id]
 
     def fill_report(self, report: MaintenanceReport, machines_out: Collection[str]) -> None:
-        """Sets the observations on machines that are out, on returned machines, and in total."""
+        """Adds the observations to a report: on machines that are out, on returned machines, and in total."""
         names = self.request_handler.backends.backend_ids.names
         for request in self.request_handler.request_table.requests.values():
             report.open_requests += request.is_open
