--- a/tests/handover_scene.py
+++ b/tests/handover_scene.py
@@ -1,7 +1,7 @@
-"""A dispatcher's process, with the test in the place of its predecessor or its successor.
+"""Fixture of the handover tests: a dispatcher process whose predecessor or successors the test plays.
 
-Messages are compared as bytes on the Unix socket. Ports differ from run to run; in the fixtures they are
-18080 (the dispatcher's) and 19001 (the backend's).
+Messages are compared as bytes on the Unix socket. As ports differ from run to run, the stored messages have
+18080 for the port of the dispatcher and 19001 for that of the backend.
 """
 
 import asyncio
@@ -17,23 +17,26 @@
 from tests.scene import read_request
 
 DISPATCHER_PORT, BACKEND_PORT = 18080, 19001
-EVENT = {"id": "u7", "from": "a", "state": "done", "result": "x"}
+CALLBACK = {"id": "u7", "from": "a", "state": "done", "result": "x"}
 
 
-async def gone(reader: asyncio.StreamReader) -> None:
+async def read_until_closed(reader: asyncio.StreamReader) -> None:
     while await reader.read(65536):
         pass
 
 
 class OtherProcess:
-    """The other end of the handover channel, as bytes."""
+    """The test's end of the handover channel; sends and receives lines as bytes."""
 
     def __init__(self, sock: socket.socket, dispatcher_port: int, backend_port: int) -> None:
         self.sock, self.dispatcher_port, self.backend_port = sock, dispatcher_port, backend_port
         self.unread = b""
 
     async def read_line(self) -> bytes:
-        """The next line with the ports of the fixtures; usage reports, which are repeated, are left out."""
+        """Returns the next line, with the ports of the stored messages; empty at the end of the stream.
+
+        Skips usage reports, which are sent at intervals.
+        """
         loop = asyncio.get_running_loop()
         while True:
             while b"\n" not in self.unread:
@@ -58,29 +61,33 @@
         return await asyncio.get_running_loop().sock_recv(self.sock, 1)
 
 
-def drains_file(listen: int) -> str:
-    return f"{socket_name(listen)}.bans"
+def drains_file(listen_port: int) -> str:
+    return f"{socket_name(listen_port)}.bans"
 
 
-def socket_name(listen: int) -> str:
-    return f"crankfold-{zlib.crc32(f'127.0.0.1:{listen}'.encode()):08x}"
+def socket_name(listen_port: int) -> str:
+    return f"crankfold-{zlib.crc32(f'127.0.0.1:{listen_port}'.encode()):08x}"
 
 
 class HandoverScene(DispatcherTestCase):
-    """`n0` with three backends: `a` drained manually, `b` draining, with an assumed start, `c` ready."""
+    """Dispatcher `n0` with three backends.
+
+    `a` is drained manually, `b` is draining and has an assumed start, `c` is ready.
+    """
 
     async def prepare(self, folder: Path, manual_drains: bytes) -> None:
+        """Starts the backend and discovery, and writes the configuration and the file of manual drains."""
         self.folder = folder
-        self.sent = asyncio.Event()
+        self.attempt_accepted = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
-            self.sent.set()
-            await gone(reader)
+            self.attempt_accepted.set()
+            await read_until_closed(reader)
 
-        async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await gone(reader)
+        async def silent_discovery(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+            await read_until_closed(reader)
 
         await self.begin(
             backend,
@@ -88,13 +95,13 @@
             zones=["north", "south"],
             kinds=["big"],
         )
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.listen = int(free.getsockname()[1])
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            self.listen = int(server.getsockname()[1])
         self.config |= {
             "name": "n0",
             "listen": f"127.0.0.1:{self.listen}",
             "admin_addr": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{await self.stand_in(silent)}",
+            "discovery": f"127.0.0.1:{await self.stand_in(silent_discovery)}",
             "known": {
                 "rev": 4,
                 "all": True,
@@ -105,28 +112,30 @@
                         "state": "terminating" if backend_id == "b" else "in_service",
                         "az": "south" if backend_id == "b" else "north",
                         "model": "big",
-                        "pod_group": n,
-                        "boot_ms": 20 + n,
-                        "capacity_hint": 1.0 + n,
+                        "pod_group": index,
+                        "boot_ms": 20 + index,
+                        "capacity_hint": 1.0 + index,
                     }
-                    for n, backend_id in enumerate("abc")
+                    for index, backend_id in enumerate("abc")
                 ],
             },
         }
         (folder / drains_file(self.listen)).write_bytes(manual_drains)
 
     async def serve(self) -> "asyncio.Task[None]":
+        """Starts the dispatcher in this process, until the test ends."""
         self.application = Application(self.config, lambda: self.config, str(self.folder))
-        running = asyncio.create_task(self.application.run())
+        application_task = asyncio.create_task(self.application.run())
 
-        async def end() -> None:
+        async def shut_down() -> None:
             self.application.shutdown_requested.set()
-            await running
+            await application_task
 
-        self.addAsyncCleanup(end)
-        return running
+        self.addAsyncCleanup(shut_down)
+        return application_task
 
     async def serving(self) -> None:
+        """Waits until the dispatcher accepts connections, and keeps its ports."""
         await self.until(
             lambda: (
                 self.application.request_handler.is_serving()
@@ -135,8 +144,8 @@
         )
         self.port, self.admin_port = self.application.listener.port(), self.application.admin_server.port()
 
-    async def successor(self) -> OtherProcess:
-        """Connects as a process that wants to take over."""
+    async def connect_as_successor(self) -> OtherProcess:
+        """Connects to the handover channel as a process that is to take over."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         self.addCleanup(sock.close)
@@ -144,13 +153,20 @@
         return OtherProcess(sock, self.listen, self.backend_port)
 
     async def as_predecessor(self, received: list[bytes]) -> list[bytes]:
-        """The lines of a serving dispatcher to two successors; `received` are the lines of the first."""
+        """Runs the dispatcher as the predecessor of two successors.
+
+        Args:
+            received: The lines that the first successor sends.
+
+        Returns:
+            The lines that the dispatcher sends to both.
+        """
         await self.serve()
         await self.serving()
         self.application.request_handler.load_reports.store(2, (3.0, 2.5))
-        pending = asyncio.create_task(self.send_request("held1", wait=2.9))
-        await self.sent.wait()
-        first, second = await self.successor(), await self.successor()
+        response = asyncio.create_task(self.send_request("held1", wait=2.9))
+        await self.attempt_accepted.wait()
+        first, second = await self.connect_as_successor(), await self.connect_as_successor()
         hello, takeover_request, *queries = received
         lines = []
         for process in (first, second):
@@ -162,56 +178,63 @@
         lines[1] = await first.read_line()
         await second.send_line(takeover_request)
         lines.append(await second.read_line())
-        self.assertEqual(await second.read_line(), b"")  # its connection is closed
+        self.assertEqual(await second.read_line(), b"")  # the dispatcher has closed the connection
         for query in queries:
             await first.send_line(query)
             lines.append(await first.read_line())
-        call = asyncio.create_task(self.call(self.admin_port, "runners/c/offline"))
+        admin_call = asyncio.create_task(self.call(self.admin_port, "runners/c/offline"))
         lines.append(await first.read_line())
         await first.send_line(b'{"re":1,"yes":false}\n')
-        self.assertEqual(await call, "200 offline")
+        self.assertEqual(await admin_call, "200 offline")
         loop = asyncio.get_running_loop()
         while not (line := first.unread.partition(b"\n")[0]).startswith(b'{"holds"'):
-            first.unread += await loop.sock_recv(first.sock, 65536)  # its usage, reported at intervals
+            first.unread += await loop.sock_recv(first.sock, 65536)  # waits for the next usage report
         lines.append(line + b"\n")
         await first.send_line(CALLBACK_QUERY)
         lines.append(await first.read_line())
-        self.assertEqual((await pending)[1], b"x")
+        self.assertEqual((await response)[1], b"x")
         return lines
 
     async def as_successor(self, received: list[bytes]) -> list[bytes]:
-        """The lines of a dispatcher that takes over; `received` are the lines of its predecessor."""
+        """Runs the dispatcher as a successor that takes over.
+
+        Args:
+            received: The lines that its predecessor sends.
+
+        Returns:
+            The lines that the dispatcher sends.
+        """
         loop = asyncio.get_running_loop()
-        listening = socket.create_server(("127.0.0.1", self.listen))
-        channel = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.addCleanup(listening.close)
-        self.addCleanup(channel.close)
-        channel.bind(str(self.folder / socket_name(self.listen)))
-        channel.listen()
-        channel.setblocking(False)
-        welcome, yours, holds, *queries = received
+        listening_socket = socket.create_server(("127.0.0.1", self.listen))
+        channel_server = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.addCleanup(listening_socket.close)
+        self.addCleanup(channel_server.close)
+        channel_server.bind(str(self.folder / socket_name(self.listen)))
+        channel_server.listen()
+        channel_server.setblocking(False)
+        welcome, takeover_grant, usage_report, *queries = received
         await self.serve()
-        sock, _ = await loop.sock_accept(channel)
+        sock, _ = await loop.sock_accept(channel_server)
         self.addCleanup(sock.close)
-        process = OtherProcess(sock, self.listen, self.backend_port)
-        lines = [await process.read_line()]
-        socket.send_fds(sock, [b"!"], [listening.fileno()])
-        await process.send_line(welcome)
-        lines.append(await process.read_line())
-        await process.send_line(yours)
+        predecessor = OtherProcess(sock, self.listen, self.backend_port)
+        lines = [await predecessor.read_line()]
+        socket.send_fds(sock, [b"!"], [listening_socket.fileno()])
+        await predecessor.send_line(welcome)
+        lines.append(await predecessor.read_line())
+        await predecessor.send_line(takeover_grant)
         await self.serving()
-        await process.send_line(holds)
+        await predecessor.send_line(usage_report)
         for query in queries:
-            await process.send_line(query)
-            lines.append(await process.read_line())
-        call = asyncio.create_task(self.call(self.admin_port, "runners/b/offline"))
-        lines.append(await process.read_line())
-        await process.send_line(b'{"re":1,"yes":false}\n')
-        self.assertEqual(await call, "200 offline")
-        event = asyncio.create_task(self.send_callback(**EVENT))
-        lines.append(await process.read_line())
-        await process.send_line(b'{"re":2,"yes":true}\n')
-        await event
+            await predecessor.send_line(query)
+            lines.append(await predecessor.read_line())
+        admin_call = asyncio.create_task(self.call(self.admin_port, "runners/b/offline"))
+        lines.append(await predecessor.read_line())
+        await predecessor.send_line(b'{"re":1,"yes":false}\n')
+        self.assertEqual(await admin_call, "200 offline")
+        callback = asyncio.create_task(self.send_callback(**CALLBACK))
+        lines.append(await predecessor.read_line())
+        await predecessor.send_line(b'{"re":2,"yes":true}\n')
+        await callback
         return lines
 
 
@@ -219,16 +242,16 @@
     return orjson.dumps(fields) + b"\n"
 
 
-# Queries that a successor sends to its predecessor and the other way round; both answer them.
+# Queries that a successor and its predecessor send to each other; both answer them.
 QUERIES = [
     encode_line(ask=1, what="out", uid="c"),
     encode_line(ask=2, what="back", uid="c"),
-    encode_line(ask=3, what="event", body=orjson.dumps(EVENT).decode()),
+    encode_line(ask=3, what="event", body=orjson.dumps(CALLBACK).decode()),
     encode_line(ask=4, what="sing"),
 ]
 HELLO = encode_line(hello=1, at=["127.0.0.1", DISPATCHER_PORT], of="n0")
 TAKEOVER_REQUEST = encode_line(take=True)
-# The callback of the request that is in flight at the predecessor.
+# Forwards the callback of the request that is in flight at the predecessor.
 CALLBACK_QUERY = encode_line(
-    ask=5, what="event", body=orjson.dumps({**EVENT, "id": "held1", "from": "c"}).decode()
+    ask=5, what="event", body=orjson.dumps({**CALLBACK, "id": "held1", "from": "c"}).decode()
 )
