--- a/tests/service/handover/test_manual_drain_file.py
+++ b/tests/service/handover/test_manual_drain_file.py
@@ -1,4 +1,4 @@
-"""The file of manual drains: whose record is adopted, and a write that fails."""
+"""The file of manual drains: which records are adopted, and what happens when a write fails."""
 
 import unittest
 from unittest.mock import Mock
@@ -16,13 +16,13 @@
         self.registry.timers.clock.wall_shift = lambda: 0
         self.file = ManualDrainFile(self.channel, "n0", self.registry)
 
-    def test_it_saves_the_drains_under_the_name_of_the_dispatcher(self) -> None:
+    def test_save_stores_drains_with_dispatcher_name(self) -> None:
         self.registry.manual_drains.drain("a", 5)
         self.file.save()
         record = ManualDrainRecord("n0", ManualDrainState({"a": 5}, {}))
         self.channel.save_record.assert_called_once_with(record)
 
-    def test_a_failed_write_is_logged_and_the_drain_stays(self) -> None:
+    def test_failed_write_is_logged_and_drain_stays_active(self) -> None:
         self.registry.manual_drains.drain("a", 5)
         self.channel.save_record.side_effect = OSError("No space left on device")
         with self.assertLogs("crankfold.service.handover.manual_drain_file", "WARNING") as logged:
@@ -34,7 +34,7 @@
         self.assertEqual(logged.records[0].category, "records")  # type: ignore[attr-defined]
         self.assertEqual(self.registry.manual_drains.drained_since, {"a": 5})
 
-    def test_only_a_record_of_the_same_dispatcher_is_adopted(self) -> None:
+    def test_only_record_of_same_dispatcher_is_adopted(self) -> None:
         drains = ManualDrainState({"a": 5}, {})
         for record, adopted in (
             (None, {}),
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -1,4 +1,4 @@
-"""Real processes that replace one another under load."""
+"""Dispatcher processes that replace one another, with requests in flight."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,14 @@
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
 
-class ReplacementTest(DispatcherTestCase):
-    """Real processes that follow one another, between stand-ins."""
+class ProcessReplacementTest(DispatcherTestCase):
+    """Real dispatcher processes, with a backend, discovery and clients that the test plays.
+
+    The backend finishes each request at once, except those whose id begins with `held`.
+    """
 
     async def start(self) -> None:
-        self.sent: list[str] = []
+        self.received_ids: list[str] = []  # request ids, in the order in which the backend received them
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -30,192 +33,196 @@
                 if head.startswith("DELETE"):
                     continue
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
-                self.sent.append(request_id)
+                self.received_ids.append(request_id)
                 if not request_id.startswith("held"):
                     await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
 
         await self.begin(backend)
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.config["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            self.config["listen"] = f"127.0.0.1:{server.getsockname()[1]}"
         self.config["admin_addr"] = "127.0.0.1:0"
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
     async def send_pending(self, *request_ids: str) -> list[asyncio.Task[tuple[str, bytes]]]:
-        pending = [asyncio.create_task(self.send_request(request_id)) for request_id in request_ids]
-        await self.until(lambda: set(request_ids) <= set(self.sent))
-        return pending
+        """Sends requests and waits until the backend has received them; returns their responses as tasks."""
+        responses = [asyncio.create_task(self.send_request(request_id)) for request_id in request_ids]
+        await self.until(lambda: set(request_ids) <= set(self.received_ids))
+        return responses
 
     async def finish(self, *request_ids: str) -> None:
+        """Sends the callbacks that complete these requests."""
         for request_id in request_ids:
             await self.send_callback(id=request_id, **{"from": "a"}, state="done", result=request_id)
 
-    async def load(self, until: asyncio.Event) -> list[str]:
-        """Clients that keep their connections and use them until an answer is the last."""
-        ends: list[str] = []
+    async def generate_load(self, stop: asyncio.Event) -> list[str]:
+        """Runs clients that reuse each connection until a response closes it; returns their outcomes."""
+        outcomes: list[str] = []
 
-        async def client(name: int) -> None:
-            n = 0
-            while not until.is_set():
+        async def client(client_number: int) -> None:
+            request_number = 0
+            while not stop.is_set():
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                last = False
-                while not last and not until.is_set():
-                    n += 1
-                    writer.write(REQUEST.replace(b"u1", f"l{name}-{n}".encode()))
+                closing = False
+                while not closing and not stop.is_set():
+                    request_number += 1
+                    writer.write(REQUEST.replace(b"u1", f"l{client_number}-{request_number}".encode()))
                     try:
                         async with asyncio.timeout(5):
                             head, body = await read_request(reader)
                     except (ConnectionError, asyncio.IncompleteReadError):
-                        ends.append("lost")
+                        outcomes.append("lost")
                         break
-                    ends.append(f"{head.split()[1]} {body.decode()}")
-                    last = "Connection: close" in head
+                    outcomes.append(f"{head.split()[1]} {body.decode()}")
+                    closing = "Connection: close" in head
                     await asyncio.sleep(0.005)
                 writer.close()
 
-        await asyncio.gather(*(client(name) for name in range(6)))
-        return ends
+        await asyncio.gather(*(client(client_number) for client_number in range(6)))
+        return outcomes
 
-    async def test_another_dispatchers_process_and_records_give_nothing(self) -> None:
+    async def test_process_adopts_nothing_from_another_dispatcher(self) -> None:
         await self.start()
         self.config["name"] = "n0"
-        lines = await self.start_process(["-O", "-m", "crankfold", "serve"], self.folder)
+        output = await self.start_process(["-O", "-m", "crankfold", "serve"], self.folder)
         self.assertEqual((await self.call(self.admin_port, "runners/a/offline")).split()[0], "200")
 
-        async def learnt(name: str) -> tuple[bool, bool, list[str]]:
+        async def adopted_state(name: str) -> tuple[bool, bool, list[str]]:
             application = Application({**self.config, "name": name}, lambda: self.config, self.folder)
             handover = application.handover
             assert handover
-            welcome = await handover.takeover.connect()
+            endpoints = await handover.takeover.connect()
             handover.close()
             return (
-                welcome is not None,
+                endpoints is not None,
                 handover.takeover.listening_socket is not None,
                 list(application.backend_registry.manual_drains.drained_since),
             )
 
-        self.assertEqual(await learnt("n1"), (False, False, []))
-        self.assertEqual(await learnt("n0"), (True, True, ["a"]))
+        self.assertEqual(await adopted_state("n1"), (False, False, []))
+        self.assertEqual(await adopted_state("n0"), (True, True, ["a"]))
         self.process.kill()
-        await lines
-        self.assertEqual(await learnt("n1"), (False, False, []))
-        self.assertEqual(await learnt("n0"), (False, False, ["a"]))
+        await output
+        self.assertEqual(await adopted_state("n1"), (False, False, []))
+        self.assertEqual(await adopted_state("n0"), (False, False, ["a"]))
 
-    async def test_replaced_twice_under_load_nothing_is_lost(self) -> None:
+    async def test_two_replacements_under_load_lose_no_request(self) -> None:
         await self.start()
-        ends = await self.start_process(SERVE, self.folder)
-        first, first_admin_port = self.process, self.admin_port
-        over = asyncio.Event()
-        load = asyncio.create_task(self.load(over))
-        pending = await self.send_pending("held1", "held2", "held3")
-        printed = []
+        output = await self.start_process(SERVE, self.folder)
+        first_process, first_admin_port = self.process, self.admin_port
+        stop_load = asyncio.Event()
+        load = asyncio.create_task(self.generate_load(stop_load))
+        responses = await self.send_pending("held1", "held2", "held3")
+        outputs = []
         for _ in range(2):
-            old, old_ends = self.process, ends
-            ends = await self.start_process(SERVE, self.folder)
+            predecessor, predecessor_output = self.process, output
+            output = await self.start_process(SERVE, self.folder)
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
-            if old is first:
+            if predecessor is first_process:
                 self.assertEqual(await self.call(first_admin_port, "ready", "GET"), "503 not ready")
-                self.assertEqual(
-                    (await self.send_request("held2"))[0].split()[1], "409"
-                )  # in hand at the old one
-                await self.finish("held1")  # reaches the new one, which does not hold it
-                self.assertEqual((await pending[0])[1], b"held1")
-            old.send_signal(signal.SIGTERM)
+                # The predecessor handles this request, so the successor rejects its id as a duplicate.
+                self.assertEqual((await self.send_request("held2"))[0].split()[1], "409")
+                await self.finish("held1")  # to the successor, which forwards it to the predecessor
+                self.assertEqual((await responses[0])[1], b"held1")
+            predecessor.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
-            if old is first:
+            if predecessor is first_process:
                 await self.finish("held2", "held3")
-                self.assertEqual([(await one)[1] for one in pending[1:]], [b"held2", b"held3"])
-            printed.append(await old_ends)
-            self.assertEqual(old.returncode, 0, printed[-1])
-            self.assertIn("open-requests=0", printed[-1])
-        over.set()
+                self.assertEqual([(await response)[1] for response in responses[1:]], [b"held2", b"held3"])
+            outputs.append(await predecessor_output)
+            self.assertEqual(predecessor.returncode, 0, outputs[-1])
+            self.assertIn("open-requests=0", outputs[-1])
+        stop_load.set()
         self.assertEqual(set(await load), {"200 done"})
-        self.assertEqual(len(self.sent), len(set(self.sent)))  # no second run of any
-        self.assertIn("handovers=1", printed[0])
+        self.assertEqual(len(self.received_ids), len(set(self.received_ids)))  # no request is sent twice
+        self.assertIn("handovers=1", outputs[0])
         self.process.terminate()
-        await ends
+        await output
         self.assertEqual(
             sorted(os.listdir(self.folder)),
-            sorted(["config.json", *(n for n in os.listdir(self.folder) if n.endswith(".bans"))]),
+            sorted(["config.json", *(name for name in os.listdir(self.folder) if name.endswith(".bans"))]),
         )
 
-    async def test_a_ban_outlives_the_process_it_was_called_at(self) -> None:
+    async def test_manual_drain_outlives_process_that_received_it(self) -> None:
         await self.start()
-        before = await self.start_process(SERVE, self.folder)
+        predecessor_output = await self.start_process(SERVE, self.folder)
         await self.call(self.admin_port, "runners/a/offline")
-        old, old_admin_port = self.process, self.admin_port
-        after = await self.start_process(SERVE, self.folder)
+        predecessor, predecessor_admin_port = self.process, self.admin_port
+        successor_output = await self.start_process(SERVE, self.folder)
         self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
-        # Called at either, it binds both.
-        for port, other_port in ((old_admin_port, self.admin_port), (self.admin_port, old_admin_port)):
+        # A call at either process applies to both.
+        for port, other_port in (
+            (predecessor_admin_port, self.admin_port),
+            (self.admin_port, predecessor_admin_port),
+        ):
             self.assertEqual(await self.call(port, "runners/a/online"), "200 online")
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
             self.assertEqual(await self.call(other_port, "runners/a/offline"), "200 offline")
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
-        old.kill()
-        await before
+        predecessor.kill()
+        await predecessor_output
         self.process.kill()
-        await after
-        await self.start_process(SERVE, self.folder)  # nobody is left to tell it
+        await successor_output
+        await self.start_process(SERVE, self.folder)  # learns the drain from the file alone
         self.assertEqual((await self.send_request("u1", wait=0.3))[0].split()[1], "503")
         self.assertEqual(await self.call(self.admin_port, "runners/a/online"), "200 online")
-        self.assertEqual(((await self.send_request("u2"))[1], self.sent), (b"done", ["u2"]))
+        self.assertEqual(((await self.send_request("u2"))[1], self.received_ids), (b"done", ["u2"]))
 
-    async def test_the_new_one_is_killed_and_the_old_one_goes_on(self) -> None:
+    async def test_predecessor_serves_on_after_successor_is_killed(self) -> None:
         await self.start()
         await self.start_process(SERVE, self.folder)
-        old, old_admin_port = self.process, self.admin_port
-        pending = await self.send_pending("held1")
+        predecessor, predecessor_admin_port = self.process, self.admin_port
+        responses = await self.send_pending("held1")
         polled = asyncio.Event()
 
-        async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        async def silent_discovery(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             polled.set()
             await reader.read()
 
-        usual = self.config["discovery"]
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(silent)}"
+        discovery_address = self.config["discovery"]
+        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(silent_discovery)}"
         self.config_file.write_bytes(orjson.dumps(self.config))
-        self.config["discovery"] = usual
-        early = await asyncio.create_subprocess_exec(
+        self.config["discovery"] = discovery_address
+        waiting_successor = await asyncio.create_subprocess_exec(
             sys.executable,
             *SERVE,
             stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "GW_CONFIG": str(self.config_file), "TMPDIR": self.folder},
         )
         async with asyncio.timeout(5):
-            await polled.wait()  # it has met the old one, and waits for a list
-        early.kill()
-        await early.wait()
+            await polled.wait()  # it has connected to the predecessor, and waits for an endpoint list
+        waiting_successor.kill()
+        await waiting_successor.wait()
         self.assertEqual((await self.send_request("u0"))[1], b"done")
-        ends = await self.start_process(SERVE, self.folder)
-        self.process.kill()  # after it
-        await ends
+        output = await self.start_process(SERVE, self.folder)
+        self.process.kill()  # after the takeover
+        await output
         async with asyncio.timeout(5):
             while True:
                 with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-                    if (await self.send_request(f"u{len(self.sent)}"))[1] == b"done":
+                    if (await self.send_request(f"u{len(self.received_ids)}"))[1] == b"done":
                         break
         await self.finish("held1")
-        self.assertEqual((await pending[0])[1], b"held1")
-        self.assertEqual(await self.call(old_admin_port, "ready", "GET"), "200 ready")
-        ends = await self.start_process(SERVE, self.folder)  # and it can be replaced again
-        old.terminate()
-        await old.wait()
+        self.assertEqual((await responses[0])[1], b"held1")
+        self.assertEqual(await self.call(predecessor_admin_port, "ready", "GET"), "200 ready")
+        output = await self.start_process(SERVE, self.folder)  # the predecessor can be replaced again
+        predecessor.terminate()
+        await predecessor.wait()
         self.assertEqual((await self.send_request("last"))[1], b"done")
 
-    async def test_the_old_one_is_killed_with_units_open(self) -> None:
+    async def test_successor_serves_on_after_predecessor_is_killed_with_open_request(self) -> None:
         await self.start()
         await self.start_process(SERVE, self.folder)
-        old = self.process
-        pending = await self.send_pending("held1")
+        predecessor = self.process
+        responses = await self.send_pending("held1")
         await self.start_process(SERVE, self.folder)
-        old.kill()
+        predecessor.kill()
         with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
-            await pending[0]
-        await self.finish("held1")  # answered, though nobody holds it
+            await responses[0]
+        await self.finish("held1")  # the callback is answered, though no process handles its request
         self.assertTrue(self.lines[-1].endswith(" 204"))
         self.assertEqual((await self.send_request("u1"))[1], b"done")
 
-    async def test_without_an_address_for_operators_nothing_is_left_in_the_folder(self) -> None:
+    async def test_process_without_admin_address_creates_no_handover_file(self) -> None:
         await self.start()
         del self.config["admin_addr"]
         await self.start_process(SERVE, self.folder)
--- a/tests/service/handover/test_takeover.py
+++ b/tests/service/handover/test_takeover.py
@@ -1,4 +1,4 @@
-"""The start as a successor, with a channel in its place: which answer of a predecessor ends the wait."""
+"""Takeover through a mock handover channel: which answers of a predecessor end the wait."""
 
 import asyncio
 import socket
@@ -40,10 +40,11 @@
     def test_hello_and_socket_name_follow_from_name_and_address(self) -> None:
         self.assertEqual(IDENTITY.hello(), Hello(FORMAT_VERSION, ADDRESS, "n0"))
         other = DispatcherIdentity("n1", ADDRESS)
-        self.assertEqual(other.socket_name(), IDENTITY.socket_name())  # so names are compared as well
+        # Both dispatchers would use the same socket, which is why the names are compared as well.
+        self.assertEqual(other.socket_name(), IDENTITY.socket_name())
         self.assertRegex(IDENTITY.socket_name(), "^crankfold-[0-9a-f]{8}$")
 
-    def test_only_a_welcome_of_the_same_dispatcher_has_a_state(self) -> None:
+    def test_state_is_taken_only_from_welcome_of_same_dispatcher(self) -> None:
         self.assertEqual(IDENTITY.state_in_welcome(Welcome(STATE), ADDRESS), STATE)
         for message, address in (
             (TakeoverRequest(), ADDRESS),
@@ -89,7 +90,7 @@
         )
 
     def answer_requests(self, *answers: Any) -> None:
-        """Gives these answers to takeover requests, one to each."""
+        """Makes the predecessor answer each takeover request with the next of these answers."""
         remaining = list(answers)
 
         def send(process: int, message: Any) -> None:
@@ -99,13 +100,13 @@
 
         self.actions.send = send
 
-    async def test_without_a_predecessor_it_adopts_the_saved_drains_and_waits_for_nothing(self) -> None:
+    async def test_takeover_without_predecessor_adopts_saved_drains_and_does_not_wait(self) -> None:
         self.channel.connect = AsyncMock(return_value=None)
         self.assertIsNone(await self.takeover.connect())
         self.assertEqual(self.manual_drain_file.adopt.call_count, 1)
         self.assertIsNone(await self.takeover.take_over())
 
-    async def test_a_process_of_another_dispatcher_is_disconnected_and_its_socket_closed(self) -> None:
+    async def test_process_of_another_dispatcher_is_disconnected_and_its_socket_closed(self) -> None:
         self.listening_socket.getsockname.return_value = ("127.0.0.1", 18081)
         with self.assertLogs("crankfold.service.handover.takeover", "WARNING"):
             self.assertIsNone(await self.takeover.connect())
@@ -114,14 +115,14 @@
         self.assertIsNone(self.takeover.listening_socket)
         self.assertEqual(self.manual_drain_file.adopt.call_count, 1)
 
-    async def test_a_grant_ends_the_wait(self) -> None:
+    async def test_grant_ends_wait(self) -> None:
         await self.takeover.connect()
         self.answer_requests(TakeoverGrant(None))
         self.assertIs(await self.takeover.take_over(), self.listening_socket)
         self.assertEqual(self.request_handler.backends.known_ids, {"a"})
         self.assertEqual(self.manual_drain_file.adopt.call_count, 0)
 
-    async def test_after_a_refusal_it_connects_again_and_requests_once_more(self) -> None:
+    async def test_takeover_reconnects_and_requests_again_after_refusal(self) -> None:
         await self.takeover.connect()
         self.answer_requests(TakeoverRefusal(), TakeoverGrant(None))
         with patch("crankfold.service.handover.takeover.TAKEOVER_RETRY_DELAY", 0.0):
@@ -130,28 +131,29 @@
         self.assertEqual(self.channel.connect.call_count, 2)
         self.assertEqual(self.state_machine.predecessor, 2)
 
-    # Guards against a second predecessor's socket, list and reports that a refusal made useless.
-    async def test_after_a_refusal_the_state_of_the_second_predecessor_is_in_force(self) -> None:
-        first = self.listening_socket
+    # Guards against ignoring the socket, the endpoint list and the load reports of the predecessor that is
+    # found after another one has refused.
+    async def test_takeover_adopts_state_of_second_predecessor_after_refusal(self) -> None:
+        first_socket = self.listening_socket
         await self.takeover.connect()
         self.takeover.replay_reports()
-        second = Mock(spec=socket.socket)
-        second.getsockname.return_value = ADDRESS
-        self.listening_socket = second
+        second_socket = Mock(spec=socket.socket)
+        second_socket.getsockname.return_value = ADDRESS
+        self.listening_socket = second_socket
         self.state = STATE._replace(endpoints={"rev": 0, "all": True, "targets": []}, load_reports={"a": []})
         self.answer_requests(TakeoverRefusal(), TakeoverGrant(None))
-        inherited: list[Any] = []
+        endpoint_lists: list[Any] = []
         with patch("crankfold.service.handover.takeover.TAKEOVER_RETRY_DELAY", 0.0):
             async with asyncio.timeout(5):
-                self.assertIs(await self.takeover.take_over(inherited.append), second)
-        self.assertEqual(first.close.call_count, 1)
-        self.assertEqual(second.close.call_count, 0)
-        self.assertEqual(inherited, [self.state.endpoints])
-        self.assertEqual(self.request_handler.notify_routing.call_count, 1)  # the report of backend a
-        drained = self.request_handler.backends.drained_endpoints.return_value
-        self.request_handler.effective_endpoints_changed.assert_called_once_with(drained)
-
-    async def test_without_an_answer_it_serves_beside_the_predecessor(self) -> None:
+                self.assertIs(await self.takeover.take_over(endpoint_lists.append), second_socket)
+        self.assertEqual(first_socket.close.call_count, 1)
+        self.assertEqual(second_socket.close.call_count, 0)
+        self.assertEqual(endpoint_lists, [self.state.endpoints])
+        self.assertEqual(self.request_handler.notify_routing.call_count, 1)  # the load report of backend `a`
+        drained_endpoints = self.request_handler.backends.drained_endpoints.return_value
+        self.request_handler.effective_endpoints_changed.assert_called_once_with(drained_endpoints)
+
+    async def test_successor_serves_beside_predecessor_that_does_not_answer(self) -> None:
         await self.takeover.connect()
         self.answer_requests()
         with (
@@ -162,7 +164,7 @@
         self.assertEqual(logged.records[0].getMessage(), "does not answer; serving beside it")
         self.assertEqual(logged.records[0].category, "predecessor")  # type: ignore[attr-defined]
 
-    async def test_a_lost_predecessor_ends_the_wait(self) -> None:
+    async def test_loss_of_predecessor_ends_wait(self) -> None:
         await self.takeover.connect()
         self.actions.send = lambda process, _message: self.state_machine.disconnected(0.0, process)
         self.assertIs(await self.takeover.take_over(), self.listening_socket)
