--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of a handover: processes follow one another, die or hang; no sockets."""
+"""The handover state machine without sockets: processes replace one another, die or hang."""
 
 import json
 from typing import Any
@@ -23,38 +23,39 @@
 from tests.scene import TraceTestCase
 
 
-class ProcessChain(TraceTestCase):
-    """State machines of several processes, connected by the lines that they send, in one trace."""
+class ProcessChainTestCase(TraceTestCase):
+    """Records in one trace what the state machines of several connected processes send and do."""
 
     def setUp(self) -> None:
         super().setUp()
         self.now = 0.0
-        self.processes: dict[str, Process] = {}
+        self.processes: dict[str, FakeProcess] = {}
+        # Each end of a connection, as process name and connection number, to its other end.
         self.connections: dict[tuple[str, int], tuple[str, int]] = {}
-        self.outbox: list[tuple[str, int, bytes]] = []
+        self.outbox: list[tuple[str, int, bytes]] = []  # the sender's end, and the line
 
-    def add_process(self, name: str, *request_ids: str) -> "Process":
-        self.processes[name] = Process(self, name, request_ids)
+    def add_process(self, name: str, *request_ids: str) -> "FakeProcess":
+        self.processes[name] = FakeProcess(self, name, request_ids)
         return self.processes[name]
 
-    def connect(self, new: str, old: str) -> None:
+    def connect(self, successor: str, predecessor: str) -> None:
         """Opens the handover channel between two processes."""
-        new_end = (new, self._next_connection(new))
-        old_end = (old, self._next_connection(old))
-        self.connections[new_end] = old_end
-        self.connections[old_end] = new_end
-        self.processes[new].machine.predecessor_connected(new_end[1])
-        self.processes[old].machine.successor_connected(old_end[1])
+        successor_end = (successor, self._next_connection(successor))
+        predecessor_end = (predecessor, self._next_connection(predecessor))
+        self.connections[successor_end] = predecessor_end
+        self.connections[predecessor_end] = successor_end
+        self.processes[successor].machine.predecessor_connected(successor_end[1])
+        self.processes[predecessor].machine.successor_connected(predecessor_end[1])
         self.deliver()
 
     def _next_connection(self, name: str) -> int:
         return 1 + sum(end[0] == name for end in self.connections)
 
     def disconnect(self, name: str, connection: int) -> None:
-        other = self.connections.pop((name, connection), None)
-        if other:
-            self.connections.pop(other, None)
-            self.processes[other[0]].machine.disconnected(self.now, other[1])
+        other_end = self.connections.pop((name, connection), None)
+        if other_end:
+            self.connections.pop(other_end, None)
+            self.processes[other_end[0]].machine.disconnected(self.now, other_end[1])
 
     def kill(self, name: str) -> None:
         self.say(f"{name} dies")
@@ -77,28 +78,36 @@
             self.say(f"  {name}: nobody to ask")
         self.deliver()
 
-    def send_query(self, name: str, what: str, about: str) -> None:
-        query = CallbackQuery(0, about) if what == "event" else ManualDrainQuery(0, about, what == "out")
+    def send_query(self, name: str, kind: str, subject: str) -> None:
+        """Starts a query at a process and delivers its messages.
+
+        Args:
+            name: The process.
+            kind: The kind of the query on the wire: `event`, `out` or `back`.
+            subject: A callback or a backend id.
+        """
+        query = CallbackQuery(0, subject) if kind == "event" else ManualDrainQuery(0, subject, kind == "out")
         fields = json.loads(encode_message(query))
-        del fields["ask"]  # its number comes when it is sent
+        del fields["ask"]  # the state machine assigns the query id
         self.say(f"{name} asks {json.dumps(fields)}")
-        self.query(name, query)
+        self.start_query(name, query)
         self.deliver()
 
-    def query(self, name: str, query: CallbackQuery | ManualDrainQuery) -> None:
+    def start_query(self, name: str, query: CallbackQuery | ManualDrainQuery) -> None:
+        """Starts a query at a process, without delivering its messages."""
         machine = self.processes[name].machine
 
-        def answered(positive: bool | None) -> None:
+        def record_answer(positive: bool | None) -> None:
             self.say(f"  {name} hears {positive}")
 
         if isinstance(query, CallbackQuery):
-            machine.query_callback(self.now, query.callback, answered)
+            machine.query_callback(self.now, query.callback, record_answer)
         else:
-            machine.query_manual_drain(self.now, query.backend_id, query.drained, answered)
+            machine.query_manual_drain(self.now, query.backend_id, query.drained, record_answer)
 
 
 def comparable_fields(line: bytes) -> Any:
-    """A message less what these processes, which have no sockets and no backends, can't fill."""
+    """Returns a message without the parts about sockets and backends, which the fakes do not have."""
     fields = json.loads(line)
     for key in fields.keys() & {"yours", "holds"}:
         if isinstance(fields[key], dict):
@@ -106,13 +115,15 @@
     return {"welcome": {}} if "welcome" in fields else fields
 
 
-class Process:
-    def __init__(self, chain: ProcessChain, name: str, request_ids: tuple[str, ...]) -> None:
+class FakeProcess:
+    """Implements `HandoverActions` by recording each action in the trace."""
+
+    def __init__(self, chain: ProcessChainTestCase, name: str, request_ids: tuple[str, ...]) -> None:
         self.chain, self.name, self.request_ids = chain, name, request_ids
         self.machine = HandoverStateMachine(self)
 
-    def record(self, what: str) -> None:
-        self.chain.say(f"  {self.name} {what} ({self.machine.role.value})")
+    def record(self, action: str) -> None:
+        self.chain.say(f"  {self.name} {action} ({self.machine.role.value})")
 
     def send(self, connection: int, message: HandoverMessage) -> None:
         self.chain.outbox.append((self.name, connection, encode_message(message)))
@@ -149,9 +160,9 @@
         self.record(f"knows held elsewhere { {'ids': usage.request_ids} }")
 
 
-class HandoverStateMachineTest(ProcessChain):
-    def test_queries_and_callbacks_reach_the_processes_of_a_chain(self) -> None:
-        a = self.add_process("a", "u1")
+class HandoverStateMachineTest(ProcessChainTestCase):
+    def test_queries_and_callbacks_reach_all_processes_of_chain(self) -> None:
+        process_a = self.add_process("a", "u1")
         self.add_process("b", "u2")
         self.connect("b", "a")
         self.take_over("b")
@@ -159,22 +170,22 @@
         self.send_query("b", "event", "nobody's")
         self.send_query("a", "event", "u2")
         self.send_query("a", "out", "r")
-        a.request_ids = ()
-        a.machine.report_usage()
+        process_a.request_ids = ()
+        process_a.machine.report_usage()
         self.deliver()
         self.add_process("c")
         self.connect("c", "b")
         self.take_over("c")
         self.say("a call-back for the first reaches the third")
-        a.request_ids = ("u3",)
+        process_a.request_ids = ("u3",)
         self.send_query("c", "event", "u3")
         self.send_query("c", "back", "r")
         self.kill("a")
         self.send_query("c", "event", "u3")
         self.close("succession-chain")
 
-    def test_a_predecessor_serves_on_when_its_successor_dies(self) -> None:
-        a = self.add_process("a")
+    def test_predecessor_serves_on_after_successor_dies(self) -> None:
+        process_a = self.add_process("a")
         self.add_process("b")
         self.connect("b", "a")
         self.say("before it has taken over")
@@ -188,55 +199,58 @@
         self.connect("b", "a")
         self.take_over("b")
         self.say("after that, and the old one was told to end")
-        a.machine.start_shutdown()
+        process_a.machine.start_shutdown()
         self.kill("b")
-        self.say(f"  a: {a.machine.role.value}")
+        self.say(f"  a: {process_a.machine.role.value}")
         self.close("succession-new-dies")
 
-    # Guards against callbacks that wait 0.5 s for a process that is gone, and are answered 503 then.
-    def test_a_query_awaits_no_process_that_was_refused_meanwhile(self) -> None:
-        a = self.add_process("a")
+    # Guards against a callback that waits 0.5 s for the answer of a process that was refused, and so
+    # disconnected, after the query was sent, and that is then answered 503.
+    def test_query_does_not_wait_for_process_refused_meanwhile(self) -> None:
+        process_a = self.add_process("a")
         for name in ("b", "c"):
             self.add_process(name)
             self.connect(name, "a")
         self.take_over("b")
         answers: list[bool | None] = []
-        a.machine.query_callback(self.now, "nobody's", answers.append)
+        process_a.machine.query_callback(self.now, "nobody's", answers.append)
         self.outbox.clear()
-        of_b, of_c = sorted(a.machine.processes)
-        a.machine.message_received(self.now, of_b, QueryAnswer(a.machine.last_query_id, False))
+        connection_to_b, connection_to_c = sorted(process_a.machine.processes)
+        process_a.machine.message_received(
+            self.now, connection_to_b, QueryAnswer(process_a.machine.last_query_id, False)
+        )
         self.assertEqual(answers, [])
-        a.machine.message_received(self.now, of_c, TakeoverRequest())
+        process_a.machine.message_received(self.now, connection_to_c, TakeoverRequest())
         self.assertEqual(answers, [False])
 
-    def test_the_old_one_dies_or_hangs(self) -> None:
+    def test_successor_continues_after_predecessor_dies_or_hangs(self) -> None:
         self.add_process("a", "u1")
-        b = self.add_process("b")
+        process_b = self.add_process("b")
         self.connect("b", "a")
         self.say("before it has given way")
         self.kill("a")
-        self.say(f"  b: {b.machine.role.value}")
+        self.say(f"  b: {process_b.machine.role.value}")
         self.add_process("a", "u1")
-        b = self.add_process("b")
+        process_b = self.add_process("b")
         self.connect("b", "a")
         self.take_over("b")
         self.say("with a question open")
-        self.query("b", CallbackQuery(0, "u1"))
+        self.start_query("b", CallbackQuery(0, "u1"))
         self.outbox.clear()
         self.kill("a")
         self.say("it hangs")
         self.add_process("a", "u1")
-        b = self.add_process("b")
+        process_b = self.add_process("b")
         self.connect("b", "a")
         self.take_over("b")
-        self.query("b", CallbackQuery(0, "u1"))
+        self.start_query("b", CallbackQuery(0, "u1"))
         self.outbox.clear()
         for self.now in (0.4, 0.6):
             self.say(f"  {self.now}")
-            b.machine.expire_queries(self.now)
+            process_b.machine.expire_queries(self.now)
         self.close("succession-old-dies")
 
-    def test_a_late_successor_is_refused_and_connects_to_the_process_that_serves(self) -> None:
+    def test_late_successor_is_refused_and_connects_to_serving_process(self) -> None:
         self.add_process("a", "u1")
         self.add_process("b")
         self.add_process("c")
@@ -248,7 +262,7 @@
         self.connect("c", "b")
         self.take_over("c")
         self.say("what is no message of ours changes nothing")
-        for odd in (
+        for invalid_message in (
             {},
             {"yours": 1},
             {"re": "x"},
@@ -256,16 +270,16 @@
             {"holds": None},
             {"ask": 2},
         ):
-            self.outbox.append(("c", 1, json.dumps(odd).encode()))
+            self.outbox.append(("c", 1, json.dumps(invalid_message).encode()))
         self.deliver()
         self.close("succession-third")
 
-    def test_lines_are_decoded_wherever_cut_and_garbage_is_rejected(self) -> None:
+    def test_decoder_accepts_lines_split_anywhere_and_rejects_garbage(self) -> None:
         data = b'{"take":true}\n{"yours":{"ids":["u1"]}}\n'
-        for cut in range(len(data)):
+        for split in range(len(data)):
             decoder = HandoverDecoder()
             self.assertEqual(
-                decoder.receive_data(data[:cut]) + decoder.receive_data(data[cut:]),
+                decoder.receive_data(data[:split]) + decoder.receive_data(data[split:]),
                 [TakeoverRequest(), TakeoverGrant(ProcessUsage(["u1"], 0, 0))],
             )
         for garbage in (b"hello?\n", b"[1]\n", b"x" * (MAX_LINE_SIZE + 1)):
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -1,4 +1,4 @@
-"""What carries over from one process to the next when deployments move, and the first seconds after it."""
+"""The state that a successor inherits when the configuration changes, and its first endpoint lists."""
 
 import orjson
 
@@ -11,7 +11,8 @@
 FIELDS = ["queue", "x0"]
 
 
-def welcome(**other: object) -> ProcessState:
+def decode_state(**changes: object) -> ProcessState:
+    """Decodes the state in a welcome message with these changes of its fields."""
     targets = [{"uid": "a", "capacity_hint": 4.0}, {"uid": "b", "capacity_hint": 2.0}]
     fields = {
         "form": 1,
@@ -20,7 +21,7 @@
         "weights": "moving",
         "fields": FIELDS,
         "reports": {"a": [1.0, 2.0]},
-        **other,
+        **changes,
     }
     message = decode_message(orjson.dumps({"welcome": fields}))
     assert isinstance(message, Welcome)
@@ -28,44 +29,44 @@
 
 
 class TransferredStateTest(TraceTestCase):
-    def test_only_weights_and_reports_of_the_same_meaning_are_inherited(self) -> None:
+    def test_only_weights_and_reports_with_same_meaning_are_inherited(self) -> None:
         self.lines = []
         for name, state, weights_follow_load in (
-            ("alike", welcome(), True),
-            ("back to sizes", welcome(), False),
-            ("from one that tells no meaning", welcome(weights=STATIC_WEIGHTS), True),
-            ("no list", welcome(known=None), True),
-            ("no targets", welcome(known={}), False),
-            ("other fields", welcome(fields=["qps", "queue"]), True),
+            ("alike", decode_state(), True),
+            ("back to sizes", decode_state(), False),
+            ("from one that tells no meaning", decode_state(weights=STATIC_WEIGHTS), True),
+            ("no list", decode_state(known=None), True),
+            ("no targets", decode_state(known={}), False),
+            ("other fields", decode_state(fields=["qps", "queue"]), True),
         ):
-            known = transferred_state.inherited_endpoints(state, weights_follow_load)
-            hints = [entry["capacity_hint"] for entry in known["targets"]] if known else known
+            endpoints = transferred_state.inherited_endpoints(state, weights_follow_load)
+            weights = [entry["capacity_hint"] for entry in endpoints["targets"]] if endpoints else endpoints
             self.say(
-                f"{name}: weights {hints}, "
+                f"{name}: weights {weights}, "
                 f"reports of {sorted(transferred_state.inherited_reports(state, FIELDS))}"
             )
         self.close("carry")
 
-    def test_settings_of_the_move_are_checked(self) -> None:
+    def test_weight_and_backend_settings_are_validated(self) -> None:
         self.lines = []
         request_class = {"name": "g", "effect": "safe", "cut-off": 5, "expected-time": 1}
         settings = {"service-grades": [request_class], "allowed": {"most-dispatches": 1}}
-        for more in (
+        for change in (
             {"weights": "live"},
             {"weights": "heavy"},
             {"specifics": {"keeps-keys": "no"}},
             {"specifics": {"tells-start": 1}},
         ):
             try:
-                validate({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings | more})
+                validate({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings | change})
                 self.say("taken")
-            except SchemaError as wrong:
-                self.say(str(wrong))
+            except SchemaError as error:
+                self.say(str(error))
         self.close("carry-settings")
 
 
-class FirstListTest(RouterTestCase):
-    def test_requests_sent_before_the_first_list_still_count_when_weights_arrive(self) -> None:
+class FirstEndpointListTest(RouterTestCase):
+    def test_requests_sent_before_first_list_still_count_when_weights_arrive(self) -> None:
         self.open(
             backend_count=0,
             free_slots=0,
@@ -76,18 +77,23 @@
         )
         slow_start_since = self.now - 1000 * MS
         self.change_endpoints(
-            [Endpoint(r, EndpointState.READY, 0.0, 0, 0, slow_start_since if r == 2 else 0) for r in range(3)]
+            [
+                Endpoint(index, EndpointState.READY, 0.0, 0, 0, slow_start_since if index == 2 else 0)
+                for index in range(3)
+            ]
         )
-        for n in range(4):  # before any list of its own: sizes not known, the cold one not pushed
-            self.receive_request(n, work=0)
+        # Before the process has an endpoint list of its own, it does not know the weights. Backend 2, which is
+        # in slow start, gets no requests.
+        for request_id in range(4):
+            self.receive_request(request_id, work=0)
         self.change_endpoints(
             [
-                Endpoint(r, EndpointState.READY, w, 0, 0, slow_start_since if r == 2 else 0)
-                for r, w in enumerate((4.0, 1.0, 4.0))
+                Endpoint(index, EndpointState.READY, weight, 0, 0, slow_start_since if index == 2 else 0)
+                for index, weight in enumerate((4.0, 1.0, 4.0))
             ]
         )
-        sizes = [backend.weight for backend in self.backends]
+        weights = [backend.weight for backend in self.backends]
         own_slots = sum(backend.own_slots for backend in self.backends)
-        self.say(f"sizes {sizes}, own units still counted {own_slots:.0f}")
+        self.say(f"sizes {weights}, own units still counted {own_slots:.0f}")
         self.receive_request(4, work=0)
         self.close("carry-first")
