--- a/tests/service/cluster/test_admin_messages.py
+++ b/tests/service/cluster/test_admin_messages.py
@@ -1,4 +1,4 @@
-"""The JSON of admin answers keeps its keys and their order."""
+"""The JSON of admin answers: its keys and their order."""
 
 import unittest
 from http import HTTPStatus
@@ -25,29 +25,31 @@
 
 
 class AdminMessagesTest(unittest.TestCase):
-    def check(self, content: Struct, body: str) -> None:
+    def assert_encoded(self, content: Struct, body: str) -> None:
         self.assertEqual(encode_answer(HTTPStatus.CONFLICT, content), (409, body))
 
-    def test_outcomes_of_calls_keep_their_keys(self) -> None:
-        self.check(CallOutcome(False, "no"), '{"well":false,"text":"no"}')
-        self.check(MembershipOutcome(True, "", {"n": "x:1"}), '{"well":true,"text":"","voters":{"n":"x:1"}}')
-        self.check(PublishOutcome(True, "", 3), '{"well":true,"text":"","number":3}')
-        self.check(
+    def test_call_outcomes_keep_json_keys(self) -> None:
+        self.assert_encoded(CallOutcome(False, "no"), '{"well":false,"text":"no"}')
+        self.assert_encoded(
+            MembershipOutcome(True, "", {"n": "x:1"}), '{"well":true,"text":"","voters":{"n":"x:1"}}'
+        )
+        self.assert_encoded(PublishOutcome(True, "", 3), '{"well":true,"text":"","number":3}')
+        self.assert_encoded(
             AppliedPublishOutcome(True, "", 3, is_active=False, lagging_members=["f"]),
             '{"well":true,"text":"","number":3,"counts":false,"lag":["f"]}',
         )
 
-    def test_documents_keep_their_keys(self) -> None:
-        self.check(ErrorAnswer("no such document"), '{"text":"no such document"}')
-        self.check(
+    def test_document_answers_keep_json_keys(self) -> None:
+        self.assert_encoded(ErrorAnswer("no such document"), '{"text":"no such document"}')
+        self.assert_encoded(
             DocumentAnswer("settings", 1, 2, True, {"a": 1}, [{"number": 1}]),
             '{"doc":"settings","counts":1,"newest":2,"acts":true,"acting":{"a":1},"versions":[{"number":1}]}',
         )
 
-    def test_maintenance_answers_keep_their_keys(self) -> None:
+    def test_maintenance_answers_keep_json_keys(self) -> None:
         job = JobStatus("disks", "go", "", 2, {"m0": MaintenancePhase.RETURNING}, ["m1"])
         phase = MaintenancePhase.RETURNING.value
-        self.check(
+        self.assert_encoded(
             MaintenanceOverview(
                 {"j": job},
                 {"m2": {"work": "j"}},
@@ -62,7 +64,7 @@
             '"steps":[{"index":1}],"waits":[{"machine":"m3","work":"j","why":"r"}],'
             '"leads":true,"leader":"n0","here":["m4"]}',
         )
-        self.check(
+        self.assert_encoded(
             ForecastAnswer(True, [ForecastDeparture(0.0, 1.25, "m", "z", "w")], {"m2": "never"}),
             '{"well":true,"turns":[{"begin":0.0,"end":1.25,"machine":"m","zone":"z","why":"w"}],'
             '"waits":{"m2":"never"}}',
--- a/tests/service/handover/test_transferred_state.py
+++ b/tests/service/handover/test_transferred_state.py
@@ -82,8 +82,8 @@
                 for index in range(3)
             ]
         )
-        # Before the process has an endpoint list of its own, it does not know the weights. Backend 2, which is
-        # in slow start, gets no requests.
+        # Before the process has an endpoint list of its own, it does not know the weights. Backend 2, in slow
+        # start, gets no requests.
         for request_id in range(4):
             self.receive_request(request_id, work=0)
         self.change_endpoints(
--- a/tests/service/maintenance/test_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -1,4 +1,4 @@
-"""One dispatcher's part in the maintenance of machines."""
+"""The maintenance agent of one dispatcher."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,15 +12,23 @@
 from tests.scene import TraceTestCase
 
 
-class IsolatedDispatcherTest(TraceTestCase, unittest.IsolatedAsyncioTestCase):
-    """A machine brought back by hand at a dispatcher that the others can't be reached from."""
+class LocalRestorationTest(TraceTestCase, unittest.IsolatedAsyncioTestCase):
+    """An operator restores a machine at one dispatcher only."""
 
-    async def test_here_is_for_who_is_cut_off_and_ends_when_the_fleet_is_heard(self) -> None:
+    async def test_local_restoration_requires_isolation_and_ends_with_next_lease(self) -> None:
         state = MaintenanceState()
         has_lease = [True]
         machines_out: list[set[str]] = []
-        step = {"uid": "a", "work": "w", "step": "out", "by": "n0", "why": "", "plan": 0, "made_from": 0}
-        state.apply(5, {"steps": [step]}, 0)
+        transition = {
+            "uid": "a",
+            "work": "w",
+            "step": "out",
+            "by": "n0",
+            "why": "",
+            "plan": 0,
+            "made_from": 0,
+        }
+        state.apply(5, {"steps": [transition]}, 0)
         documents = SimpleNamespace(
             replicated=SimpleNamespace(maintenance=state), document=lambda _name: Document()
         )
@@ -39,10 +47,12 @@
             machines_out_changed=lambda: machines_out.append(agent.machines_out()),
         )
         body = b'{"call": "c", "machine": "%s", "step": "here"}'
-        refused = await agent.admin.request_transition(body % b"a")
-        self.assertEqual(refused.accepted, False)  # heard: it is a step of all
+        result = await agent.admin.request_transition(body % b"a")
+        self.assertEqual(result.accepted, False)  # with a lease, it must be restored in the whole cluster
         has_lease[0] = False
-        self.assertEqual((await agent.admin.request_transition(body % b"b")).accepted, False)  # not out
+        self.assertEqual(
+            (await agent.admin.request_transition(body % b"b")).accepted, False
+        )  # `b` is not out
         self.assertEqual((await agent.admin.request_transition(body % b"a")).accepted, True)
         self.assertEqual(machines_out, [set()])
         self.assertEqual(msgspec.to_builtins(agent.admin.describe())["here"], ["a"])
