--- a/crankfold/service/cluster/admin_messages.py
+++ b/crankfold/service/cluster/admin_messages.py
@@ -27,7 +27,7 @@
     content: dict[str, Any] = field(name="text")
     author: str = ""
     reason: str = ""
-    wait: float = 0.0  # seconds to wait at most until all dispatchers have applied the version
+    wait: float = 0.0  # seconds to wait for all dispatchers to apply the version
 
 
 class MembershipChangeRequest(Struct, forbid_unknown_fields=True):
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -27,7 +27,7 @@
 
 
 class LimitsDocument(Struct, forbid_unknown_fields=True):
-    """The schema of the document of cluster-wide limits on admitted requests."""
+    """The schema of the document of cluster-wide limits on open requests."""
 
     limits: dict[str, Annotated[int, Meta(ge=0)]] = field(default_factory=dict)  # by name of the limit
 
--- a/crankfold/service/cluster/event_log.py
+++ b/crankfold/service/cluster/event_log.py
@@ -1,8 +1,7 @@
-"""The event log of a dispatcher with peers: one JSON object per line, read by the fault-injection harness.
+"""The event log of a dispatcher with peers: one JSON object per line, for the invariants of fault injection.
 
-The harness checks its invariants on it. The JSON keys differ from the names in the code; this module maps
-them. A line that cannot be written is dropped with a warning, as no request depends on it. This module is
-imported only with peers.
+The JSON keys differ from the names in the code; this module maps them. A line that cannot be written is
+dropped with a warning, as no request depends on it. Imported only with peers.
 """
 
 import logging
--- a/crankfold/service/handover/actions.py
+++ b/crankfold/service/handover/actions.py
@@ -23,7 +23,7 @@
     """Owns the state machine and carries out its actions; implements `HandoverActions`.
 
     The actions need the parts that serve clients. These parts need the other processes, which the state
-    machine keeps track of. So the constructor builds all of them, from the state machine to these parts.
+    machine keeps track of. So the constructor builds the state machine first and the serving parts last.
 
     Args:
         channel: The connections to the other processes.
@@ -115,7 +115,7 @@
         self.takeover_decision.refuse()
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if its request is at this process; returns whether the callback was handled."""
+        """Handles a callback if this process has its request; returns whether it handled the callback."""
         body = callback.encode()
         callbacks = self.request_handler.callbacks
         return callbacks.has_request(request_id_of(body)) and handle_callback(
--- a/crankfold/service/handover/state_machine.py
+++ b/crankfold/service/handover/state_machine.py
@@ -81,7 +81,7 @@
         """Makes this process look for the process that serves, as the predecessor does not."""
 
     def handle_callback(self, callback: str) -> bool:
-        """Handles a callback if its request is at this process; returns whether the callback was handled."""
+        """Handles a callback if this process has its request; returns whether it handled the callback."""
 
     def apply_manual_drain(self, backend_id: str, drained: bool) -> None:
         """Drains or restores a backend."""
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -38,7 +38,7 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # with an older list no machine is taken out
+MAX_ENDPOINT_LIST_AGE = 15 * TICKS_PER_SECOND  # no machine is taken out while the list is older
 AREA_OF_SCOPE = {DeduplicationScope.ZONE: Area.ZONE, DeduplicationScope.CELL: Area.CELL}
 
 
@@ -267,7 +267,7 @@
     Args:
         own_name: The name of this dispatcher.
         cluster_report: The reports of all dispatchers.
-        available_dispatchers: Machine ids of dispatchers that are available.
+        available_dispatchers: Machine ids of dispatchers that hold a lease and are up to date.
         machine_id: The machine id of a backend or a dispatcher.
         index: The log index of the transition that took the machine out.
     """
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -19,7 +19,7 @@
 logger = logging.getLogger(__name__)
 
 PROPOSE_TIMEOUT = 10.0  # seconds until an outcome is proposed again
-MAX_ERROR_OUTPUT = 200  # characters from the end of a command's standard error that its outcome has
+MAX_ERROR_OUTPUT = 200  # characters; a longer standard error output of a command is cut to its end
 
 
 class CommandKey(NamedTuple):
