--- a/tests/consensus/test_conservative_merge.py
+++ b/tests/consensus/test_conservative_merge.py
@@ -10,28 +10,31 @@
 
 
 class ConservativeMergeTest(TraceTestCase):
-    def test_the_merge_permits_only_what_both_versions_permit(self) -> None:
-        def show(doc: str, old: dict[str, Any], new: dict[str, Any]) -> None:
-            self.say(f"{doc}: {msgspec.json.encode(conservative_merge(doc, old, new)).decode()}")
+    def test_merge_permits_only_what_both_versions_permit(self) -> None:
+        def record_merge(document: str, old: dict[str, Any], new: dict[str, Any]) -> None:
+            self.say(f"{document}: {msgspec.json.encode(conservative_merge(document, old, new)).decode()}")
 
-        def request_class(**more: Any) -> dict[str, Any]:
-            return {"service-grades": [{"name": "g", "effect": "safe", "cut-off": 5, **more}], "allowed": {}}
+        def make_settings(**fields: Any) -> dict[str, Any]:
+            return {
+                "service-grades": [{"name": "g", "effect": "safe", "cut-off": 5, **fields}],
+                "allowed": {},
+            }
 
-        with_key = request_class(effect="keyed", group="all")
-        with_key["service-grades"][0]["repeat-window"] = 9
-        narrow = request_class(effect="keyed", group="zone")
-        narrow["service-grades"][0]["repeat-window"] = 7
-        show(SETTINGS, request_class(), request_class(effect="unsafe"))
-        show(SETTINGS, request_class(effect="unsafe"), with_key)
-        show(SETTINGS, request_class(), with_key)
-        show(SETTINGS, with_key, narrow)
-        show(SETTINGS, request_class(), {"service-grades": [], "allowed": {"most-dispatches": 2}})
-        show(
+        global_key = make_settings(effect="keyed", group="all")
+        global_key["service-grades"][0]["repeat-window"] = 9
+        zone_key = make_settings(effect="keyed", group="zone")
+        zone_key["service-grades"][0]["repeat-window"] = 7
+        record_merge(SETTINGS, make_settings(), make_settings(effect="unsafe"))
+        record_merge(SETTINGS, make_settings(effect="unsafe"), global_key)
+        record_merge(SETTINGS, make_settings(), global_key)
+        record_merge(SETTINGS, global_key, zone_key)
+        record_merge(SETTINGS, make_settings(), {"service-grades": [], "allowed": {"most-dispatches": 2}})
+        record_merge(
             SETTINGS,
-            {**request_class(), "allowed": {"most-dispatches": 2, "second-copies": True}},
-            {**request_class(), "allowed": {"most-dispatches": 3, "second-copies": False}},
+            {**make_settings(), "allowed": {"most-dispatches": 2, "second-copies": True}},
+            {**make_settings(), "allowed": {"most-dispatches": 3, "second-copies": False}},
         )
-        show("runners-out", {"runners": {"a": "why"}}, {"runners": {"b": "why"}})
-        show("limits", {"limits": {"grade:g": 5}}, {"limits": {"grade:g": 3, "tenant:t": 2}})
-        show(QUOTAS, {"shares": {"l": {"a": 5, "b": 1, "c": 2}}}, {"shares": {"l": {"a": 1, "b": 5}}})
+        record_merge("runners-out", {"runners": {"a": "why"}}, {"runners": {"b": "why"}})
+        record_merge("limits", {"limits": {"grade:g": 5}}, {"limits": {"grade:g": 3, "tenant:t": 2}})
+        record_merge(QUOTAS, {"shares": {"l": {"a": 5, "b": 1, "c": 2}}}, {"shares": {"l": {"a": 1, "b": 5}}})
         self.close("consensus-merge")
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases that a voter grants: what it knows of their holders, and what it does not."""
+"""Leases to followers and voters, the reports of their holders, and incarnations."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 OWN = AppliedBounds(lowest_applied=9, quiesced=8)
 
 
-def heartbeat(
+def make_heartbeat(
     sent_at: int, last_applied: int, incarnation: int = 1, report: MaintenanceReport | None = None
 ) -> FollowerHeartbeat:
     return FollowerHeartbeat("f", incarnation, sent_at, last_applied, last_applied, {}, report)
@@ -26,9 +26,9 @@
     def setUp(self) -> None:
         self.leases = LeaseTable(TIMING, STARTED_AT)
 
-    def holder(self, last_applied: int, report: MaintenanceReport | None = None) -> None:
+    def add_holder(self, last_applied: int, report: MaintenanceReport | None = None) -> None:
         holder = self.leases.record_heartbeat(
-            LATER, heartbeat(1, last_applied, report=report), REQUEST_DURATION
+            LATER, make_heartbeat(1, last_applied, report=report), REQUEST_DURATION
         )
         assert holder
         self.leases.grant(LATER, holder, 1000)
@@ -37,58 +37,60 @@
     def bounds(self, now: int) -> AppliedBounds:
         return self.leases.applied_bounds(now, OWN, REQUEST_DURATION)
 
-    def test_a_holder_bounds_what_is_applied_until_its_lease_has_expired(self) -> None:
-        self.holder(last_applied=5)
+    def test_holder_lowers_applied_bounds_until_its_lease_and_requests_end(self) -> None:
+        self.add_holder(last_applied=5)
         self.assertEqual(self.bounds(self.expires_at - 1), AppliedBounds(5, 5))
         self.assertEqual(self.bounds(self.expires_at), AppliedBounds(9, 5))
         self.assertEqual(self.bounds(self.expires_at + REQUEST_DURATION), OWN)
 
-    def test_leases_of_an_earlier_process_may_run_at_the_start(self) -> None:
+    def test_applied_bounds_are_zero_while_leases_of_earlier_process_may_run(self) -> None:
         expired_at = STARTED_AT + TIMING.lease_expiry_wait
         self.assertEqual(self.bounds(expired_at - 1), AppliedBounds(0, 0))
         self.assertEqual(self.bounds(expired_at), AppliedBounds(9, 0))
         self.assertEqual(self.bounds(expired_at + REQUEST_DURATION), OWN)
 
-    def test_a_heartbeat_that_was_overtaken_changes_nothing(self) -> None:
-        self.leases.record_heartbeat(LATER, heartbeat(20, 6), REQUEST_DURATION)
-        self.assertIsNone(self.leases.record_heartbeat(LATER, heartbeat(10, 5), REQUEST_DURATION))
+    def test_overtaken_heartbeat_is_ignored(self) -> None:
+        self.leases.record_heartbeat(LATER, make_heartbeat(20, 6), REQUEST_DURATION)
+        self.assertIsNone(self.leases.record_heartbeat(LATER, make_heartbeat(10, 5), REQUEST_DURATION))
         self.assertEqual(self.leases.holders["f"].last_applied, 6)
 
-    def test_a_holder_is_suspected_when_silent_and_expired_after_its_lease(self) -> None:
-        self.holder(last_applied=5)
+    def test_holder_state_follows_contact_lease_and_release(self) -> None:
+        self.add_holder(last_applied=5)
         holder = self.leases.holders["f"]
         self.leases.grant(LATER, holder, 10_000)
-        silent = LATER + TIMING.contact_timeout
-        states = [self.leases.state_of(now, holder) for now in (silent - 1, silent, holder.expires_at)]
+        suspected_at = LATER + TIMING.contact_timeout
+        states = [
+            self.leases.state_of(now, holder) for now in (suspected_at - 1, suspected_at, holder.expires_at)
+        ]
         self.assertEqual(
             states, [LeaseHolderState.ALIVE, LeaseHolderState.SUSPECTED, LeaseHolderState.EXPIRED]
         )
-        self.leases.release(LATER, Leave("f", incarnation=2))  # another process of that name
+        self.leases.release(LATER, Leave("f", incarnation=2))  # from another process of that name
         self.assertFalse(holder.has_left)
         self.leases.release(LATER, Leave("f", incarnation=1))
         self.assertEqual(self.leases.state_of(LATER, holder), LeaseHolderState.LEFT)
         self.assertEqual(holder.expires_at, LATER)
 
-    def test_a_holder_that_reports_nothing_keeps_machines_from_being_drained(self) -> None:
+    def test_holder_without_report_keeps_drained_index_at_zero(self) -> None:
         for report, drained_index in ((None, 0), (MaintenanceReport(in_flight={"m": 2}), 5)):
-            self.holder(last_applied=5, report=report)
+            self.add_holder(last_applied=5, report=report)
             own = SubtreeReport("v0", 9, MaintenanceReport(in_flight={"m": 1}))
             subtree = self.leases.subtree_report(LATER, own, REQUEST_DURATION)
             self.assertEqual(subtree.drained_index, drained_index)
         assert subtree.report
         self.assertEqual(subtree.report.in_flight, {"m": 3})
 
-    def test_a_holder_is_forgotten_long_after_its_lease(self) -> None:
-        self.holder(last_applied=5)
-        forgotten_after = self.expires_at + REQUEST_DURATION + 60 * TIMING.lease_duration
-        self.leases.drop_expired(forgotten_after, REQUEST_DURATION)
+    def test_holder_is_removed_after_retention_period(self) -> None:
+        self.add_holder(last_applied=5)
+        retained_until = self.expires_at + REQUEST_DURATION + 60 * TIMING.lease_duration
+        self.leases.drop_expired(retained_until, REQUEST_DURATION)
         self.assertIn("f", self.leases.holders)
-        self.leases.drop_expired(forgotten_after + 1, REQUEST_DURATION)
+        self.leases.drop_expired(retained_until + 1, REQUEST_DURATION)
         self.assertEqual(self.leases.holders, {})
 
 
 class LeaderLeasesTest(unittest.TestCase):
-    def test_reports_count_while_a_lease_may_run(self) -> None:
+    def test_leased_reports_end_with_the_lease_of_their_voter(self) -> None:
         leases = LeaderLeases()
         request = LeaseRequest(1, 7, sent_at=50, lowest_applied_index=4, quiesced_index=3)
         self.assertTrue(leases.record(100, "v1", request))
@@ -103,7 +105,7 @@
 
 
 class ClusterReportTest(unittest.TestCase):
-    def test_a_machine_is_free_when_everyone_has_reported_and_nobody_holds_requests(self) -> None:
+    def test_machine_is_drained_once_all_members_report_no_requests_in_flight(self) -> None:
         subtrees = [
             SubtreeReport("v0", 9, MaintenanceReport()),
             SubtreeReport("v1", 5, MaintenanceReport(in_flight={"m": 2})),
@@ -117,20 +119,14 @@
 
 
 class IncarnationTrackerTest(unittest.TestCase):
-    def test_messages_of_an_earlier_incarnation_are_not_accepted(self) -> None:
+    def test_retired_incarnation_is_not_accepted(self) -> None:
         tracker = IncarnationTracker()
         self.assertEqual(
             [tracker.accept("n", incarnation) for incarnation in (1, 1, 2, 1, 2)],
-            [
-                True,
-                True,
-                True,
-                False,
-                True,
-            ],
+            [True, True, True, False, True],
         )
 
-    def test_a_question_about_an_incarnation_retires_none(self) -> None:
+    def test_is_retired_leaves_current_incarnation_unchanged(self) -> None:
         tracker = IncarnationTracker()
         tracker.accept("n", 1)
         self.assertFalse(tracker.is_retired("n", 2))
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -1,4 +1,4 @@
-"""Single voters and followers, told the time by hand."""
+"""Single voters and followers, on a clock that the tests advance."""
 
 from typing import Any
 
@@ -21,25 +21,23 @@
 from tests.scene import TraceTestCase
 
 
-class PickyHost(IdleHost):
-    """Judges every document alike."""
+class StubValidationHost(IdleHost):
+    """Returns the same validation error for every document; an empty one accepts all documents."""
 
     def __init__(self, error: str) -> None:
         self.error = error
 
-    def validate_document(self, name: str, content: dict[str, Any]) -> str:  # noqa: ARG002 - as the base names it
+    def validate_document(self, name: str, content: dict[str, Any]) -> str:  # noqa: ARG002 - the signature of the base class
         return self.error
 
 
 class SingleMemberTest(TraceTestCase):
-    """Members without a cluster, told the time by hand."""
-
     def setUp(self) -> None:
         super().setUp()
         self.timing = Timing(20_000)
 
-    def voter(self, validation_error: str = "") -> Voter:
-        """Leads alone, as the only one: its own majority."""
+    def make_voter(self, validation_error: str = "") -> Voter:
+        """Returns the leader of a cluster in which it is the only voter."""
         voter = Voter(
             "v0",
             PersistentState(),
@@ -49,14 +47,14 @@
             seed=1,
             incarnation=5,
             folder_id="here",
-            host=PickyHost(validation_error),
+            host=StubValidationHost(validation_error),
             initial_settings=settings_document("safe"),
         )
         self.now = 0
         self.run_until(voter, 60_000)
         return voter
 
-    def follower(self, seed: int, incarnation: int, now: int | None = None) -> Follower:
+    def make_follower(self, seed: int, incarnation: int, now: int | None = None) -> Follower:
         return Follower(
             "f",
             ["v0"],
@@ -82,24 +80,24 @@
         voter: Voter,
         proposal_id: str,
         made_from: int,
-        doc: str = SETTINGS,
-        text: dict[str, Any] | None = None,
+        document: str = SETTINGS,
+        content: dict[str, Any] | None = None,
     ) -> None:
         voter.propose(
             self.now,
             proposal_id,
             "publish",
             {
-                "doc": doc,
+                "doc": document,
                 "made_from": made_from,
                 "author": "o",
                 "reason": "r",
                 "at": 0,
-                "text": text or settings_document("unsafe"),
+                "text": content or settings_document("unsafe"),
             },
         )
 
-    def say_responses(self, voter: Voter) -> None:
+    def record_responses(self, voter: Voter) -> None:
         self.run_until(voter, self.now + 200)
         for response in voter.proposal_responses:
             self.say(
@@ -108,64 +106,64 @@
             )
         voter.proposal_responses.clear()
 
-    def test_a_publish_has_one_outcome_however_often_it_is_proposed(self) -> None:
-        voter = self.voter()
+    def test_repeated_publish_has_one_outcome(self) -> None:
+        voter = self.make_voter()
         self.say(f"at first {voter.documents.version_numbers()}")
         self.publish(voter, "a", 1)
-        self.publish(voter, "b", 1)  # another operator at the same moment
-        self.say_responses(voter)
-        self.publish(voter, "a", 1)  # its answer was lost
-        self.say_responses(voter)
+        self.publish(voter, "b", 1)  # from another operator at the same time
+        self.record_responses(voter)
+        self.publish(voter, "a", 1)  # sent again, because the response was lost
+        self.record_responses(voter)
         self.say(
             f"then {voter.documents.version_numbers()}, "
             f"{len(voter.documents.document(SETTINGS).versions)} in the history"
         )
-        rejecting = self.voter("settings.service-grades: missing")
+        rejecting = self.make_voter("settings.service-grades: missing")
         self.publish(rejecting, "c", 1)
-        self.say_responses(rejecting)
+        self.record_responses(rejecting)
         self.close("consensus-publish")
 
-    def test_a_follower_is_sent_a_snapshot_and_a_name_has_one_holder(self) -> None:
-        voter = self.voter()
-        for n in range(1, 160):
-            self.publish(voter, f"c{n}", n)
+    def test_follower_gets_snapshot_and_second_process_of_its_name_is_rejected(self) -> None:
+        voter = self.make_voter()
+        for version in range(1, 160):
+            self.publish(voter, f"c{version}", version)
             self.run_until(voter, self.now + 200)
         self.assertGreater(voter.raft.log.snapshot.index, 0)
-        follower = self.follower(1, 9)
-        self.exchange(voter, follower)
+        follower = self.make_follower(1, 9)
+        self.exchange_messages(voter, follower)
         self.assertEqual(follower.documents.version_numbers(), voter.documents.version_numbers())
         self.assertTrue(follower.has_lease(self.now))
-        # A second process of the same name is refused while the first one holds its lease.
-        second = self.follower(2, 10)
-        self.exchange(voter, second)
+        # Another process with the same name is rejected while the first one holds its lease.
+        second = self.make_follower(2, 10)
+        self.exchange_messages(voter, second)
         self.assertFalse(second.has_lease(self.now))
         self.assertEqual(second.rejection_reason, "the name f is in use by another process")
-        # A follower that leaves gives its name back at once.
+        # A follower that leaves releases its name at once.
         follower.leave(self.now)
         voter.receive(self.now, "f", Leave("f", 9))
-        self.exchange(voter, second)
+        self.exchange_messages(voter, second)
         self.assertTrue(second.has_lease(self.now))
 
-    # Guards against the reason of an old rejection that is shown when the voter is cut off later.
-    def test_a_voter_forgets_its_rejection_with_the_next_lease(self) -> None:
-        voter = self.voter()
-        voter.rejection_reason = "another folder"  # as before it was elected
+    # Guards against a voter that shows the reason of an old rejection when it is isolated later.
+    def test_voter_clears_rejection_reason_when_granted_lease(self) -> None:
+        voter = self.make_voter()
+        voter.rejection_reason = "another folder"  # from before its election
         voter.receive(self.now, "v1", LeaseGrant(voter.raft.term, self.now, 1000, voter.last_applied))
         self.assertEqual(voter.rejection_reason, "")
 
-    def exchange(self, voter: Voter, follower: Follower) -> None:
+    def exchange_messages(self, voter: Voter, follower: Follower) -> None:
         until = self.now + 5000
         while self.now < until:
             messages = self.run_until(voter, self.now + 100)
-            for to, message in messages:
-                if to == follower.name:
+            for receiver, message in messages:
+                if receiver == follower.name:
                     follower.receive(self.now, "v0", message)
             follower.tick(self.now)
             for _, message in follower.take_immediate_messages():
                 voter.receive(self.now, follower.name, message)
 
-    def test_a_lease_that_an_earlier_process_asked_for_does_not_count(self) -> None:
-        follower = self.follower(1, 9, now=50_000)
+    def test_lease_requested_by_earlier_process_is_ignored(self) -> None:
+        follower = self.make_follower(1, 9, now=50_000)
         follower.receive(50_100, "v0", FollowerUpdate(49_000, 16_000, 0, None, [], 0, 0))
         self.assertFalse(follower.has_lease(50_100))
         follower.receive(50_100, "v0", FollowerUpdate(50_050, 16_000, 0, None, [], 0, 0))
@@ -173,7 +171,7 @@
         self.assertFalse(follower.has_lease(66_050))
 
     def change_voters_error(self, voter: Voter, voters: dict[str, str]) -> str:
-        """Why they can't be the voters; empty if the change is proposed."""
+        """Returns why the change to these voters is not permitted; empty if it is proposed."""
         try:
             voter.raft.change_voters(self.now, voters)
         except MembershipChangeError as error:
@@ -181,7 +179,7 @@
         return ""
 
     def test_voters_change_one_at_a_time(self) -> None:
-        voter = self.voter()
+        voter = self.make_voter()
         self.say(self.change_voters_error(voter, {"v0": "", "v1": "", "v2": ""}))
         self.say(self.change_voters_error(voter, {}))
         self.say(self.change_voters_error(voter, {"v0": "", "v1": "x"}) or "taken")
@@ -189,16 +187,16 @@
         self.say(f"voters {sorted(voter.raft.voters)}")
         self.close("consensus-voters")
 
-    def test_a_voter_with_another_folder_is_not_admitted(self) -> None:
-        voter = self.voter()
+    def test_voter_with_another_folder_is_not_admitted(self) -> None:
+        voter = self.make_voter()
         self.say(voter.admit("v0", "here") or "admitted")
         self.say(voter.admit("v0", "elsewhere"))
-        voter.documents.apply(99, LogEntry(1, "voters", {"voters": {}}))  # taken out
+        voter.documents.apply(99, LogEntry(1, "voters", {"voters": {}}))  # removes the voter
         self.say(voter.admit("v0", "elsewhere") or "admitted anew")
         self.close("consensus-folders")
 
-    def test_senseless_messages_of_strangers_change_nothing(self) -> None:
-        voter = self.voter()
+    def test_invalid_messages_from_unknown_senders_are_ignored(self) -> None:
+        voter = self.make_voter()
         voter.receive(self.now, "x", ProposalRequest("z", "nonsense", {}))
         voter.receive(self.now, "x", RequestVote(0, 0, 0, False))
         self.assertTrue(voter.is_leader())
--- a/tests/consensus/test_message_forms.py
+++ b/tests/consensus/test_message_forms.py
@@ -1,16 +1,14 @@
-"""Messages between members, written by 82f8a95 (tests/data), are decoded and encoded byte by byte."""
+"""Messages between members that commit 82f8a95 recorded (tests/data) keep their encoding byte by byte."""
 
 import msgspec
 
 from crankfold.cluster.framing import FrameDecoder, encode_frame
 from tests.data.write_fixtures import DATA
 from tests.scene import TraceTestCase
-from tests.stored_forms import (
-    MESSAGES,
-)
+from tests.stored_forms import MESSAGES
 
-# A message's tag and how many fields follow it, as they stand on the wire.
-TAGS = {
+# By recorded file: the tag of the message on the wire and the number of fields after it.
+TAGS_AND_FIELD_COUNTS = {
     "hello": ("h", 4),
     "ballot": ("b", 4),
     "ballot-answer": ("B", 3),
@@ -31,26 +29,28 @@
 }
 
 
-class MessageFormsTest(TraceTestCase):
-    def test_each_message_is_decoded_and_encoded_as_before(self) -> None:
+class MessageEncodingTest(TraceTestCase):
+    def test_recorded_messages_are_decoded_and_encoded_unchanged(self) -> None:
         files = {path.stem: path.read_bytes() for path in (DATA / "messages").iterdir()}
         self.assertEqual(files.keys(), MESSAGES.keys())
         for name, data in files.items():
             with self.subTest(name):
                 self.assertEqual(FrameDecoder().feed(data), MESSAGES[name])
-                self.assertEqual(b"".join(encode_frame(one) for one in FrameDecoder().feed(data)), data)
+                self.assertEqual(
+                    b"".join(encode_frame(message) for message in FrameDecoder().feed(data)), data
+                )
 
-    def test_each_message_has_its_tag_and_its_number_of_fields(self) -> None:
+    def test_recorded_messages_have_expected_tag_and_field_count(self) -> None:
         for name, messages in MESSAGES.items():
             data = (DATA / "messages" / f"{name}.frames").read_bytes()
             for _ in messages:
                 size = int.from_bytes(data[:4], "big")
                 tag, *fields = msgspec.msgpack.decode(data[4 : 4 + size])
                 data = data[4 + size :]
-                self.assertEqual((tag, len(fields)), TAGS[name])
+                self.assertEqual((tag, len(fields)), TAGS_AND_FIELD_COUNTS[name])
             self.assertEqual(data, b"")
 
-    def test_fields_left_out_by_an_older_process_have_their_defaults(self) -> None:
+    def test_fields_omitted_by_older_process_get_defaults(self) -> None:
         for name in ("ask", "follow"):
             data = (DATA / "messages" / f"{name}.frames").read_bytes()
             fields = msgspec.msgpack.decode(data[4 : 4 + int.from_bytes(data[:4], "big")])
--- a/tests/consensus/test_quotas.py
+++ b/tests/consensus/test_quotas.py
@@ -5,7 +5,7 @@
 
 
 class QuotaAllocationTest(TraceTestCase):
-    def test_a_limit_is_allocated_completely_in_proportion_to_usage(self) -> None:
+    def test_limit_is_allocated_completely_in_proportion_to_usage(self) -> None:
         for usage in ({"a": 0, "b": 0, "c": 0}, {"a": 20, "b": 1, "c": 0}, {"a": 5}):
             quotas = allocate_quotas({"l": 10}, {name: {"l": used} for name, used in usage.items()})
             self.say(f"{usage}: {quotas['l']}")
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,4 @@
-"""All orders of events of a small cluster of Raft nodes, to a stated depth."""
+"""Model checking of a small cluster of Raft nodes: all orders of events up to a limited depth."""
 
 import unittest
 
@@ -11,14 +11,14 @@
 VOTERS = ("v0", "v1", "v2")
 
 
-class VotesTwice(Raft):
+class DoubleVotingRaft(Raft):
     def _handle_request_vote(self, now: int, sender: str, request: RequestVote) -> None:
         self.vote = "" if request.term == self.term and not request.pre_vote else self.vote
         super()._handle_request_vote(now, sender, request)
 
 
 class ModelCheckerTest(unittest.TestCase):
-    def test_every_order_of_events_in_a_small_case_is_safe(self) -> None:
+    def test_every_order_of_events_in_small_cluster_is_safe(self) -> None:
         states, violation = model_checker.explore(
             5,
             {
@@ -32,9 +32,9 @@
         self.assertEqual(violation, "")
         self.assertGreater(states, 5000)
 
-    def test_a_voter_that_votes_twice_is_found(self) -> None:
+    def test_node_that_votes_twice_in_a_term_is_detected(self) -> None:
         def make_node(name: str, stored: PersistentState) -> Raft:
-            return VotesTwice(
+            return DoubleVotingRaft(
                 name,
                 stored,
                 {voter: "" for voter in VOTERS},
--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -1,4 +1,4 @@
-"""Documents and their history, written by 82f8a95 (tests/data), are read and written as they were."""
+"""Documents and log entries that commit 82f8a95 stored (tests/data) are decoded and encoded unchanged."""
 
 import msgspec
 
@@ -15,73 +15,69 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Placement
 from tests.data.write_fixtures import DATA
 from tests.scene import TraceTestCase
-from tests.stored_forms import (
-    HISTORY,
-    LOCATION,
-    WORKS,
-    WORKS_1,
-    WORKS_2,
-)
+from tests.stored_forms import HISTORY, LOCATION, WORKS, WORKS_1, WORKS_2
 
-OF_DOCUMENTS = DATA / "documents"
+DOCUMENTS_DIRECTORY = DATA / "documents"
 
 
-def version(number: int, index: int, call: str, text: object) -> DocumentVersion:
+def make_version(number: int, index: int, proposal_id: str, text: object) -> DocumentVersion:
     assert isinstance(text, dict)
     return DocumentVersion(
         number=number,
         made_from=number - 1,
         author="operator",
-        reason=f"why {call}",
+        reason=f"why {proposal_id}",
         at=1_700_000_000_000,
         text=text,
         index=index,
     )
 
 
-def step(index: int, uid: str, what: str, work: str) -> TransitionRecord:
+def make_transition(index: int, machine_id: str, phase: str, job: str) -> TransitionRecord:
     return TransitionRecord(
         index=index,
-        machine_id=uid,
-        job=work,
-        phase=MaintenancePhase(what),
+        machine_id=machine_id,
+        job=job,
+        phase=MaintenancePhase(phase),
         by="n0",
-        reason=f"{what} {uid}",
+        reason=f"{phase} {machine_id}",
         at_ms=1_700_000_100_000,
     )
 
 
-KNOWN = ReplicatedState(
+STORED_STATE = ReplicatedState(
     documents={
         "settings": Document(
             active_number=1,
             versions=[
-                version(1, 3, "begin", HISTORY[2].data["text"]),
-                version(2, 5, "c1", HISTORY[4].data["text"]),
+                make_version(1, 3, "begin", HISTORY[2].data["text"]),
+                make_version(2, 5, "c1", HISTORY[4].data["text"]),
             ],
         ),
         "limits": Document(
             active_number=1,
-            versions=[version(1, 8, "c3", {"limits": {"all": 9, "grade:g": 4, "tenant:t": 0}})],
+            versions=[make_version(1, 8, "c3", {"limits": {"all": 9, "grade:g": 4, "tenant:t": 0}})],
         ),
         "deal": Document(
             active_number=1,
             versions=[
-                version(1, 10, "c4", {"shares": {"all": {"n0": 5, "n1": 4}, "grade:g": {"n0": 4, "n1": 0}}})
+                make_version(
+                    1, 10, "c4", {"shares": {"all": {"n0": 5, "n1": 4}, "grade:g": {"n0": 4, "n1": 0}}}
+                )
             ],
         ),
         "runners-out": Document(
             active_number=1,
             versions=[
-                version(1, 12, "c5", {"runners": {"r9": "smells"}}),
-                version(2, 14, "c6", {"runners": {"r8": "noise"}}),
+                make_version(1, 12, "c5", {"runners": {"r9": "smells"}}),
+                make_version(2, 14, "c6", {"runners": {"r8": "noise"}}),
             ],
         ),
         "runners-never": Document(
-            active_number=1, versions=[version(1, 15, "c7", {"runners": {"r7": "stolen"}})]
+            active_number=1, versions=[make_version(1, 15, "c7", {"runners": {"r7": "stolen"}})]
         ),
         "works": Document(
-            active_number=2, versions=[version(1, 17, "c8", WORKS_1), version(2, 19, "c9", WORKS_2)]
+            active_number=2, versions=[make_version(1, 17, "c8", WORKS_1), make_version(2, 19, "c9", WORKS_2)]
         ),
     },
     outcomes={
@@ -143,19 +139,19 @@
         change_count=7,
         latest_wall_ms=1_700_000_100_000,
         transitions=[
-            step(21, "r1", "out", "disks"),
-            step(22, "r1", "free", "disks"),
-            step(23, "r1", "work", "disks"),
-            step(24, "r1", "ended", "disks"),
-            step(25, "r1", "free", "bios"),
-            step(26, "r2", "out", "disks"),
-            step(27, "r2", "back", "disks"),
-            step(28, "r2", "well", "disks"),
-            step(29, "r3", "out", "disks"),
-            step(30, "r3", "free", "disks"),
-            step(31, "r3", "unwell", "disks"),
-            step(33, "disks", "halt", "disks"),
-            step(35, "r3", "back", "disks"),
+            make_transition(21, "r1", "out", "disks"),
+            make_transition(22, "r1", "free", "disks"),
+            make_transition(23, "r1", "work", "disks"),
+            make_transition(24, "r1", "ended", "disks"),
+            make_transition(25, "r1", "free", "bios"),
+            make_transition(26, "r2", "out", "disks"),
+            make_transition(27, "r2", "back", "disks"),
+            make_transition(28, "r2", "well", "disks"),
+            make_transition(29, "r3", "out", "disks"),
+            make_transition(30, "r3", "free", "disks"),
+            make_transition(31, "r3", "unwell", "disks"),
+            make_transition(33, "disks", "halt", "disks"),
+            make_transition(35, "r3", "back", "disks"),
         ],
     ),
 )
@@ -164,17 +160,17 @@
 class StoredDocumentsTest(TraceTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.state = (OF_DOCUMENTS / "state.msgpack").read_bytes()
+        self.encoded_state = (DOCUMENTS_DIRECTORY / "state.msgpack").read_bytes()
 
-    def test_a_stored_state_is_decoded_and_encoded_as_before(self) -> None:
-        docs = VersionedDocuments(self.state)
-        self.assertEqual(docs.replicated, KNOWN)
-        self.assertEqual(docs.encode(), self.state)
+    def test_stored_state_is_decoded_and_encoded_unchanged(self) -> None:
+        documents = VersionedDocuments(self.encoded_state)
+        self.assertEqual(documents.replicated, STORED_STATE)
+        self.assertEqual(documents.encode(), self.encoded_state)
 
-    def test_a_stored_state_gives_the_same_effective_content(self) -> None:
-        docs = VersionedDocuments(self.state)
+    def test_stored_state_has_expected_effective_content(self) -> None:
+        documents = VersionedDocuments(self.encoded_state)
         self.assertEqual(
-            docs.version_numbers(),
+            documents.version_numbers(),
             {
                 "settings": (1, 2),
                 "limits": (1, 1),
@@ -185,7 +181,7 @@
             },
         )
         self.assertEqual(
-            docs.effective_content("settings"),
+            documents.effective_content("settings"),
             {
                 "service-grades": [
                     {
@@ -201,22 +197,24 @@
                 "allowed": {"most-dispatches": 3, "second-copies": True, "cancel": False},
             },
         )
-        self.assertEqual(docs.effective_content("runners-out"), {"runners": {"r9": "smells", "r8": "noise"}})
-        self.assertEqual(docs.effective_content("works"), WORKS_2)
         self.assertEqual(
-            [(name, one.number) for name, one in docs.pending_versions()],
+            documents.effective_content("runners-out"), {"runners": {"r9": "smells", "r8": "noise"}}
+        )
+        self.assertEqual(documents.effective_content("works"), WORKS_2)
+        self.assertEqual(
+            [(name, version.number) for name, version in documents.pending_versions()],
             [("settings", 2), ("runners-out", 2)],
         )
-        self.assertEqual(docs.max_request_duration(), 50_000)
+        self.assertEqual(documents.max_request_duration(), 50_000)
 
-    def test_the_stored_history_gives_the_stored_state(self) -> None:
-        data = (OF_DOCUMENTS / "history.msgpack").read_bytes()
+    def test_applying_stored_entries_gives_stored_state(self) -> None:
+        data = (DOCUMENTS_DIRECTORY / "history.msgpack").read_bytes()
         history = msgspec.msgpack.decode(data, type=list[LogEntry])
         self.assertEqual(history, HISTORY)
         self.assertEqual(msgspec.msgpack.encode(history), data)
-        docs = VersionedDocuments()
-        changed = [docs.apply(index, entry) for index, entry in enumerate(history, 1)]
-        self.assertEqual(docs.encode(), self.state)
+        documents = VersionedDocuments()
+        changed = [documents.apply(index, entry) for index, entry in enumerate(history, 1)]
+        self.assertEqual(documents.encode(), self.encoded_state)
         self.assertEqual(
             changed,
             [
@@ -244,8 +242,8 @@
             ],
         )
 
-    def test_stored_maintenance_jobs_are_decoded_and_encoded_as_before(self) -> None:
-        data = (OF_DOCUMENTS / "works.json").read_bytes()
+    def test_stored_maintenance_jobs_are_decoded_and_encoded_unchanged(self) -> None:
+        data = (DOCUMENTS_DIRECTORY / "works.json").read_bytes()
         jobs = parse_jobs(msgspec.json.decode(data))
         self.assertEqual(jobs, WORKS)
         self.assertEqual(msgspec.json.encode({"works": jobs}), data)
--- a/tests/consensus/test_versioned_documents.py
+++ b/tests/consensus/test_versioned_documents.py
@@ -1,4 +1,4 @@
-"""Documents with versions: pending, active, encoded."""
+"""Documents with pending and active versions, and the encoding of their state."""
 
 from crankfold.consensus.messages import LogEntry
 from crankfold.consensus.versioned_documents import VersionedDocuments
@@ -12,7 +12,7 @@
         content = documents.effective_content("runners-out") or {}
         return sorted(content["runners"])
 
-    def test_a_backend_drained_and_restored_is_drained_until_the_restoring_version_is_active(self) -> None:
+    def test_restored_backend_stays_drained_until_restoring_version_is_active(self) -> None:
         documents = VersionedDocuments()
         for number, drained in ((1, {}), (2, {"a": "work"}), (3, {})):
             data = {
@@ -29,7 +29,7 @@
             self.say(f"counts {number}: out {self.drained_backends(documents)}")
         self.close("consensus-drained-and-restored")
 
-    def test_an_encoded_state_is_restored_with_all_retained_versions(self) -> None:
+    def test_encoded_state_is_restored_with_all_retained_versions(self) -> None:
         documents = VersionedDocuments()
         for number in range(1, 70):
             data = {
