--- a/tests/service/backends/test_manual_drains.py
+++ b/tests/service/backends/test_manual_drains.py
@@ -1,4 +1,4 @@
-"""Manual drains, laid over the endpoint list."""
+"""Manual drains override the endpoint list."""
 
 from crankfold.routing.interface import Endpoint, EndpointState
 from crankfold.service.backends.manual_drains import ManualDrains
@@ -6,7 +6,7 @@
 
 
 class ManualDrainsTest(TraceTestCase):
-    def test_drains_lie_over_what_is_listed(self) -> None:
+    def test_drains_override_listed_state_and_start(self) -> None:
         drains = ManualDrains()
 
         def record_endpoint(now: int, state: EndpointState, started_at: int) -> None:
--- a/tests/service/requests/test_attempts.py
+++ b/tests/service/requests/test_attempts.py
@@ -1,4 +1,7 @@
-"""When an attempt gets a line in the event log, by whether it needs a new connection."""
+"""The event log has one line for each check that permits an attempt.
+
+An attempt is checked before it requests a connection and, if that one is new, again once it is established.
+"""
 
 import asyncio
 from unittest.mock import patch
@@ -13,7 +16,7 @@
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 
 
-class RecordedAttemptsTest(DispatcherTestCase):
+class AttemptRecordingTest(DispatcherTestCase):
     async def asyncSetUp(self) -> None:
         self.recorded: list[str] = []
 
@@ -21,16 +24,16 @@
             self.recorded.append(f"{event.value} {request_id} {subject}")
 
         self.enterContext(patch.object(NoCluster, "record_event", record_event))
-        await self.begin(self.reject_all)
+        await self.begin(self.reject_requests)
         await self.start_in_process()
 
-    async def reject_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reject_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await read_message(reader)
             self.recorded.append("received")
             writer.write(BAD_REQUEST)
 
-    async def test_an_attempt_on_a_new_connection_is_recorded_twice_and_on_a_reused_one_once(self) -> None:
+    async def test_attempt_is_recorded_twice_on_new_connection_and_once_on_reused_one(self) -> None:
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "400")
         self.assertEqual(self.recorded, ["take u1 g", "dispatch u1 a", "dispatch u1 a", "received"])
         self.recorded.clear()
@@ -38,7 +41,7 @@
         self.assertEqual((await self.send_request("u2"))[0].split()[1], "400")
         self.assertEqual(self.recorded, ["take u2 g", "dispatch u2 a", "received"])
 
-    async def test_an_attempt_that_is_withheld_after_the_connect_is_recorded_once(self) -> None:
+    async def test_attempt_withheld_after_connecting_is_recorded_once(self) -> None:
         record = self.application.backend_registry.records[0]
         connect = record.pool._connect
 
@@ -50,7 +53,7 @@
             self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")
         self.assertEqual(self.recorded, ["take u1 g", "dispatch u1 a"])
 
-    async def test_an_attempt_that_may_not_be_sent_is_not_recorded(self) -> None:
+    async def test_attempt_that_may_not_be_sent_is_not_recorded(self) -> None:
         self.application.backend_registry.records[0].state = EndpointState.DRAINING
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")
         self.assertEqual(self.recorded, ["take u1 g"])
--- a/tests/service/requests/test_classes.py
+++ b/tests/service/requests/test_classes.py
@@ -1,4 +1,4 @@
-"""Request classes over changes of the configuration."""
+"""The rows of request classes across configuration changes."""
 
 from dataclasses import replace
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class RequestClassTableTest(TraceTestCase):
-    def test_a_name_points_to_its_newest_row(self) -> None:
+    def test_name_maps_to_its_newest_row(self) -> None:
         def update(description: str, **classes: Any) -> None:
             changed = table.update(classes, list(classes.values()))
             self.record(
@@ -17,19 +17,21 @@
                 f"{table.index_by_name}, open {table.open_counts}"
             )
 
-        safe, keyed = REQUEST_CLASS, replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENT_WITH_KEY)
-        unsafe = replace(REQUEST_CLASS, idempotency=Idempotency.NON_IDEMPOTENT)
-        table = RequestClassTable(["a", "b"], [safe, keyed])
+        idempotent, keyed = REQUEST_CLASS, replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENT_WITH_KEY)
+        non_idempotent = replace(REQUEST_CLASS, idempotency=Idempotency.NON_IDEMPOTENT)
+        table = RequestClassTable(["a", "b"], [idempotent, keyed])
         table.request_opened(0)
         table.request_opened(1)
-        update("the same", a=safe, b=keyed)
-        update("b has another idempotency and is in hand, c is new", a=safe, b=unsafe, c=safe)
+        update("the same", a=idempotent, b=keyed)
+        update(
+            "b has another idempotency and is in hand, c is new", a=idempotent, b=non_idempotent, c=idempotent
+        )
         table.request_opened(2)
-        update("b is dropped with requests in hand", a=safe, c=safe)
+        update("b is dropped with requests in hand", a=idempotent, c=idempotent)
         self.record(f"  b is {table.find('b')}")
-        update("b is back with another idempotency", a=safe, b=keyed, c=safe)
+        update("b is back with another idempotency", a=idempotent, b=keyed, c=idempotent)
         table.request_closed(1)
         table.request_closed(2)
-        update("the old rows of b are free, one is used again", a=safe, b=unsafe, c=safe)
+        update("the old rows of b are free, one is used again", a=idempotent, b=non_idempotent, c=idempotent)
         self.record(f"  by row: {', '.join(row.idempotency.name.lower() for row in table.classes)}")
         self.assert_matches_trace("request-classes")
--- a/tests/service/requests/test_quotas.py
+++ b/tests/service/requests/test_quotas.py
@@ -1,4 +1,4 @@
-"""A dispatcher's own quotas: requests in hand are counted against them."""
+"""Quotas allocated to a dispatcher limit its requests in progress."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class QuotasTest(unittest.TestCase):
-    def test_a_request_holds_its_quotas_until_it_is_answered(self) -> None:
+    def test_request_counts_against_its_quotas_until_released(self) -> None:
         quotas = Quotas()
         quotas.allocated = {"grade:g": 2, "all": 3}
         acquired = [quotas.acquire("g", "t") for _ in range(3)]
--- a/tests/service/test_socket_budget.py
+++ b/tests/service/test_socket_budget.py
@@ -1,4 +1,4 @@
-"""The sockets of two processes of one dispatcher stay under the limit together."""
+"""During a handover both processes of a dispatcher together stay under its socket limit."""
 
 from typing import Any
 from unittest.mock import Mock
@@ -10,26 +10,26 @@
 
 
 class SocketBudgetTest(TraceTestCase):
-    """What the one that goes leaves to the one that comes."""
-
-    def test_descriptors_of_both_stay_under_the_limit(self) -> None:
-        given: dict[str, Any] = {"limits": {"sockets": 384}}
-        backend_connections, others = divide_socket_limit(given, True)
-        for open_connections in (0, 100, others):
-            node, old = (
-                SocketBudget(SocketLimits(backend_connections, others), Mock(), Mock()) for _ in "no"
+    def test_sockets_of_predecessor_and_successor_stay_under_limit(self) -> None:
+        document: dict[str, Any] = {"limits": {"sockets": 384}}
+        backend_connections, accepted_connections = divide_socket_limit(document, True)
+        for open_connections in (0, 100, accepted_connections):
+            successor, predecessor = (
+                SocketBudget(SocketLimits(backend_connections, accepted_connections), Mock(), Mock())
+                for _ in "no"
             )
-            old.yield_to_successor()
-            node.reserve(open_connections, old.connection_limiter.max_connections)
+            predecessor.yield_to_successor()
+            successor.reserve(open_connections, predecessor.connection_limiter.max_connections)
             self.assertLessEqual(
-                node.listener.max_connections + open_connections + backend_connections + 2 * MAX_CALLERS, 384
+                successor.listener.max_connections + open_connections + backend_connections + 2 * MAX_CALLERS,
+                384,
             )
             self.assertLessEqual(
-                node.connection_limiter.max_connections + old.connection_limiter.max_connections,
+                successor.connection_limiter.max_connections + predecessor.connection_limiter.max_connections,
                 backend_connections,
             )
-            node.reserve(0, 0)  # the old one has left
+            successor.reserve(0, 0)  # the predecessor has exited
             self.assertEqual(
-                (node.connection_limiter.max_connections, node.listener.max_connections),
-                (backend_connections, others),
+                (successor.connection_limiter.max_connections, successor.listener.max_connections),
+                (backend_connections, accepted_connections),
             )
