--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -1,4 +1,4 @@
-"""Manual drains and the drain of a dispatcher, called at its admin server on loopback."""
+"""Manual drains of a backend and the drain of a dispatcher, by calls to its admin server on loopback."""
 
 import asyncio
 from unittest.mock import patch
@@ -11,15 +11,13 @@
 
 
 class AdminServiceTest(DispatcherTestCase):
-    """A dispatcher with an admin server, between stand-ins."""
-
-    async def start_with_admin_server(self, **entry: object) -> None:  # noqa: ARG002 - as the base names it
-        self.reads = 0
+    async def start_with_admin_server(self, **entry: object) -> None:  # noqa: ARG002 - not used
+        self.received_count = 0
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
-                self.reads += 1
+                self.received_count += 1
                 writer.write(OK)
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
                 if not request_id.startswith("held"):
@@ -30,7 +28,7 @@
         await self.start_in_process()
         self.admin_port = self.application.admin_server.port()
 
-    async def test_out_by_hand_until_the_call_back_whatever_lists_say(self) -> None:
+    async def test_manual_drain_overrides_endpoint_lists_until_restore(self) -> None:
         await self.start_with_admin_server()
         self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "200 ready")
         self.assertEqual((await self.send_request("u1"))[1], b"done")
@@ -39,88 +37,97 @@
         )
         for _ in range(2):
             self.assertEqual(await self.call(self.admin_port, "runners/a/offline"), "200 offline")
-        self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")  # nowhere to send
+        # No backend is ready.
+        self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
         counters = self.application.metrics.counters
         for state in ("terminating", "in_service"):
             before, self.backend_state = self.application.metrics.counters["discovery-snapshots"], state
             self.endpoints_changed.set()
             await self.until(lambda before=before: counters["discovery-snapshots"] > before)  # type: ignore[misc]
-        self.assertEqual(((await self.send_request("u2", wait=0.3))[0].split()[1], self.reads), ("503", 1))
+        self.assertEqual(
+            ((await self.send_request("u2", wait=0.3))[0].split()[1], self.received_count), ("503", 1)
+        )
         self.assertEqual(await self.call(self.admin_port, "runners/a/online"), "200 online")
-        self.assertEqual(((await self.send_request("u3"))[1], self.reads), (b"done", 2))
+        self.assertEqual(((await self.send_request("u3"))[1], self.received_count), (b"done", 2))
         self.assertEqual(self.application.request_handler.request_classes.open_counts, [0])
+        # The connection kept open proves that it has not restarted.
         self.assertEqual(
             self.application.request_handler.routing.state.table.backends[0].endpoint.started_at, 0
-        )  # its kept connection shows it never restarted
+        )
 
-    async def test_back_after_a_restart_that_the_list_does_not_show_it_is_cold(self) -> None:
+    async def test_backend_restored_after_unlisted_restart_warms_up(self) -> None:
         await self.start_with_admin_server()
         self.assertEqual((await self.send_request("u1"))[1], b"done")
         await self.call(self.admin_port, "runners/a/offline")
-        for link in list(self.application.backend_registry.records[0].pool.idle_connections):
-            link.close()  # as the restarted runner does
+        for connection in list(self.application.backend_registry.records[0].pool.idle_connections):
+            connection.close()  # as a backend that restarts does
         before = self.application.timers.clock.now()
         await self.call(self.admin_port, "runners/a/online")
-        decisions = self.application.request_handler.routing
-        self.assertGreaterEqual(decisions.state.table.backends[0].endpoint.started_at, before)
+        router = self.application.request_handler.routing
+        self.assertGreaterEqual(router.state.table.backends[0].endpoint.started_at, before)
         self.assertGreater(
-            decisions.state.table.backends[0].warm_from, self.application.timers.clock.now() + 50_000
+            router.state.table.backends[0].warm_from, self.application.timers.clock.now() + 50_000
         )
 
-    async def test_a_ban_called_while_the_connection_comes_up_holds_the_unit_back(self) -> None:
+    async def test_attempt_is_not_sent_if_backend_is_drained_while_connecting(self) -> None:
         await self.start_with_admin_server()
         pool = self.application.backend_registry.records[0].pool
-        opening = pool._connect
+        connect = pool._connect
 
-        async def banned_meanwhile(exchange: Exchange) -> None:
+        async def connect_after_drain(exchange: Exchange) -> None:
             self.assertEqual(await self.call(self.admin_port, "runners/a/offline"), "200 offline")
-            await opening(exchange)
+            await connect(exchange)
 
-        pool._connect = banned_meanwhile  # type: ignore[method-assign]
+        pool._connect = connect_after_drain  # type: ignore[method-assign]
         self.assertEqual((await self.send_request("u1", wait=0.5))[0].split()[1], "503")
-        self.assertEqual((self.reads, self.application.metrics.counters["attempts-ended-not-sent"]), (0, 1))
+        self.assertEqual(
+            (self.received_count, self.application.metrics.counters["attempts-ended-not-sent"]), (0, 1)
+        )
 
-    async def test_a_drain_serves_what_comes_closes_what_rests_and_returns(self) -> None:
+    async def test_draining_process_serves_requests_closes_idle_clients_and_resumes(self) -> None:
         await self.start_with_admin_server()
-        resting, keep = await asyncio.open_connection("127.0.0.1", self.port)
-        self.addCleanup(keep.close)
-        keep.write(
+        backend_reader, backend_writer = await asyncio.open_connection("127.0.0.1", self.port)
+        self.addCleanup(backend_writer.close)
+        backend_writer.write(
             b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: 40\r\n\r\n"
             + orjson.dumps({"id": "u0", "from": "a", "state": "started"})
         )
-        await read_message(resting)
-        used, use = await asyncio.open_connection("127.0.0.1", self.port)
-        self.addCleanup(use.close)
+        await read_message(backend_reader)
+        client_reader, client_writer = await asyncio.open_connection("127.0.0.1", self.port)
+        self.addCleanup(client_writer.close)
         request = (
             b"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Priority-Class: g\r\n"
             b"X-Timeout: 2\r\nContent-Length: 0\r\n\r\n"
         )
-        use.write(request % b"u1")
-        self.assertNotIn("close", (await read_message(used))[0])
+        client_writer.write(request % b"u1")
+        self.assertNotIn("close", (await read_message(client_reader))[0])
         pending = asyncio.create_task(self.send_request("held"))
-        await self.until(lambda: self.reads == 2)
+        await self.until(lambda: self.received_count == 2)
         with patch("crankfold.service.lifecycle.CLIENT_MIGRATION_PERIOD", 0.3):
             for _ in range(2):
                 self.assertEqual(await self.call(self.admin_port, "out-of-service"), "200 out of service")
             self.assertEqual(await self.call(self.admin_port, "ready", "GET"), "503 not ready")
             self.assertEqual(await self.health(), "503")
-            self.assertEqual((await self.send_request("new"))[1], b"done")  # the front still brings some
-            use.write(request % b"u2")
-            head, body = await read_message(used)
-            self.assertEqual((body, "Connection: close" in head, await used.read()), (b"done", True, b""))
-            idle, rest = await asyncio.open_connection("127.0.0.1", self.port)
-            self.addCleanup(rest.close)
+            # Clients that have not learnt of the drain still connect.
+            self.assertEqual((await self.send_request("new"))[1], b"done")
+            client_writer.write(request % b"u2")
+            head, body = await read_message(client_reader)
+            self.assertEqual(
+                (body, "Connection: close" in head, await client_reader.read()), (b"done", True, b"")
+            )
+            idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", self.port)
+            self.addCleanup(idle_writer.close)
             async with asyncio.timeout(2):
-                self.assertEqual(await idle.read(), b"")
+                self.assertEqual(await idle_reader.read(), b"")
             self.assertFalse(pending.done())
             await self.send_callback(id="held", **{"from": "a"}, state="done", result="held")
             self.assertEqual((await pending)[1], b"held")
             await self.until(lambda: self.application.lifecycle.state.value == "out of service")
-        self.assertFalse(resting.at_eof())  # a runner's
+        self.assertFalse(backend_reader.at_eof())  # the connection of a backend stays open
         self.assertEqual(await self.call(self.admin_port, "in-service"), "200 in service")
         self.assertEqual(await self.health(), "200")
         self.assertEqual((await self.send_request("later"))[1], b"done")
-        # Drained once more, and called back in its last moment: as the last connection goes.
+        # A second drain is ended at the moment at which the last connection closes.
         last_request = asyncio.create_task(self.send_request("held2"))
         await self.until(lambda: "held2" in self.application.request_handler.request_table.by_request_id)
         with patch("crankfold.service.lifecycle.CLIENT_MIGRATION_PERIOD", 0.0):
@@ -130,16 +137,16 @@
             self.assertEqual(await self.call(self.admin_port, "in-service"), "200 in service")
         await asyncio.sleep(0.1)
         self.assertEqual((self.application.lifecycle.state.value, await self.health()), ("in service", "200"))
-        # Called back in the middle: whoever was not closed yet is kept.
-        use.close()
-        used, use = await asyncio.open_connection("127.0.0.1", self.port)
-        self.addCleanup(use.close)
+        # A third drain is ended before it is complete: connections that are still open are kept.
+        client_writer.close()
+        client_reader, client_writer = await asyncio.open_connection("127.0.0.1", self.port)
+        self.addCleanup(client_writer.close)
         await self.call(self.admin_port, "out-of-service")
         await self.call(self.admin_port, "in-service")
-        use.write(request % b"u3")
-        self.assertNotIn("close", (await read_message(used))[0])
+        client_writer.write(request % b"u3")
+        self.assertNotIn("close", (await read_message(client_reader))[0])
         await self.call(self.admin_port, "out-of-service")
-        self.application.shutdown_requested.set()  # SIGTERM, in the middle of a drain by call
+        self.application.shutdown_requested.set()  # as by SIGTERM, during a drain by admin call
         await self.until(lambda: self.application.lifecycle.state.value == "ending")
         self.assertEqual(await self.call(self.admin_port, "in-service"), "409 ending")
 
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -1,4 +1,4 @@
-"""A whole dispatcher in this process, on loopback between stand-ins."""
+"""A whole dispatcher in the process of the test, with a fake client, backend and discovery on loopback."""
 
 import asyncio
 from unittest.mock import patch
@@ -13,15 +13,15 @@
 
 
 class ApplicationTest(DispatcherTestCase):
-    async def test_a_request_from_client_to_backend_and_back(self) -> None:
+    async def test_request_is_sent_to_backend_and_its_result_to_client(self) -> None:
         accepted = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, body = await read_message(reader)
-                first = head.split("\r\n")[0]
-                self.record(f"runner reads {first} {body!r} timed {'X-Timeout: 2.' in head}")
-                # A call-back may come before the 202, twice, from another runner or for no unit.
+                request_line = head.split("\r\n")[0]
+                self.record(f"runner reads {request_line} {body!r} timed {'X-Timeout: 2.' in head}")
+                # A callback may come before the 202, twice, from another backend or for an unknown request.
                 await self.send_callback(id="u1", **{"from": "b"}, state="done", result="not it")
                 await self.send_callback(id="u1", **{"from": "a"}, state="started")
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
@@ -41,11 +41,11 @@
                 and not self.application.request_handler.request_table.by_request_id
             )
         )
-        counts = self.application.metrics.counters
+        counters = self.application.metrics.counters
         self.record(f"client reads {answer}")
         self.record(
             " ".join(
-                f"{name} {counts[name]}"
+                f"{name} {counters[name]}"
                 for name in (
                     "requests-admitted",
                     "attempts",
@@ -57,7 +57,7 @@
         )
         self.assert_matches_trace("whole")
 
-    async def test_where_endpoints_are_polled_a_failed_poll_is_repeated(self) -> None:
+    async def test_failed_endpoint_poll_is_repeated(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
@@ -84,7 +84,7 @@
             (polls, self.application.metrics.counters["discovery-failed"]), (["/v1/servers"] * 3, 2)
         )
 
-    async def test_a_backend_that_vanished_holds_no_request_past_its_deadline(self) -> None:
+    async def test_silent_backend_holds_no_request_past_its_deadline(self) -> None:
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             received.append((await reader.read(1 << 16)).split()[0])
             received.append(await reader.read())
@@ -92,9 +92,9 @@
         received: list[bytes] = []
         await self.begin(silent, **{"service-grades": [NON_IDEMPOTENT]})
         await self.start_in_process()
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         self.assertEqual((await self.send_request("u1", wait=0.2))[0].split()[1], "504")
-        self.assertLess(asyncio.get_running_loop().time() - began, 1.0)
+        self.assertLess(asyncio.get_running_loop().time() - started_at, 1.0)
         await self.until(
             lambda: (
                 not self.application.request_handler.request_table.requests
@@ -102,20 +102,22 @@
             )
         )
         await self.until(lambda: len(received) == 2)
-        self.assertEqual(received, [b"POST", b""])  # before the 202 a dispatch is called off by closing
+        # Before the 202 an attempt is cancelled by closing its connection.
+        self.assertEqual(received, [b"POST", b""])
 
-    async def test_an_error_of_a_backend_is_not_passed_through(self) -> None:
+    async def test_backend_error_is_not_passed_to_client(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
-                writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")  # it may have run
+                # Without X-Not-Processed the request may have been executed.
+                writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 
         await self.begin(backend, **{"service-grades": [NON_IDEMPOTENT]})
         await self.start_in_process()
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "504")
         self.assertEqual(self.application.metrics.counters["requests-failed"], 1)
 
-    async def test_a_request_that_a_backend_rejects_is_tried_once_and_no_backend_is_ejected(self) -> None:
+    async def test_request_rejected_by_backend_is_not_retried_nor_counted_as_error(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
@@ -136,7 +138,7 @@
             (3, [0.0]),
         )
 
-    async def test_duplicate_ids_overload_and_a_backend_that_moves(self) -> None:
+    async def test_duplicate_id_overload_cancellation_and_moved_backend(self) -> None:
         posts: list[str] = []
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -152,18 +154,18 @@
 
         await self.begin(backend)
         await self.start_in_process()
-        first = asyncio.create_task(self.send_request("u1"))
+        first_response = asyncio.create_task(self.send_request("u1"))
         await self.until(lambda: self.application.metrics.counters["attempts"] == 1 and len(posts) == 1)
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "409")
         with patch.object(self.application.listener, "is_over_limit", lambda: True):
             self.assertEqual((await self.send_request("u2"))[0].split()[1], "503")
         self.assertEqual((self.application.metrics.counters["shed-overloaded"], posts), (1, ["POST"]))
-        # Called off, but the runner does not heed it: no second dispatch goes there, and it ends as not sent.
+        # A cancelled attempt may run until the backend confirms its end, so no second attempt is sent there.
         await self.until(
             lambda: self.application.request_handler.request_table.requests[0].attempts[0].accepted
         )
         self.application.request_handler.cancel_attempt(0, 0)
-        self.assertEqual((await first)[0].split()[1], "503")
+        self.assertEqual((await first_response)[0].split()[1], "503")
         self.assertEqual(
             (posts, self.application.metrics.counters["attempts-ended-not-sent"]), (["POST", "DELETE"], 1)
         )
@@ -172,7 +174,7 @@
         await self.until(lambda: self.application.metrics.counters["discovery-snapshots"] == 2)
         self.assertEqual((await self.send_request("u3"))[1], b"moved")
 
-    async def test_a_client_that_disconnects_is_forgotten_and_its_attempt_cancelled(self) -> None:
+    async def test_client_disconnect_cancels_attempt_and_discards_request(self) -> None:
         cancelled = asyncio.Event()
         accepted = asyncio.Event()
 
@@ -200,7 +202,7 @@
             )
         )
 
-    async def test_a_drain_announced_while_connecting_holds_the_request_back(self) -> None:
+    async def test_attempt_is_not_sent_if_endpoint_list_drains_backend_while_connecting(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             self.record(f"runner reads {(await read_message(reader))[0]}")
 
@@ -219,7 +221,7 @@
         self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")
         self.assertEqual((self.lines, self.application.metrics.counters["attempts-ended-not-sent"]), ([], 1))
 
-    async def test_at_the_end_of_a_drain_only_what_may_have_executed_is_failed(self) -> None:
+    async def test_end_of_drain_fails_only_requests_that_may_have_been_executed(self) -> None:
         async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
@@ -227,8 +229,8 @@
         await self.start_in_process()
         pending = [asyncio.create_task(self.send_request("sent"))]
         await self.until(lambda: self.application.metrics.counters["attempts"] == 1)
-        self.application.request_handler.routing.limit.limit = 0.0  # what comes from here on is held
+        self.application.request_handler.routing.limit.limit = 0.0  # further requests are queued
         pending.append(asyncio.create_task(self.send_request("held")))
         await self.until(lambda: self.application.request_handler.open_request_count() == 2)
         self.application.request_handler.answer_all_open()
-        self.assertEqual([(await one)[0].split()[1] for one in pending], ["504", "503"])
+        self.assertEqual([(await response)[0].split()[1] for response in pending], ["504", "503"])
