--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -1,4 +1,4 @@
-"""The dispatcher as a process of its own: starts, signals, reloads and kills, between stand-ins."""
+"""The dispatcher as a separate process: starts, signals, reloads and kills, with fake peers."""
 
 import asyncio
 import os
@@ -17,26 +17,26 @@
 
 
 class ProcessTest(DispatcherTestCase):
-    async def test_an_exception_in_the_routing_fails_the_request_in_hand_and_serving_goes_on(self) -> None:
+    async def test_router_exception_fails_its_request_and_serving_continues(self) -> None:
         async def backend(_reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             raise AssertionError("nothing is sent")
 
         await self.begin(backend)
         program = (
             "import sys; from crankfold.routing.router import Router\n"
-            "def broken(*told): raise ValueError('a bug')\n"
-            "Router.request_received = broken\n"
+            "def raise_error(*arguments): raise ValueError('a bug')\n"
+            "Router.request_received = raise_error\n"
             "from crankfold.cli.main import main; main(['serve'])"
         )
-        lines = await self.start_process(["-O", "-c", program])
-        for request_id in ("u1", "u2"):  # at once, not when their time is up
+        output = await self.start_process(["-O", "-c", program])
+        for request_id in ("u1", "u2"):  # answered at once, not at the deadline of 60 s
             self.assertEqual((await self.send_request(request_id, wait=60))[0].split()[1], "504")
         self.process.terminate()
-        printed = await lines
-        self.assertIn("ValueError('a bug')", printed)
-        self.assertEqual(self.process.returncode, 0, printed)
+        log = await output
+        self.assertIn("ValueError('a bug')", log)
+        self.assertEqual(self.process.returncode, 0, log)
 
-    async def test_sigterm_with_requests_in_hand(self) -> None:
+    async def test_sigterm_leaves_open_requests_time_until_end_of_drain(self) -> None:
         accepted = asyncio.Queue[str]()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -47,27 +47,28 @@
 
         await self.begin(backend)
         self.config["settings"]["service-grades"] = [{"name": "g", "effect": "safe", "cut-off": 1_000_000}]
-        lines = await self.start_process(SERVE)
+        output = await self.start_process(SERVE)
         pending = asyncio.create_task(self.send_request("u1"))
-        never = asyncio.create_task(self.send_request("u2", wait=9))  # the drain ends before its time is up
+        unfinished = asyncio.create_task(self.send_request("u2", wait=9))  # its deadline is after the drain
         for _ in range(2):
             await accepted.get()
         self.process.send_signal(signal.SIGTERM)
         self.process.send_signal(signal.SIGTERM)
-        late = asyncio.create_task(self.send_request("u3"))  # connections still come for a moment
+        # The process still accepts connections for a moment.
+        late = asyncio.create_task(self.send_request("u3"))
         await accepted.get()
         await self.send_callback(id="u3", **{"from": "a"}, state="done", result="3")
-        await asyncio.sleep(0.6)  # past the moment: call-backs are received all the same
+        await asyncio.sleep(0.6)  # after that period, callbacks are still received
         await self.send_callback(id="u1", **{"from": "a"}, state="done", result="1")
-        for response in (pending, late, never):
+        for response in (pending, late, unfinished):
             head, body = await response
             self.record(f"{head} {body.decode()}")
-        printed = await lines
-        self.assertEqual(self.process.returncode, 0, printed)
-        counted = dict(pair.split("=") for pair in printed.rpartition("counters: ")[2].split())
+        log = await output
+        self.assertEqual(self.process.returncode, 0, log)
+        counters = dict(pair.split("=") for pair in log.rpartition("counters: ")[2].split())
         self.record(
             " ".join(
-                f"{name} {counted.get(name)}"
+                f"{name} {counters.get(name)}"
                 for name in (
                     "requests-admitted",
                     "requests-completed",
@@ -77,7 +78,7 @@
         )
         self.assert_matches_trace("sigterm")
 
-    async def test_a_reload_switches_the_watch_and_an_unusable_file_changes_nothing(self) -> None:
+    async def test_reload_switches_discovery_and_invalid_file_changes_nothing(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
             while True:
                 request_id = (await read_message(reader))[0].lower().partition("x-request-id: ")[2].split()[0]
@@ -99,17 +100,17 @@
         sent = asyncio.Event()
         await self.begin(partial(backend, name="a"))
         ports = {name: await self.stand_in(partial(backend, name=name)) for name in "bc"}
-        lines = await self.start_process(SERVE)
+        output = await self.start_process(SERVE)
         pending = asyncio.create_task(self.send_request("held"))
         async with asyncio.timeout(5):
             await sent.wait()
         for name in "bc":
             self.config["settings"]["tick"] += 1
             self.config["discovery"] = f"127.0.0.1:{await self.stand_in(partial(discovery, name=name))}"
-            for broken in (b"", b'{"listen":', orjson.dumps({**self.config, "discovery": "here"})):
-                self.config_file.write_bytes(broken)
+            for invalid_body in (b"", b'{"listen":', orjson.dumps({**self.config, "discovery": "here"})):
+                self.config_file.write_bytes(invalid_body)
                 self.process.send_signal(signal.SIGHUP)
-                await self.send_request("u0", wait=0.001)  # read by now
+                await self.send_request("u0", wait=0.001)  # by its end the signal has been handled
             self.config_file.write_bytes(orjson.dumps(self.config))
             self.process.send_signal(signal.SIGHUP)
             self.process.send_signal(signal.SIGHUP)
@@ -117,15 +118,16 @@
             await self.until(lambda name=name: any(f"{name} /v1/servers?" in poll for poll in polls))  # type: ignore[misc]
             self.assertEqual((await self.send_request(f"u{name}"))[1].decode(), name)
         await self.send_callback(id="held", **{"from": "a"}, state="done", result="held")
-        self.assertEqual((await pending)[1], b"held")  # a unit in hand outlives it, though its runner is gone
+        # An open request survives the reload, although its backend is no longer listed.
+        self.assertEqual((await pending)[1], b"held")
         self.process.terminate()
         self.process.send_signal(signal.SIGHUP)
-        printed = await lines
-        self.assertEqual(self.process.returncode, 0, printed)
-        self.assertIn("settings.tick differs and waits for a restart", printed)
-        self.assertIn("the old one stays in force", printed)
+        log = await output
+        self.assertEqual(self.process.returncode, 0, log)
+        self.assertIn("settings.tick differs and waits for a restart", log)
+        self.assertIn("the old one stays in force", log)
 
-    async def test_after_sigterm_connections_are_accepted_and_kept_until_the_final_drain_period(self) -> None:
+    async def test_connections_are_accepted_and_kept_after_sigterm_until_final_drain_period(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
@@ -133,20 +135,20 @@
                 writer.write(OK)
 
         await self.begin(backend)
-        lines = await self.start_process(SERVE)
+        output = await self.start_process(SERVE)
         self.process.terminate()
         await asyncio.sleep(0.2)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        for pause in (1.0, 0.0):  # the second when others would have closed long since
+        for pause in (1.0, 0.0):  # the second request comes late in the drain
             writer.write(REQUEST.replace(b"Timeout: 1", b"Timeout: 2"))
             head, body = await read_message(reader)
             self.assertEqual((head.split()[1], body, "Connection: close" in head), ("200", b"result", False))
             await asyncio.sleep(pause)
-        self.assertEqual(await reader.read(), b"")  # closed at rest, before the end
-        self.assertIn("open-requests=0", await lines)
+        self.assertEqual(await reader.read(), b"")  # closed while idle, before the process ends
+        self.assertIn("open-requests=0", await output)
         self.assertEqual(self.process.returncode, 0)
 
-    async def test_killed_and_started_again_it_serves_and_takes_old_callbacks(self) -> None:
+    async def test_restart_after_kill_serves_and_acknowledges_old_callbacks(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
@@ -155,28 +157,28 @@
 
         posted = asyncio.Event()
         await self.begin(backend)
-        before = await self.start_process(SERVE)
-        lost = asyncio.create_task(self.send_request("u1"))
+        first_output = await self.start_process(SERVE)
+        lost_request = asyncio.create_task(self.send_request("u1"))
         async with asyncio.timeout(5):
             await posted.wait()
         self.process.kill()
-        await before
+        await first_output
         with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
-            await lost
+            await lost_request
         self.config["listen"] = f"127.0.0.1:{self.port}"
-        lines = await self.start_process(SERVE)
+        output = await self.start_process(SERVE)
         await self.send_callback(id="u1", **{"from": "a"}, state="done", result="1")
         self.assertTrue(self.lines[-1].endswith(" 204"))
         self.process.terminate()
-        self.assertIn("callbacks-unknown-request=1", await lines)
+        self.assertIn("callbacks-unknown-request=1", await output)
 
-    async def test_a_configuration_it_cannot_start_from_is_reported_in_one_line(self) -> None:
+    async def test_unusable_configuration_is_reported_in_one_line(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
         port = await self.stand_in(backend)
         await self.begin(backend)
-        with tempfile.TemporaryDirectory() as folder:
+        with tempfile.TemporaryDirectory() as directory:
             for name, body in {
                 "none": None,
                 "broken": b"{",
@@ -185,7 +187,7 @@
                 "odd figure": orjson.dumps({**self.config, "settings": {"tick": "x"}}),
                 "taken": orjson.dumps({**self.config, "listen": f"127.0.0.1:{port}"}),
             }.items():
-                path = Path(folder) / name
+                path = Path(directory) / name
                 if body is not None:
                     path.write_bytes(body)
                 process = await asyncio.create_subprocess_exec(
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -1,4 +1,4 @@
-"""Races in a whole dispatcher: clients that disconnect, drains, deadlines and signals, on real sockets."""
+"""Races in a whole dispatcher on real sockets: disconnects, drains, deadlines and signals."""
 
 import asyncio
 import signal
@@ -15,12 +15,12 @@
 from tests.loopback import OK, REQUEST, DispatcherTestCase, Handler
 
 
-class DispatcherCrossings(DispatcherTestCase):
-    async def begin(self, backend: Handler, effect: str = "safe", **more: Any) -> None:
+class DispatcherRacesTest(DispatcherTestCase):
+    async def begin(self, backend: Handler, effect: str = "safe", **class_settings: Any) -> None:
         await super().begin(backend)
-        self.config["settings"]["service-grades"][0].update(effect=effect, **more)
+        self.config["settings"]["service-grades"][0].update(effect=effect, **class_settings)
 
-    async def test_a_client_that_disconnected_before_it_was_read_has_nothing_sent(self) -> None:
+    async def test_request_is_not_sent_if_client_disconnected_before_read(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             self.record((await read_message(reader))[0].splitlines()[0])
 
@@ -28,51 +28,49 @@
         await self.start_in_process()
         client = socket.create_connection(("127.0.0.1", self.port))
         client.sendall(REQUEST)
-        client.close()  # all in one turn: nobody accepted it so far
+        client.close()  # in the same iteration of the event loop, so the connection is not accepted yet
         await self.until(lambda: self.application.metrics.counters["clients-closed-before-read"] == 1)
         await self.until(lambda: not self.application.listener.connections)
         self.assertEqual((self.lines, self.application.metrics.counters["attempts"]), ([], 0))
 
-    async def test_a_client_that_disconnects_while_its_request_waits_for_a_connection_has_nothing_sent(
-        self,
-    ) -> None:
+    async def test_request_is_not_sent_if_client_disconnects_while_connecting(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             self.record((await read_message(reader))[0].splitlines()[0])
 
         await self.begin(backend)
         await self.start_in_process()
         pool = self.application.backend_registry.records[0].pool
-        opening, up = pool._connect, asyncio.Event()
+        connect, connected = pool._connect, asyncio.Event()
 
-        async def late(exchange: Exchange) -> None:
+        async def connect_after_disconnect(exchange: Exchange) -> None:
             pending_response.cancel()
             await self.until(lambda: self.application.metrics.counters["clients-disconnected"] == 1)
-            await opening(exchange)
-            up.set()
+            await connect(exchange)
+            connected.set()
 
-        pool._connect = late  # type: ignore[method-assign]
+        pool._connect = connect_after_disconnect  # type: ignore[method-assign]
         pending_response = asyncio.create_task(self.send_request("u1"))
         async with asyncio.timeout(5):
-            await up.wait()
+            await connected.wait()
         await asyncio.sleep(0.02)
         self.assertEqual(self.lines, [])
         self.assertEqual(self.application.request_handler.open_request_count(), 0)
 
-    async def test_a_request_read_after_the_last_responses_is_shed_and_not_forwarded(self) -> None:
+    async def test_request_read_after_end_of_drain_is_shed(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            self.record("sent on")
+            self.record("request sent to the backend")
 
         await self.begin(backend)
         await self.start_in_process()
-        ended, may_finish = asyncio.Event(), asyncio.Event()
+        close_started, may_close = asyncio.Event(), asyncio.Event()
 
         async def blocked_close() -> None:
-            ended.set()
-            await may_finish.wait()
+            close_started.set()
+            await may_close.wait()
 
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(REQUEST[:-1])  # its last byte is still under way
+        writer.write(REQUEST[:-1])  # the last byte is sent later
         await self.until(
             lambda: any(client.protocol.is_mid_request() for client in self.application.listener.connections)
         )
@@ -82,15 +80,15 @@
             patch("crankfold.service.shutdown.DRAIN_MARGIN", 0.0),
         ):
             self.application.shutdown_requested.set()
-            await ended.wait()
+            await close_started.wait()
             writer.write(REQUEST[-1:])
             head, _ = await read_message(reader)
-            may_finish.set()
+            may_close.set()
         self.assertEqual((head.split()[1], self.lines), ("503", []))
         self.assertEqual(await reader.read(), b"")
         writer.close()
 
-    async def test_a_backends_connection_stays_through_a_drain_until_its_request_has_ended(self) -> None:
+    async def test_backend_connection_stays_open_during_drain_until_request_ends(self) -> None:
         sent = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -99,8 +97,8 @@
             sent.set()
             await reader.read()
 
-        async def back(state: str, **more: str) -> str:
-            body = orjson.dumps({"id": "u1", "from": "a", "state": state, **more})
+        async def send_callback(state: str, **fields: str) -> str:
+            body = orjson.dumps({"id": "u1", "from": "a", "state": state, **fields})
             head = b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n"
             writer.write(head % len(body) + body)
             return (await read_message(reader))[0].split()[1]
@@ -110,125 +108,129 @@
         pending_response = asyncio.create_task(self.send_request("u1"))
         await sent.wait()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        self.assertEqual(await back("started"), "204")
+        self.assertEqual(await send_callback("started"), "204")
         with (
             patch("crankfold.service.shutdown.MAX_DRAIN_DURATION", 2.0),
             patch("crankfold.service.shutdown.LATE_CONNECTION_PERIOD", 0.0),
         ):
             self.application.shutdown_requested.set()
             await self.until(lambda: self.application.listener.closing)
-            await asyncio.sleep(3 * NEW_CONNECTION_GRACE)  # what is at rest for so long is closed
-            self.assertEqual(await back("done", result="ran"), "204")
+            # Client connections that are idle for this long are closed.
+            await asyncio.sleep(3 * NEW_CONNECTION_GRACE)
+            self.assertEqual(await send_callback("done", result="ran"), "204")
             self.assertEqual((await pending_response)[1], b"ran")
         writer.close()
 
-    async def test_a_deduplication_window_that_ends_while_connecting_holds_a_request_with_key_back(
-        self,
-    ) -> None:
+    async def test_retry_is_not_sent_if_deduplication_window_ends_while_connecting(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            self.record((await read_message(reader))[0].splitlines()[0])  # and breaks: it may have run
+            # The connection is lost after the read, so the request may have been executed.
+            self.record((await read_message(reader))[0].splitlines()[0])
 
         await self.begin(backend, "keyed", group="zone", **{"repeat-window": 300_000})
         await self.start_in_process()
         pool = self.application.backend_registry.records[0].pool
-        opening = pool._connect
-        opened = 0
+        connect = pool._connect
+        connection_count = 0
 
-        async def late(exchange: Exchange) -> None:
-            nonlocal opened
-            opened += 1
-            if opened > 1:
+        async def connect_late(exchange: Exchange) -> None:
+            nonlocal connection_count
+            connection_count += 1
+            if connection_count > 1:
                 first = next(iter(self.application.request_handler.request_table.requests.values())).attempts[
                     0
                 ]
                 await self.until(lambda: self.application.timers.clock.now() > first.created_at + 3000)
-            await opening(exchange)
+            await connect(exchange)
 
         routing = self.application.request_handler.routing
         with (
-            patch.object(pool, "_connect", late),
+            patch.object(pool, "_connect", connect_late),
             patch.object(
                 routing.selection.candidates, "_available", lambda *_: routing.state.table.backends[:1]
             ),
             patch("crankfold.service.requests.table.Attempt.was_assigned_connection", lambda _attempt: False),
         ):
-            answer = await self.send_request("u1")
-        self.assertEqual((answer[0].split()[1], opened, len(self.lines)), ("504", 2, 1))
+            response = await self.send_request("u1")
+        self.assertEqual((response[0].split()[1], connection_count, len(self.lines)), ("504", 2, 1))
 
-    async def test_an_end_reported_twice_is_not_taken_for_that_of_a_second_attempt(self) -> None:
+    async def test_repeated_callback_is_not_taken_for_end_of_second_attempt(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             self.record("sent")
             writer.write(OK)
-            for _ in range(2):  # as if the first telling's answer had been lost
+            for _ in range(2):  # as if the response to the first callback had been lost
                 await self.send_callback(id="u1", **{"from": "a"}, state="returned")
 
         await self.begin(backend, "unsafe")
         await self.start_in_process()
-        self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")  # known not to have run
+        # 503 and not 504: the backend has reported that it did not execute the request.
+        self.assertEqual((await self.send_request("u1"))[0].split()[1], "503")
         self.assertEqual(self.lines.count("sent"), 1)
 
-    async def beside(self, callback_first: bool) -> str:
-        """A once-only unit whose dispatch breaks, and the call-back of its end; how it was answered."""
-        broken = asyncio.Event()
+    async def status_if_connection_is_lost(self, callback_first: bool) -> str:
+        """Sends a non-idempotent request whose connection is lost; returns the status of its response.
+
+        The backend reports the completion before the connection is lost or after the response.
+        """
+        connection_lost = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             if callback_first:
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="ran")
             writer.transport.abort()
-            broken.set()
+            connection_lost.set()
 
         await self.begin(backend, "unsafe")
         await self.start_in_process()
         pending_response = asyncio.create_task(self.send_request("u1"))
-        await broken.wait()
+        await connection_lost.wait()
         if not callback_first:
             await self.until(lambda: self.application.metrics.counters["requests-failed"] == 1)
             await self.send_callback(id="u1", **{"from": "a"}, state="done", result="ran")
-        answer = await pending_response
+        response = await pending_response
         self.assertEqual(self.application.metrics.counters["attempts"], 1)
-        return answer[0].split()[1]
+        return response[0].split()[1]
 
-    async def test_an_end_reported_before_its_attempt_breaks_counts(self) -> None:
-        self.assertEqual(await self.beside(True), "200")
+    async def test_callback_before_connection_is_lost_completes_request(self) -> None:
+        self.assertEqual(await self.status_if_connection_is_lost(True), "200")
 
-    async def test_an_end_reported_after_its_attempt_broke_changes_nothing(self) -> None:
-        self.assertEqual(await self.beside(False), "504")
+    async def test_callback_after_connection_was_lost_changes_nothing(self) -> None:
+        self.assertEqual(await self.status_if_connection_is_lost(False), "504")
 
-    async def test_ended_before_it_serves_it_accepts_nobody(self) -> None:
+    async def test_process_stopped_before_serving_accepts_no_connection(self) -> None:
         async def backend(_reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             raise AssertionError("nothing is sent")
 
         await self.begin(backend)
-        node = Application(self.config, lambda: self.config)
-        node.shutdown_requested.set()
-        with patch.object(node.listener, "open") as opened:
+        application = Application(self.config, lambda: self.config)
+        application.shutdown_requested.set()
+        with patch.object(application.listener, "open") as open_listener:
             async with asyncio.timeout(5):
-                await node.run()
-        self.assertFalse(opened.called)
+                await application.run()
+        self.assertFalse(open_listener.called)
 
-    async def test_a_reload_signal_before_the_program_is_imported_is_not_lost(self) -> None:
+    async def test_reload_signal_during_import_is_not_lost(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
 
         await self.begin(backend)
         program = (
             "import os, runpy, signal, sys\n"
-            "class Early:\n"
+            "class SignalOnImport:\n"
             "    def find_spec(self, name, path=None, target=None):\n"
             "        if name == 'crankfold.cli.main': os.kill(os.getpid(), signal.SIGHUP)\n"
-            "sys.meta_path.insert(0, Early())\n"
+            "sys.meta_path.insert(0, SignalOnImport())\n"
             "sys.argv = ['crankfold', 'serve']\n"
             "runpy.run_module('crankfold', run_name='__main__')"
         )
-        lines = await self.start_process(["-O", "-c", program])
+        output = await self.start_process(["-O", "-c", program])
         self.process.send_signal(signal.SIGTERM)
-        printed = await lines
-        self.assertEqual(self.process.returncode, 0, printed)
-        self.assertIn("config-reloads=1", printed)
+        log = await output
+        self.assertEqual(self.process.returncode, 0, log)
+        self.assertIn("config-reloads=1", log)
 
-    async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(self) -> None:
+    async def test_idle_clients_leave_descriptors_for_discovery_and_backends(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
@@ -236,12 +238,12 @@
                 await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
                 writer.write(OK)
 
-        back = asyncio.Event()
+        discovery_restored = asyncio.Event()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            answers = back.is_set()
+            responds = discovery_restored.is_set()
             await read_message(reader)
-            if answers:
+            if responds:
                 body = orjson.dumps({**self.discovery_answer(), "rev": 9})
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await reader.read()
@@ -256,23 +258,23 @@
             "import resource; resource.setrlimit(resource.RLIMIT_NOFILE, (128, 128))\n"
             "from crankfold.cli.main import main; main(['serve'])"
         )
-        lines = await self.start_process(["-O", "-c", program])
-        idle = [socket.create_connection(("127.0.0.1", self.port)) for _ in range(400)]
+        output = await self.start_process(["-O", "-c", program])
+        idle_connections = [socket.create_connection(("127.0.0.1", self.port)) for _ in range(400)]
         await asyncio.sleep(0.3)
-        back.set()
+        discovery_restored.set()
         async with asyncio.timeout(6):
-            while (await self.send_request("u1"))[1] != b"done":  # noqa: ASYNC110 - each turn asks again
+            while (await self.send_request("u1"))[1] != b"done":  # noqa: ASYNC110 - each iteration sends a request
                 await asyncio.sleep(0.05)
-        for one in idle:
-            one.close()
+        for connection in idle_connections:
+            connection.close()
         self.process.terminate()
-        printed = await lines
-        self.assertEqual((self.process.returncode, "failures=" in printed), (0, False), printed)
+        log = await output
+        self.assertEqual((self.process.returncode, "failures=" in log), (0, False), log)
 
-    async def test_a_first_discovery_call_that_breaks_does_not_end_the_wait_for_the_list(self) -> None:
+    async def test_failed_first_discovery_call_does_not_end_wait_for_endpoint_list(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            self.record("sent to a runner that discovery has as draining")
+            self.record("request sent to a backend that is draining in the endpoint list")
 
         calls = 0
 
@@ -289,13 +291,12 @@
 
         await self.begin(backend)
         self.config["discovery"] = f"127.0.0.1:{await self.stand_in(discovery)}"
-        with patch(
-            "crankfold.service.application.FIRST_LIST_TIMEOUT", 5.0
-        ):  # on a busy machine the second call is late
+        # On a busy machine the second call comes late.
+        with patch("crankfold.service.application.FIRST_LIST_TIMEOUT", 5.0):
             await self.start_in_process()
         self.assertEqual(((await self.send_request("u1", wait=0.2))[0].split()[1], self.lines), ("503", []))
 
-    async def test_a_deadline_before_the_routing_timer_fired_sheds_what_was_never_sent(self) -> None:
+    async def test_unsent_request_is_shed_at_deadline_even_if_router_timer_is_late(self) -> None:
         async def backend(_reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             raise AssertionError("nothing is sent")
 
@@ -303,11 +304,11 @@
         self.backend_state = "terminating"
         self.config["known"] = self.discovery_answer()
         await self.start_in_process()
-        with patch.object(self.application.request_handler.routing, "timer_fired", lambda _now, _label: None):
+        with patch.object(self.application.request_handler.routing, "timer_fired", lambda _now, _token: None):
             self.assertEqual((await self.send_request("u1", wait=0.1))[0].split()[1], "503")
         self.assertEqual(self.application.metrics.counters["requests-open-at-deadline"], 1)
 
-    async def test_the_request_classes_in_force_bound_the_drain(self) -> None:
+    async def test_longest_deadline_in_force_limits_drain(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
 
