--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -1,4 +1,4 @@
-"""An operators' day in small: runners out and back, a drain, new settings and two replacements under load."""
+"""Operations under load: a manual drain with a restart of the backend, two handovers and a reload."""
 
 import asyncio
 import contextlib
@@ -14,13 +14,14 @@
 from tests.fixtures import read_message
 from tests.loopback import OK, DispatcherTestCase
 
-RUN, SLOTS = 0.08, 4  # 85 units a second keep the slots of two runners busy, and some fail
-COLD_FROM, WARM_AFTER, FACTOR = 0.05, 60.0, 2.0
-GRACE = 0.3
-# By its weight a server in slow start is due two of 85 requests a second (0.05 of 2.05): none in 10 s has a
-# chance of e^-20.
-FIRST_REQUEST_TIMEOUT = 10.0
-GRADES = [
+# Seconds and slots; 85 requests per second keep most slots of two backends busy, and some requests fail.
+EXECUTION_SECONDS, SLOTS = 0.08, 4
+INITIAL_CAPACITY, WARM_UP_SECONDS, OVERLOAD_FACTOR = 0.05, 60.0, 2.0
+DRAIN_GRACE_SECONDS = 0.3  # requests that were being sent when the drain was called may still arrive
+# By its weight a backend in slow start gets two of 85 requests per second (0.05 of 2.05), so the probability
+# that it gets none in 10 s is e^-20.
+FIRST_REQUEST_TIMEOUT_SECONDS = 10.0
+REQUEST_CLASSES = [
     {"name": "safe", "effect": "safe", "cut-off": 3_000_000, "expected-time": 800_000},
     {
         "name": "tagged",
@@ -34,42 +35,42 @@
 ]
 
 
-class Runner:
-    """Runs what comes on its slots, tells each end, fails some, and remembers all."""
+class FakeBackend:
+    """Executes requests on its slots, reports each end by callback, fails one in ten, and records all."""
 
-    def __init__(self, day: "Day", uid: str, zone: str) -> None:
-        self.day, self.uid, self.zone = day, uid, zone
+    def __init__(self, test: "OperationsUnderLoadTest", backend_id: str, zone: str) -> None:
+        self.test, self.backend_id, self.zone = test, backend_id, zone
         self.boot_ms, self.port = 0, 0
-        self.got: list[tuple[float, str]] = []
+        self.received: list[tuple[float, str]] = []
         self.slots = asyncio.Semaphore(SLOTS)
         self.busy = 0
 
-    async def served(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_message(reader)
             writer.write(OK)
             if head.startswith("POST"):
-                ident = head.lower().partition("x-request-id: ")[2].split()[0]
-                self.got.append((time.monotonic(), ident))
-                self.day.spawn(self.run(ident))
+                request_id = head.lower().partition("x-request-id: ")[2].split()[0]
+                self.received.append((time.monotonic(), request_id))
+                self.test.spawn(self.execute(request_id))
 
-    async def run(self, ident: str) -> None:
+    async def execute(self, request_id: str) -> None:
         async with self.slots:
             self.busy += 1
-            await asyncio.sleep(RUN)
+            await asyncio.sleep(EXECUTION_SECONDS)
             self.busy -= 1
-        state = "failed" if self.day.chance.random() < 0.1 else "done"
-        told = {
-            "id": ident,
-            "from": self.uid,
+        state = "failed" if self.test.rng.random() < 0.1 else "done"
+        callback = {
+            "id": request_id,
+            "from": self.backend_id,
             "state": state,
-            "result": ident,
+            "result": request_id,
             "load": {"queue": 0, "x0": SLOTS - self.busy},
         }
-        body = orjson.dumps(told)
+        body = orjson.dumps(callback)
         for _ in range(10):
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-                reader, writer = await asyncio.open_connection("127.0.0.1", self.day.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", self.test.port)
                 writer.write(
                     b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body)
                     + body
@@ -81,60 +82,63 @@
             await asyncio.sleep(0.1)
 
 
-class Day(DispatcherTestCase):
-    async def open(self) -> None:
-        self.chance = random.Random(7)
+class OperationsUnderLoadTest(DispatcherTestCase):
+    async def set_up_peers(self) -> None:
+        self.rng = random.Random(7)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rev, self.news = 1, asyncio.Condition()
-        self.runners = {uid: Runner(self, uid, zone) for uid, zone in (("a", "x"), ("b", "y"), ("c", "x"))}
-        for runner in self.runners.values():
-            runner.port = await self.stand_in(runner.served)
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            listen = f"127.0.0.1:{free.getsockname()[1]}"
+        self.revision, self.list_changed = 1, asyncio.Condition()
+        self.backends = {
+            backend_id: FakeBackend(self, backend_id, zone)
+            for backend_id, zone in (("a", "x"), ("b", "y"), ("c", "x"))
+        }
+        for backend in self.backends.values():
+            backend.port = await self.stand_in(backend.serve)
+        with socket.create_server(("127.0.0.1", 0)) as unused:
+            listen = f"127.0.0.1:{unused.getsockname()[1]}"
         self.config = {
             "listen": listen,
             "discovery": f"127.0.0.1:{await self.stand_in(self.discovery)}",
             "seed": "1f",
             "admin_addr": "127.0.0.1:0",
             "limits": {"sockets": 384},
-            "known": self.listed(),
+            "known": self.endpoint_list(),
             "settings": {
                 "allowed": {"most-dispatches": 3, "cancel": True, "second-copies": True},
                 "tick": 2000,
                 "zones": ["x", "y"],
                 "specifics": {"tells-start": False, "report-x0": "free slots"},
                 "report": {"names": ["queue", "x0"], "via": "inline"},
-                "service-grades": GRADES,
+                "service-grades": REQUEST_CLASSES,
                 "rules": {
-                    "cold-from": COLD_FROM,
-                    "warm-after": int(WARM_AFTER * 1e6),
-                    "overload-factor": FACTOR,
+                    "cold-from": INITIAL_CAPACITY,
+                    "warm-after": int(WARM_UP_SECONDS * 1e6),
+                    "overload-factor": OVERLOAD_FACTOR,
                     "overload-for": 1_000_000,
                 },
             },
         }
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.ends: dict[str, list[str]] = {}
+        self.responses: dict[str, list[str]] = {}
 
-    def spawn(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def listed(self) -> dict[str, Any]:
+    def endpoint_list(self) -> dict[str, Any]:
         return {
-            "rev": self.rev,
+            "rev": self.revision,
             "all": True,
             "targets": [
                 {
-                    "uid": r.uid,
-                    "endpoint": f"127.0.0.1:{r.port}",
-                    "az": r.zone,
+                    "uid": backend.backend_id,
+                    "endpoint": f"127.0.0.1:{backend.port}",
+                    "az": backend.zone,
                     "state": "in_service",
-                    "boot_ms": r.boot_ms,
+                    "boot_ms": backend.boot_ms,
                     "capacity_hint": 1.0,
                 }
-                for r in self.runners.values()
+                for backend in self.backends.values()
             ],
         }
 
@@ -142,125 +146,145 @@
         while True:
             head, _ = await read_message(reader)
             after = int(head.partition("after=")[2].split("&")[0] or 0) if "after=" in head else 0
-            async with self.news:
-                await self.news.wait_for(lambda after=after: self.rev > after)  # type: ignore[misc]
-            body = orjson.dumps(self.listed())
+            async with self.list_changed:
+                await self.list_changed.wait_for(lambda after=after: self.revision > after)  # type: ignore[misc]
+            body = orjson.dumps(self.endpoint_list())
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    async def load(self, over: asyncio.Event) -> None:
-        n = 0
-        kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        grades = ["safe", "tagged", "once"]
+    async def send_load(self, stopped: asyncio.Event) -> None:
+        request_count = 0
+        idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        class_names = ["safe", "tagged", "once"]
 
-        async def unit(ident: str, grade: str) -> None:
-            used = bool(kept)
-            reader, writer = kept.pop() if used else await asyncio.open_connection("127.0.0.1", self.port)
+        async def send(request_id: str, request_class: str) -> None:
+            reused = bool(idle_connections)
+            reader, writer = (
+                idle_connections.pop() if reused else await asyncio.open_connection("127.0.0.1", self.port)
+            )
             writer.write(
-                f"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: {ident}\r\n"
-                f"Idempotency-Key: {ident}\r\nX-Priority-Class: {grade}\r\nX-Timeout: 3\r\n"
-                f"X-Cost: {int(RUN * 1e6)}\r\nContent-Length: 0\r\n\r\n".encode()
+                f"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request_id}\r\n"
+                f"Idempotency-Key: {request_id}\r\nX-Priority-Class: {request_class}\r\nX-Timeout: 3\r\n"
+                f"X-Cost: {int(EXECUTION_SECONDS * 1e6)}\r\nContent-Length: 0\r\n\r\n".encode()
             )
             try:
                 async with asyncio.timeout(4):
                     head, body = await read_message(reader)
-            except (ConnectionError, asyncio.IncompleteReadError) as broken:
-                if used:  # the close crossed it: sent once more, under another id, as clients do
-                    await unit(ident + "-again", grade)
+            except (ConnectionError, asyncio.IncompleteReadError) as error:
+                # A reused connection may be closed before the request arrives; clients then send the request
+                # again, here under a new id.
+                if reused:
+                    await send(request_id + "-again", request_class)
                 else:
-                    self.ends.setdefault(ident, []).append(f"lost, {broken!r}")
+                    self.responses.setdefault(request_id, []).append(f"lost, {error!r}")
                 return
-            self.ends.setdefault(ident, []).append(f"{head.split()[1]} {body.decode()}")
+            self.responses.setdefault(request_id, []).append(f"{head.split()[1]} {body.decode()}")
             if "connection: close" in head.lower():
                 writer.close()
             else:
-                kept.append((reader, writer))
+                idle_connections.append((reader, writer))
 
-        while not over.is_set():
-            n += 1
-            self.spawn(unit(f"{grades[n % 3]}{n}", grades[n % 3]))
-            await asyncio.sleep(self.chance.expovariate(85))
+        while not stopped.is_set():
+            request_count += 1
+            self.spawn(
+                send(f"{class_names[request_count % 3]}{request_count}", class_names[request_count % 3])
+            )
+            await asyncio.sleep(self.rng.expovariate(85))
 
-    async def start(self) -> tuple[Any, asyncio.Task[str]]:
-        printed = await self.start_process(["-O", "-m", "crankfold", "serve"], self.folder)
+    async def start_dispatcher(self) -> tuple[Any, asyncio.Task[str]]:
+        output = await self.start_process(["-O", "-m", "crankfold", "serve"], self.folder)
         async with asyncio.timeout(5):
-            while await self.call(self.admin_port, "ready", "GET") != "200 ready":  # noqa: ASYNC110 - another process
+            while await self.call(self.admin_port, "ready", "GET") != "200 ready":  # noqa: ASYNC110 - it is another process
                 await asyncio.sleep(0.02)
-        return self.process, printed
+        return self.process, output
 
-    async def test_all_of_it_under_load(self) -> None:
-        await self.open()
-        first, first_printed = await self.start()
-        over = asyncio.Event()
-        loading = asyncio.create_task(self.load(over))
+    async def test_drain_restart_reload_and_handovers_lose_no_request(self) -> None:
+        await self.set_up_peers()
+        first, first_output = await self.start_dispatcher()
+        stopped = asyncio.Event()
+        load_task = asyncio.create_task(self.send_load(stopped))
         await asyncio.sleep(1)
-        # Out by hand, restarted, and back, the list as late as it likes.
-        out = self.runners["c"]
+        # A backend is drained manually, restarted and restored. A handover takes place during the drain.
+        drained = self.backends["c"]
         self.assertEqual(await self.call(self.admin_port, "runners/c/offline"), "200 offline")
-        out_at = time.monotonic()
+        drained_at = time.monotonic()
         await asyncio.sleep(0.6)
-        second, second_printed = await self.start()
+        second, second_output = await self.start_dispatcher()
         first.send_signal(signal.SIGTERM)
-        out.boot_ms = int(time.time() * 1000)
-        self.rev += 1
-        async with self.news:
-            self.news.notify_all()
+        drained.boot_ms = int(time.time() * 1000)
+        self.revision += 1
+        async with self.list_changed:
+            self.list_changed.notify_all()
         await asyncio.sleep(0.5)
         self.assertEqual(await self.call(self.admin_port, "runners/c/online"), "200 online")
-        back_at = time.monotonic()
+        restored_at = time.monotonic()
         await asyncio.sleep(0.7)
-        # Another replacement while it is cold, then other settings.
-        _, third_printed = await self.start()
+        # A second handover while the backend is in slow start, then a reload with a new request class.
+        _, third_output = await self.start_dispatcher()
         second.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.5)
-        grades = self.config["settings"]["service-grades"]
-        self.config["settings"]["service-grades"] = [*grades, {**grades[2], "name": "new"}]
+        request_classes = self.config["settings"]["service-grades"]
+        self.config["settings"]["service-grades"] = [*request_classes, {**request_classes[2], "name": "new"}]
         self.config_file.write_bytes(orjson.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.5)
-        async with asyncio.timeout(FIRST_REQUEST_TIMEOUT):
-            while not self.received_after(out, back_at):  # noqa: ASYNC110 - another process sends
+        async with asyncio.timeout(FIRST_REQUEST_TIMEOUT_SECONDS):
+            while not self.received_after(drained, restored_at):  # noqa: ASYNC110 - another process sends
                 await asyncio.sleep(0.02)
-        over.set()
-        await loading
+        stopped.set()
+        await load_task
         async with asyncio.timeout(6):
             while self.tasks:  # noqa: ASYNC110 - tasks end by themselves
                 await asyncio.sleep(0.02)
         self.process.terminate()
-        for printed in (first_printed, second_printed, third_printed):
-            text = await printed
-            self.assertIn("open-requests=0", text)
-            self.assertNotIn("broken-", text)
-            self.assertNotIn("failure", text)
-        self.judge(out, out_at, back_at)
+        for output in (first_output, second_output, third_output):
+            log = await output
+            self.assertIn("open-requests=0", log)
+            self.assertNotIn("broken-", log)
+            self.assertNotIn("failure", log)
+        self.check_invariants(drained, drained_at, restored_at)
 
     @staticmethod
-    def received_after(runner: Runner, instant: float) -> list[float]:
-        """When each request reached the runner after an instant."""
-        return [at for at, _ in runner.got if at > instant]
+    def received_after(backend: FakeBackend, after: float) -> list[float]:
+        """Returns the times later than `after` at which requests reached the backend."""
+        return [received_at for received_at, _ in backend.received if received_at > after]
 
-    def judge(self, out: Runner, out_at: float, back_at: float) -> None:
-        self.assertGreater(len(self.ends), 200)
-        odd = {
-            ident: ends
-            for ident, ends in self.ends.items()
-            if len(ends) != 1 or ends[0] not in (f"200 {ident}", "503 ", "504 ")
+    def check_invariants(self, drained: FakeBackend, drained_at: float, restored_at: float) -> None:
+        self.assertGreater(len(self.responses), 200)
+        unexpected = {
+            request_id: responses
+            for request_id, responses in self.responses.items()
+            if len(responses) != 1 or responses[0] not in (f"200 {request_id}", "503 ", "504 ")
         }
-        self.assertEqual(odd, {})
-        done = sum(ends[0].startswith("200") for ends in self.ends.values())
-        self.assertGreater(done, 0.6 * len(self.ends))
-        places: dict[str, list[str]] = {}
-        for runner in self.runners.values():
-            for _, ident in runner.got:
-                places.setdefault(ident, []).append(runner.zone)
-        once = [ident for ident in places if ident.startswith("once")]
-        tagged = [ident for ident in places if ident.startswith("tagged")]
-        self.assertEqual([ident for ident in once if len(places[ident]) > 1], [])
-        self.assertEqual([ident for ident in tagged if len(set(places[ident])) > 1], [])
-        banned = [at - out_at for at, _ in out.got if out_at + GRACE < at < back_at]
-        self.assertEqual(banned, [])
-        # Rule 4, over both processes: in no second more work than the factor times what it bears while cold.
-        back = self.received_after(out, back_at)
-        self.assertGreater(len(back), 0)
-        bears = FACTOR * SLOTS * COLD_FROM / RUN * (1 + (1 / COLD_FROM - 1) * 4 / WARM_AFTER)
-        rush = max(sum(at <= one < at + 1 for one in back) for at in back)
-        self.assertLessEqual(rush, bears)
+        self.assertEqual(unexpected, {})
+        completed = sum(responses[0].startswith("200") for responses in self.responses.values())
+        self.assertGreater(completed, 0.6 * len(self.responses))
+        zones: dict[str, list[str]] = {}
+        for backend in self.backends.values():
+            for _, request_id in backend.received:
+                zones.setdefault(request_id, []).append(backend.zone)
+        non_idempotent = [request_id for request_id in zones if request_id.startswith("once")]
+        with_key = [request_id for request_id in zones if request_id.startswith("tagged")]
+        self.assertEqual([request_id for request_id in non_idempotent if len(zones[request_id]) > 1], [])
+        self.assertEqual([request_id for request_id in with_key if len(set(zones[request_id])) > 1], [])
+        while_drained = [
+            received_at - drained_at
+            for received_at, _ in drained.received
+            if drained_at + DRAIN_GRACE_SECONDS < received_at < restored_at
+        ]
+        self.assertEqual(while_drained, [])
+        # Rule 4, over all processes together: in no second does the backend in slow start get more work than
+        # the overload factor times its capacity 4 s after its start.
+        after_restore = self.received_after(drained, restored_at)
+        self.assertGreater(len(after_restore), 0)
+        allowed = (
+            OVERLOAD_FACTOR
+            * SLOTS
+            * INITIAL_CAPACITY
+            / EXECUTION_SECONDS
+            * (1 + (1 / INITIAL_CAPACITY - 1) * 4 / WARM_UP_SECONDS)
+        )
+        most_in_a_second = max(
+            sum(received_at <= other < received_at + 1 for other in after_restore)
+            for received_at in after_restore
+        )
+        self.assertLessEqual(most_in_a_second, allowed)
