--- a/crankfold/service/requests/table.py
+++ b/crankfold/service/requests/table.py
@@ -42,7 +42,7 @@
         may_have_run: False once its outcome proves that it was never executed.
     """
 
-    # Not a dataclass: importing `dataclasses` would slow the start of the process.
+    # Plain classes with slots, as each dataclass would add to the start time (see `routing.interface`).
     __slots__ = (
         "accepted",
         "backend",
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -138,7 +138,7 @@
             (3, [0.0]),
         )
 
-    async def test_duplicate_id_overload_cancellation_and_moved_backend(self) -> None:
+    async def test_duplicate_id_is_rejected_overload_shed_and_moved_backend_used(self) -> None:
         posts: list[str] = []
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -36,7 +36,7 @@
         self.assertIn("ValueError('a bug')", log)
         self.assertEqual(self.process.returncode, 0, log)
 
-    async def test_sigterm_leaves_open_requests_time_until_end_of_drain(self) -> None:
+    async def test_sigterm_lets_open_requests_complete_during_drain(self) -> None:
         accepted = asyncio.Queue[str]()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -110,7 +110,7 @@
             for invalid_body in (b"", b'{"listen":', orjson.dumps({**self.config, "discovery": "here"})):
                 self.config_file.write_bytes(invalid_body)
                 self.process.send_signal(signal.SIGHUP)
-                await self.send_request("u0", wait=0.001)  # by its end the signal has been handled
+                await self.send_request("u0", wait=0.001)  # the signal has been handled once it is answered
             self.config_file.write_bytes(orjson.dumps(self.config))
             self.process.send_signal(signal.SIGHUP)
             self.process.send_signal(signal.SIGHUP)
@@ -139,7 +139,7 @@
         self.process.terminate()
         await asyncio.sleep(0.2)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        for pause in (1.0, 0.0):  # the second request comes late in the drain
+        for pause in (1.0, 0.0):  # seconds; the second request comes late in the drain
             writer.write(REQUEST.replace(b"Timeout: 1", b"Timeout: 2"))
             head, body = await read_message(reader)
             self.assertEqual((head.split()[1], body, "Connection: close" in head), ("200", b"result", False))
