--- a/crankfold/consensus/activation.py
+++ b/crankfold/consensus/activation.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, raft: Raft, documents: VersionedDocuments, leases: LeaderLeases) -> None:
-        """Makes the activator of the voter with this Raft node and these documents.
+        """Starts without proposed activations.
 
         Args:
             raft: The Raft node of the voter.
@@ -58,7 +58,7 @@
                 self._activate(now, name, version)
 
     def _lowest_quiesced(self, now: int, own: AppliedBounds) -> int:
-        """The index of the quotas that all open requests keep within, those under expired leases included."""
+        """Returns the index of the quotas that all open requests, also under expired leases, keep within."""
         request_duration = self._documents.max_request_duration()
         if now < self._raft.timing.earlier_leases_until(self._raft.leader_since) + request_duration:
             return 0
--- a/crankfold/consensus/conservative_merge.py
+++ b/crankfold/consensus/conservative_merge.py
@@ -29,12 +29,12 @@
 
 
 def _rank(scale: tuple[str, ...], value: object) -> int:
-    """The position of a value on a scale from most to least permissive."""
+    """Returns the position of a value on a scale from most to least permissive."""
     return scale.index(value) if isinstance(value, str) and value in scale else len(scale) - 1
 
 
 def _tighter_bound(first: float | None, second: float | None) -> float | None:
-    """The lower of two upper bounds; None for unbounded."""
+    """Returns the lower of two upper bounds; None for unbounded."""
     if first is None:
         return second
     if second is None:
--- a/crankfold/consensus/follower.py
+++ b/crankfold/consensus/follower.py
@@ -47,7 +47,7 @@
         self._heartbeat_due_at = now + self._random.below(timing.renew_interval)
 
     def next_deadline(self) -> int:
-        """The time at which `tick` is due."""
+        """Returns the time at which `tick` is due."""
         return self._heartbeat_due_at
 
     def take_immediate_messages(self) -> list[OutgoingMessage]:
--- a/crankfold/consensus/leader_leases.py
+++ b/crankfold/consensus/leader_leases.py
@@ -84,13 +84,13 @@
         return now < self.granted_until.get(voter, 0)
 
     def leased_reports(self, now: int, grace: int = 0) -> list[VoterReport]:
-        """Reports of the voters whose leases may run, or expired less than `grace` ticks before `now`."""
+        """Returns the reports of voters whose leases may run or expired less than `grace` ticks ago."""
         return [
             report for voter, report in self.reports.items() if now < self.granted_until.get(voter, 0) + grace
         ]
 
     def subtree_reports(self, now: int, request_duration: int) -> list[SubtreeReport]:
-        """Maintenance reports of the voters in whose subtrees requests may still run."""
+        """Returns the maintenance reports of the voters in whose subtrees requests may still run."""
         return [
             SubtreeReport(
                 voter,
--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -83,7 +83,7 @@
     Attributes:
         timing: Durations of leases and of contact.
         started_at: When the process of the voter started.
-        holders: By name.
+        holders: The lease holders, by name.
     """
 
     def __init__(self, timing: Timing, started_at: int) -> None:
@@ -93,7 +93,7 @@
         self.holders: dict[str, LeaseHolder] = {}
 
     def state_of(self, now: int, holder: LeaseHolder) -> LeaseHolderState:
-        """The state of the holder at `now`."""
+        """Returns the state of the holder at `now`."""
         if holder.has_left:
             return LeaseHolderState.LEFT
         if now - holder.last_contact_at < self.timing.contact_timeout:
@@ -158,7 +158,7 @@
             holder.expires_at = now
 
     def in_contact(self, now: int) -> list[tuple[str, LeaseHolder]]:
-        """The holders in contact, with their names."""
+        """Returns the holders in contact, with their names."""
         return [
             (name, holder)
             for name, holder in self.holders.items()
@@ -166,7 +166,7 @@
         ]
 
     def applied_bounds(self, now: int, own: AppliedBounds, request_duration: int) -> AppliedBounds:
-        """The lower bounds for this voter and the holders of its leases.
+        """Returns the lower bounds for this voter and the holders of its leases.
 
         Args:
             now: The current time.
@@ -215,7 +215,7 @@
         return SubtreeReport(own.voter, drained_index, own.report)
 
     def statuses(self, now: int) -> list[LeaseHolderStatus]:
-        """The status of each holder, for gossip to the other voters."""
+        """Returns the status of each holder, for gossip to the other voters."""
         return [
             LeaseHolderStatus(
                 name=name,
--- a/crankfold/consensus/log_entries.py
+++ b/crankfold/consensus/log_entries.py
@@ -104,17 +104,17 @@
 
 
 def voters_of(entry: LogEntry) -> dict[str, str]:
-    """Addresses by name of the voters, as they are after a `CHANGE_VOTERS` entry."""
+    """Returns the addresses, by name, of the voters after a `CHANGE_VOTERS` entry."""
     return dict(entry.data["voters"])
 
 
 def proposal_id_of(entry: LogEntry) -> str:
-    """The id of the proposal of an entry; empty for an entry without a recorded outcome."""
+    """Returns the id of the proposal of an entry; empty for an entry without a recorded outcome."""
     return str(entry.data.get("call", ""))
 
 
 def folder_ids_after(folder_ids: dict[str, str], entry: LogEntry) -> dict[str, str]:
-    """The registered folder ids by voter, after one more entry.
+    """Returns the registered folder ids by voter, after one more entry.
 
     Raises:
         msgspec.ValidationError: The data of the entry does not have the fields of its kind.
--- a/crankfold/consensus/maintenance_reports.py
+++ b/crankfold/consensus/maintenance_reports.py
@@ -45,7 +45,7 @@
                 self.combined.merge(subtree.report, lease_valid=subtree.lease_valid)
 
     def blocking_reason(self, machine_id: str, index: int) -> str:
-        """The reason why a machine may still have requests in flight.
+        """Returns the reason why a machine may still have requests in flight.
 
         Args:
             machine_id: The machine.
--- a/crankfold/consensus/member.py
+++ b/crankfold/consensus/member.py
@@ -22,7 +22,7 @@
     """The dispatcher that acts on the documents of a member."""
 
     def quiesced_index(self, last_applied: int) -> int:
-        """The log index of the newest quotas that the open requests keep within.
+        """Returns the log index of the newest quotas that the open requests keep within.
 
         Args:
             last_applied: The last applied index, which is the highest result.
@@ -42,7 +42,7 @@
     """The dispatcher of a voter, which also validates documents before they are published."""
 
     def validate_document(self, name: str, content: DocumentContent) -> str:
-        """The reason why the content of a document is invalid; empty if it is valid."""
+        """Returns the reason why the content of a document is invalid; empty if it is valid."""
 
 
 class MaintenanceCoordinator(Protocol):
@@ -96,11 +96,11 @@
         return now < self.lease_expires_at
 
     def effective_content(self, document: str) -> DocumentContent | None:
-        """The effective content of a document; None for settings without an active version."""
+        """Returns the effective content of a document; None for settings without an active version."""
         return self.documents.effective_content(document)
 
     def quiesced_index(self) -> int:
-        """The log index of the newest quotas that the host's open requests keep within."""
+        """Returns the log index of the newest quotas that the host's open requests keep within."""
         return self.host.quiesced_index(self.last_applied)
 
     def _accept_lease(self, request_sent_at: int, duration: int, required_index: int) -> None:
--- a/crankfold/consensus/membership.py
+++ b/crankfold/consensus/membership.py
@@ -34,11 +34,11 @@
             del self.by_voter[voter]
 
     def all(self) -> list[LeaseHolderStatus]:
-        """The lease holders of all other voters."""
+        """Returns the lease holders of all other voters."""
         return [status for statuses in self.by_voter.values() for status in statuses]
 
     def alive(self) -> list[LeaseHolderStatus]:
-        """The lease holders of other voters that are in contact."""
+        """Returns the lease holders of other voters that are in contact."""
         return [status for status in self.all() if status.state == LeaseHolderState.ALIVE]
 
     def has_other_incarnation(self, name: str, incarnation: int) -> bool:
--- a/crankfold/consensus/messages.py
+++ b/crankfold/consensus/messages.py
@@ -115,7 +115,7 @@
         response_counts: The numbers of all responses and of bad ones, by machine under observation.
         unavailable: Machines that discovery does not list as ready.
         idle_dispatchers: Draining dispatchers without open requests.
-        dispatcher_zones: Zones by dispatcher, where one is configured.
+        dispatcher_zones: The zone of each dispatcher that has one configured.
         open_requests: The number of open requests.
         recent_accepted: The number of requests accepted in the recent past.
         recent_shed: The number of requests shed in the recent past.
@@ -175,7 +175,7 @@
 
     Attributes:
         request_sent_at: `LeaseRequest.sent_at`; the lease counts from there.
-        lease_duration: Ticks.
+        lease_duration: The duration of the lease.
         required_index: The commit index of the leader.
     """
 
@@ -209,7 +209,7 @@
 
     Attributes:
         request_sent_at: `FollowerHeartbeat.sent_at`; the lease counts from there. 0 if this is no response.
-        lease_duration: Ticks; 0 for no lease.
+        lease_duration: The duration of the lease; 0 for no lease.
         prev_log_index: The index before the first of `entries`.
         snapshot: The state before `entries`, if the follower lacks compacted entries.
         voter_last_applied: The last index that the voter has applied.
--- a/crankfold/consensus/progress.py
+++ b/crankfold/consensus/progress.py
@@ -6,7 +6,7 @@
 
 
 def quorum_value(voters: Collection[str], value_of: Callable[[str], int]) -> int:
-    """The highest value that a majority of the voters has reached; 0 without voters."""
+    """Returns the highest value that a majority of the voters has reached; 0 without voters."""
     values = sorted(map(value_of, voters), reverse=True)
     return values[len(values) // 2] if values else 0
 
@@ -63,7 +63,7 @@
         return self.next_index[voter] > previous
 
     def quorum_match_index(self, voters: Collection[str], durable_index: int) -> int:
-        """The highest index that a majority has on stable storage.
+        """Returns the highest index that a majority has on stable storage.
 
         Args:
             voters: Names of the voters.
@@ -74,7 +74,7 @@
         )
 
     def quorum_contact_at(self, voters: Collection[str]) -> int:
-        """When the newest round that a majority has acknowledged was sent; -1 for none.
+        """Returns when the newest round that a majority has acknowledged was sent; -1 for none.
 
         The responses were sent after that time, so the majority was in contact then.
         """
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -111,7 +111,7 @@
         self.election_timer.reset(now, has_leader=bool(self.leader), sync_duration=sync_duration)
 
     def next_deadline(self) -> int:
-        """The time at which `tick` is due."""
+        """Returns the time at which `tick` is due."""
         return self.heartbeat_due_at if self.role == Role.LEADER else self.election_timer.due_at
 
     def tick(self, now: int) -> None:
@@ -130,7 +130,7 @@
                 self._reset_election_timer(now)
 
     def quorum_contact_at(self) -> int:
-        """At the leader: when the newest round that a quorum has acknowledged was sent; -1 for none."""
+        """Returns when the leader sent the newest round that a quorum has acknowledged; -1 for none."""
         return self.progress.quorum_contact_at(self.voters)
 
     def _set_hard_state(self, term: int, vote: str) -> None:
--- a/crankfold/consensus/raft_log.py
+++ b/crankfold/consensus/raft_log.py
@@ -27,11 +27,11 @@
         self.durable_index = self.last_index()
 
     def last_index(self) -> int:
-        """The index of the last entry; 0 for an empty log."""
+        """Returns the index of the last entry; 0 for an empty log."""
         return self.snapshot.index + len(self.entries)
 
     def last_term(self) -> int:
-        """The term of the last entry; 0 for an empty log."""
+        """Returns the term of the last entry; 0 for an empty log."""
         return self.term_at(self.last_index())
 
     def is_up_to_date(self, last_term: int, last_index: int) -> bool:
@@ -39,7 +39,7 @@
         return (last_term, last_index) >= (self.last_term(), self.last_index())
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at `index`; `NO_TERM` for an index that is not in the log."""
+        """Returns the term of the entry at `index`; `NO_TERM` for an index that is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index():
@@ -47,7 +47,7 @@
         return NO_TERM
 
     def entries_between(self, after: int, up_to: int) -> list[LogEntry]:
-        """The entries above index `after` and up to index `up_to`, as far as they are not compacted."""
+        """Returns the entries above index `after` and up to index `up_to`, without compacted ones."""
         first = max(after - self.snapshot.index, 0)
         end = max(up_to - self.snapshot.index, 0)
         return self.entries[first:end]
@@ -78,14 +78,14 @@
             raise MembershipChangeError("nobody would be left")
 
     def count_agreeing(self, prev_index: int, entries: list[LogEntry]) -> int:
-        """The number of leading `entries` that the log already has after `prev_index`."""
+        """Returns the number of leading `entries` that the log already has after `prev_index`."""
         for offset, entry in enumerate(entries):
             if self.term_at(prev_index + 1 + offset) != entry.term:
                 return offset
         return len(entries)
 
     def after_snapshot(self, prev_index: int, entries: list[LogEntry]) -> list[LogEntry]:
-        """The part of `entries`, which follow `prev_index`, that the snapshot does not replace."""
+        """Returns the part of `entries`, which follow `prev_index`, that the snapshot does not replace."""
         return entries[max(self.snapshot.index - prev_index, 0) :]
 
     def write(self, first_index: int, entries: list[LogEntry]) -> None:
@@ -136,7 +136,7 @@
             self.durable_index = max(self.durable_index, min(snapshot.index, self.last_index()))
 
     def retry_index(self, prev_index: int, prev_term: int, commit_index: int) -> int:
-        """The next `prev_log_index` that a leader tries after a mismatch.
+        """Returns the next `prev_log_index` that a leader tries after a mismatch.
 
         Skips all entries of a conflicting term at once (section 5.3 of the paper).
 
--- a/crankfold/consensus/raft_state.py
+++ b/crankfold/consensus/raft_state.py
@@ -36,7 +36,7 @@
 
 
 class PersistentState(Struct):
-    """The content of a voter's stable storage when its process starts; fields as in `Ready`."""
+    """The content of a voter's stable storage when its process starts. `Ready` describes the fields."""
 
     term: int = 0
     vote: str = ""
--- a/crankfold/consensus/random_numbers.py
+++ b/crankfold/consensus/random_numbers.py
@@ -18,6 +18,6 @@
         self.state = seed & _MASK_64
 
     def below(self, bound: int) -> int:
-        """Returns the next number from 0 to `bound` - 1; their distribution is about uniform."""
+        """Returns the next number from 0 to `bound` - 1, with an almost uniform distribution."""
         self.state = (self.state * _MULTIPLIER + _INCREMENT) & _MASK_64
         return ((self.state >> _DROPPED_BITS) * bound) >> _USED_BITS
--- a/crankfold/consensus/timing.py
+++ b/crankfold/consensus/timing.py
@@ -22,7 +22,7 @@
 
 
 def with_drift_margin(duration: int) -> int:
-    """The highest number of ticks that this clock counts while another clock counts `duration` ticks."""
+    """Returns the most ticks that this clock counts while another clock counts `duration` ticks."""
     return duration * (PERCENT + CLOCK_DRIFT_PERCENT) // PERCENT
 
 
@@ -76,7 +76,7 @@
         return with_drift_margin(self.lease_duration)
 
     def earlier_leases_until(self, granter_since: int) -> int:
-        """The latest expiry of leases that were granted before `granter_since`.
+        """Returns the latest expiry of leases that were granted before `granter_since`.
 
         Args:
             granter_since: When the current granter took over. For leases to followers, that is the start of
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -35,7 +35,7 @@
     """One version of a document.
 
     Attributes:
-        number: The number of the version; the first one is 1.
+        number: The number of the version, from 1.
         made_from: The number of the version before this one.
         author: The name of the author.
         reason: Why, in the author's words.
@@ -65,15 +65,15 @@
     active_number: int = 0
 
     def latest_number(self) -> int:
-        """The number of the newest version; 0 for none."""
+        """Returns the number of the newest version; 0 for none."""
         return self.versions[-1].number if self.versions else 0
 
     def pending(self) -> list[DocumentVersion]:
-        """The versions above the active one."""
+        """Returns the versions that are newer than the active one."""
         return [version for version in self.versions if version.number > self.active_number]
 
     def find(self, number: int) -> DocumentVersion | None:
-        """The version with that number; None if it is not retained."""
+        """Returns the version with that number; None if it is not retained."""
         return next((version for version in self.versions if version.number == number), None)
 
     def drop_oldest(self) -> None:
@@ -155,7 +155,7 @@
         return msgspec.msgpack.encode(self.replicated)
 
     def document(self, name: str) -> Document:
-        """The document with that name; an empty one if none was published."""
+        """Returns the document with that name; an empty one if none was published."""
         return self.replicated.documents.get(name) or Document()
 
     def apply(self, index: int, entry: LogEntry) -> str:
@@ -239,7 +239,7 @@
             )
 
     def effective_content(self, name: str) -> DocumentContent | None:
-        """The content to act on: the active version, merged conservatively with each pending one.
+        """Returns the content to act on: the active version, merged conservatively with each pending one.
 
         Returns:
             The content; None for settings without an active version, on which no member may act.
@@ -255,14 +255,14 @@
         )
 
     def version_numbers(self) -> dict[str, tuple[int, int]]:
-        """The numbers of the active and of the newest version, by document. Event logs store these pairs."""
+        """Returns the active and the newest version number by document; event logs store the pairs."""
         return {
             name: (document.active_number, document.latest_number())
             for name, document in self.replicated.documents.items()
         }
 
     def pending_versions(self) -> list[PendingVersion]:
-        """The pending versions of all documents."""
+        """Returns the pending versions of all documents."""
         return [
             PendingVersion(name, version)
             for name, document in self.replicated.documents.items()
@@ -270,7 +270,7 @@
         ]
 
     def max_request_duration(self) -> int:
-        """The longest deadline of any request class in the retained settings, in ticks."""
+        """Returns the longest deadline of any request class in the retained settings, in ticks."""
         deadlines = [
             request_class.get("cut-off", 0)
             for version in self.document(SETTINGS).versions
--- a/crankfold/consensus/voter.py
+++ b/crankfold/consensus/voter.py
@@ -108,7 +108,7 @@
         return self.raft.role == Role.LEADER and self.raft.commit_index >= self.raft.term_start_index
 
     def next_deadline(self) -> int:
-        """The time at which `tick` is due."""
+        """Returns the time at which `tick` is due."""
         due = min(self.raft.next_deadline(), self._lease_request_due_at, self._gossip_due_at)
         return min(due, self._maintenance_due_at) if self._coordinator else due
 
@@ -191,17 +191,17 @@
         self._leader_proposals.propose_activations(now, self.applied_bounds(now))
 
     def applied_bounds(self, now: int) -> AppliedBounds:
-        """The lower bounds over this voter and the holders of its leases."""
+        """Returns the lower bounds for this voter and the holders of its leases."""
         own = AppliedBounds(self.last_applied, min(self.last_applied, self.quiesced_index()))
         return self.leases.applied_bounds(now, own, self.documents.max_request_duration())
 
     def subtree_report(self, now: int) -> SubtreeReport:
-        """The merged maintenance report of this voter and the holders of its leases."""
+        """Returns the merged maintenance report of this voter and the holders of its leases."""
         own = SubtreeReport(self.name, self.last_applied, self.host.build_maintenance_report())
         return self.leases.subtree_report(now, own, self.documents.max_request_duration())
 
     def cluster_report(self, now: int) -> ClusterReport:
-        """At the leader: the maintenance reports of all voters and their lease holders."""
+        """Returns, at the leader, the maintenance reports of all voters and their lease holders."""
         request_duration = self.documents.max_request_duration()
         leases_until = self.timing.earlier_leases_until(self.raft.leader_since)
         return ClusterReport(
@@ -210,12 +210,12 @@
         )
 
     def voter_incarnations(self) -> dict[str, int]:
-        """At the leader: incarnations, by name, of this voter and the voters that reported in this term."""
+        """Returns, at the leader, its incarnation and those of voters that reported in this term, by name."""
         incarnations = {voter: report.incarnation for voter, report in self.leader_leases.reports.items()}
         return {**incarnations, self.name: self.incarnation}
 
     def leased_incarnations(self, now: int) -> dict[str, int]:
-        """At the leader: the `voter_incarnations` of voters that may hold a lease."""
+        """Returns, at the leader, the `voter_incarnations` of voters that may hold a lease."""
         return {
             voter: incarnation
             for voter, incarnation in self.voter_incarnations().items()
@@ -267,7 +267,7 @@
         return self.registry.admit(self.raft.log, voter, folder_id)
 
     def _rejection_of(self, now: int, heartbeat: FollowerHeartbeat) -> str:
-        """The reason why a follower is not admitted; empty if it is."""
+        """Returns the reason why a follower is not admitted; empty if it is."""
         name = heartbeat.name
         if self.leases.is_name_leased(now, heartbeat):
             return f"the name {name} is in use by another process"
--- a/crankfold/consensus/voter_registry.py
+++ b/crankfold/consensus/voter_registry.py
@@ -24,7 +24,7 @@
         """
 
     def folder_ids_of(self, names: set[str]) -> dict[str, str]:
-        """The folder ids, by name, of those named voters that sent theirs in a `Hello`."""
+        """Returns the folder ids, by name, of those named voters that sent theirs in a `Hello`."""
 
 
 class FolderRegistry:
@@ -56,7 +56,7 @@
         return ""
 
     def _registered(self, log: RaftLog) -> dict[str, str]:
-        """The registered folder ids as of the last log entry.
+        """Returns the registered folder ids as of the last log entry.
 
         Includes uncommitted entries, because a node does not know its commit index after a start.
         """
@@ -73,11 +73,11 @@
         return founding_member or (candidate_last_index == 0 and log.last_index() == 0)
 
     def folder_ids_of(self, names: set[str]) -> dict[str, str]:
-        """The folder ids, by name, of those named voters that sent theirs in a `Hello`."""
+        """Returns the folder ids, by name, of those named voters that sent theirs in a `Hello`."""
         return {name: self.folder_ids[name] for name in names & self.folder_ids.keys()}
 
     def unregistered(self, voters: dict[str, str]) -> dict[str, str]:
-        """The folder ids, by name, of voters that sent one and are not registered in the applied log."""
+        """Returns the folder ids, by name, of voters that sent one and that no applied entry registers."""
         registered = self.documents.replicated.voter_folder_ids
         return {
             name: folder_id
