--- a/crankfold/network/accepted_connection.py
+++ b/crankfold/network/accepted_connection.py
@@ -10,28 +10,29 @@
 from crankfold.protocol.client_connection import ClientConnection, ClientRequestHandler
 from crankfold.protocol.headers import Header
 
-READER_LIMIT = 16 * 1024  # bytes; asyncio's reader pauses the transport at twice as much
+READER_LIMIT = 16 * 1024  # bytes; asyncio pauses the transport once twice as much is buffered
 READ_SIZE = 4 * READER_LIMIT  # bytes
-MAX_UNREAD_BYTES = 64 * 1024  # pipelined behind an open request, or received after the last response
-# Seconds between two reads on a connection whose input is discarded, times the number of such connections:
-# together they take a bounded share of the loop.
+# Limit on input that is pipelined behind an open request, or received after the last response.
+MAX_UNREAD_BYTES = 64 * 1024
+# Seconds between two reads on a connection whose input is discarded, multiplied by the number of such
+# connections, so that all of them together use a bounded share of the event loop's time.
 THROTTLE_DELAY = 0.002
-# Seconds after the last response in which input is read and discarded. A close with unread input resets the
-# connection, and the peer could lose the response.
+# Seconds for which input is read and discarded after the last response. Closing a socket with unread input
+# resets the connection, and the peer could lose the response.
 CLOSE_DELAY = 0.5
-NEW_CONNECTION_GRACE = 0.1  # seconds after a response or accept in which the next request may be in transit
+NEW_CONNECTION_GRACE = 0.1  # seconds after an accept or a response; the next request may be in transit
 
 
 class OwningListener(Protocol):
-    """What an accepted connection needs of the listener that accepted it.
+    """The interface of a listener that its accepted connections use.
 
     Attributes:
         loop: The running event loop.
         metrics: Counts rejected requests and failures.
-        report_fields: Of load reports, in the order of their values.
+        report_fields: Names of the fields of load reports, in the order of their values.
         closing: Whether each response is the last on its connection.
-        flooding_connections: Those whose input is discarded.
-        unidentified_connections: Those without a request or callback so far, the oldest first.
+        flooding_connections: Connections whose input is discarded.
+        unidentified_connections: Connections without a request or callback so far, the oldest first.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -50,15 +51,15 @@
 
 
 class AcceptedConnection:
-    """One accepted connection. Times are seconds of the loop's clock.
+    """One accepted connection. Times are seconds of the event loop's clock.
 
     Attributes:
-        listener: Accepted this connection.
-        protocol: The HTTP state.
+        listener: The listener that accepted this connection.
+        protocol: The HTTP state of the connection.
         accepted_at: When the connection was accepted.
         phase_started_at: When the connection became idle, or the present request or response began.
         received_at: When bytes of a request were last received.
-        unread_bytes: Received while a request was open, or after the last response.
+        unread_bytes: Number of bytes received while a request was open, or after the last response.
     """
 
     def __init__(
@@ -85,7 +86,8 @@
                 self.unread_bytes += len(data)
             if protocol.closing:
                 if self.unread_bytes > MAX_UNREAD_BYTES:
-                    # Further input stays in the kernel: reading it would take the loop's time from others.
+                    # Leaves further input in the kernel: reading it would take the event loop's time from
+                    # other connections.
                     await asyncio.sleep(CLOSE_DELAY)
                     return
             elif protocol.discarding_input:
@@ -101,7 +103,7 @@
         try:
             protocol.receive_data(data)
         except Exception as error:
-            # An accepted request is answered, also after an internal error.
+            # A request that was read gets a response even after an internal error.
             self.listener.metrics.record_exception(error)
             if protocol.awaiting_response:
                 self.respond(HTTPStatus.INTERNAL_SERVER_ERROR)
@@ -111,8 +113,8 @@
         if protocol.identified:
             self.listener.unidentified_connections.pop(self, None)
         if self.unread_bytes > MAX_UNREAD_BYTES and protocol.awaiting_response:
-            # Reading continues, as a disconnect of the client is received only behind this input. It is
-            # discarded with any pipelined requests, as clients send one request at a time.
+            # Reading continues, because a disconnect of the client is seen only after this input. The input
+            # is discarded along with any pipelined requests: clients send one request at a time.
             protocol.discarding_input = True
             self.listener.flooding_connections.add(self)
 
@@ -121,18 +123,18 @@
         return self.protocol.awaiting_response
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed the connection, also where that is behind unread input."""
+        """Whether the peer has closed the connection, even if unread input precedes the close."""
         return self.writer.is_closing() or has_pending(self.writer, PEER_CLOSED)
 
     def respond(self, status: int, headers: Sequence[Header] = (), body: bytes = b"") -> None:
-        """Answers the open request; a pipelined one is read in the next iteration of the loop."""
+        """Answers the open request; a pipelined one is read in the next iteration of the event loop."""
         self.protocol.close_after_response = self.protocol.close_after_response or self.listener.closing
         self.protocol.respond(status, headers, body)
         self._flush()
         self.listener.loop.call_soon(self._resume_reading)
 
     def exceeds_limit(self) -> bool:
-        """Whether more connections are open than allowed: requests on this one are shed."""
+        """Whether more connections are open than allowed, so that requests on this one are shed."""
         return self.listener.is_over_limit()
 
     def reject(self, status: int) -> None:
@@ -165,11 +167,14 @@
             self.listener.loop.call_later(CLOSE_DELAY, self.writer.close)
 
     def last_progress_at(self) -> float:
-        """When bytes of the request were last received; pipelined ones count from the response before."""
+        """Returns when bytes of the request were last received.
+
+        Pipelined bytes count as received when the previous response was written.
+        """
         return max(self.received_at, self.phase_started_at)
 
     def has_unsent_data(self) -> bool:
-        """Whether written bytes are in the buffer because the peer does not receive them."""
+        """Whether written bytes are still buffered because the peer does not receive them."""
         return self.writer.transport.get_write_buffer_size() > 0
 
     def is_idle(self) -> bool:
@@ -201,5 +206,5 @@
         self.writer.transport.abort()
 
     def eviction_order(self) -> tuple[bool, bool, float]:
-        """Sort key for evictions: closing connections first, then clients', then backends', each by age."""
+        """Returns the sort key for evictions: closing connections, then clients', then backends', by age."""
         return not self.protocol.closing, self.protocol.is_backend, self.phase_started_at
--- a/crankfold/network/acceptor.py
+++ b/crankfold/network/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections on a listening socket, also while accept fails for want of descriptors or memory.
+"""Accepts connections on a listening socket, and retries soon when descriptors or memory run out.
 
 An asyncio server stops accepting for a second after such a failure, and requests with short deadlines expire
-in the accept queue. An `Acceptor` retries after ACCEPT_RETRY_DELAY.
+in the accept queue meanwhile. An `Acceptor` retries after ACCEPT_RETRY_DELAY.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 from crankfold.network.metrics import Metrics
 
 ACCEPT_RETRY_DELAY = 0.005  # seconds between a failure of accept and the next call
-# Failures in a row, in one iteration of the loop. The first may concern only the connection at the head of
-# the queue.
+# Consecutive failures in one iteration of the event loop after which the acceptor waits. The first one may
+# concern only the connection at the head of the accept queue.
 FAILURES_BEFORE_DELAY = 2
 
 ConnectionCallback = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -41,12 +41,12 @@
 
     Args:
         host: An IPv4 or IPv6 address.
-        port: 0 for one that the system chooses.
-        limits: With the length of the accept queue.
+        port: The port; 0 lets the system choose one.
+        limits: Contains the length of the accept queue.
         reuse_port: Whether another process may listen on the same address.
 
     Raises:
-        OSError: The address can't be listened on.
+        OSError: Listening on the address failed.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     return socket.create_server((host, port), family=family, backlog=limits.backlog, reuse_port=reuse_port)
@@ -66,13 +66,13 @@
         metrics: Metrics,
         limits: AcceptLimits,
     ) -> None:
-        """Begins to accept.
+        """Starts to accept connections.
 
         Args:
-            listening: Bound and listening.
-            on_connection: Serves a connection, in a task of its own.
+            listening: A socket that is bound and listening.
+            on_connection: Serves one connection, in a task of its own.
             metrics: Counts failures of accept.
-            limits: On accepting and on reading from the connections.
+            limits: Limits on accepting connections and on reading from them.
         """
         self.socket = listening
         self._on_connection = on_connection
@@ -86,7 +86,7 @@
         self._loop.add_reader(listening, self._accept_ready)
 
     def port(self) -> int:
-        """The port on which the socket listens."""
+        """Returns the port on which the socket listens."""
         return int(self.socket.getsockname()[1])
 
     def has_pending(self) -> bool:
@@ -103,8 +103,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The client closed the connection, or the process has no descriptors or memory. The latter
-                # lasts, and an immediate retry would take all of the CPU.
+                # Either the client closed the connection, or the process has run out of descriptors or
+                # memory. A shortage lasts, and retrying at once would use all of the CPU.
                 self._metrics.increment("accepts-failed")
                 failures += 1
                 if failures < FAILURES_BEFORE_DELAY:
--- a/crankfold/network/admin_server.py
+++ b/crankfold/network/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server: serves operators' calls on an address of its own, one call a connection."""
+"""The admin server: serves operators' calls on an address of its own, one call per connection."""
 
 import asyncio
 from http import HTTPStatus
@@ -10,8 +10,8 @@
 
 MAX_CALLERS = 16  # open connections; `divide_socket_limit` reserves their descriptors
 CALL_TIMEOUT = 2.0  # seconds from connecting to the end of a call
-# Seconds after the response in which input is read and discarded. A close with unread input resets the
-# connection, and the caller could lose the response.
+# Seconds for which input is read and discarded after the response. Closing a socket with unread input resets
+# the connection, and the caller could lose the response.
 CLOSE_DELAY = 0.2
 READ_SIZE = 4 * 1024  # bytes
 LIMITS = AcceptLimits(backlog=256, read_limit=READ_SIZE, accepts_per_iteration=2)
@@ -21,7 +21,7 @@
     """The listening socket for operators, and the calls in progress on its connections.
 
     Attributes:
-        connections: In the order in which they were accepted, with their writers.
+        connections: The open connections with their writers, in the order in which they were accepted.
         acceptor: None before `open` and after `close`.
     """
 
@@ -33,16 +33,16 @@
         self.acceptor: Acceptor | None = None
 
     def open(self, host: str, port: int) -> None:
-        """Begins to accept; port 0 is one that the system chooses.
+        """Starts to accept connections; port 0 lets the system choose one.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: Listening on the address failed.
         """
         listening = open_listening_socket(host, port, LIMITS)
         self.acceptor = Acceptor(listening, self._handle_connection, self.metrics, LIMITS)
 
     def port(self) -> int:
-        """The port on which the server listens, 0 for none."""
+        """Returns the port on which the server listens, or 0 if it does not listen."""
         return self.acceptor.port() if self.acceptor else 0
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -79,9 +79,9 @@
                 pass
 
     def _try_admit(self) -> bool:
-        """Admits one more connection: at MAX_CALLERS, closes the oldest ones without a call.
+        """Makes room for one more connection: at MAX_CALLERS, closes the oldest one without a complete call.
 
-        A connection whose call was read is never closed: its effect could have begun.
+        A connection whose call was read is never closed, because the call may already have taken effect.
 
         Returns:
             Whether one more connection may be served.
--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pools of persistent connections to backends, under one limit for all of them."""
+"""Pools of persistent connections to backends, with one limit for all of them."""
 
 import asyncio
 import errno
@@ -22,11 +22,11 @@
     """Limits the open connections to all backends together.
 
     Attributes:
-        max_connections: Open at once.
-        connect_timeout: Seconds.
+        max_connections: Limit on `open_count`.
+        connect_timeout: Seconds within which a connection must be established.
         idle_timeout: Seconds after which an idle connection is closed.
-        open_count: Connections that are open or being established.
-        idle_connections: In the order in which they became idle.
+        open_count: Number of connections that are open or being established.
+        idle_connections: The idle connections, in the order in which they became idle.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.idle_connections: dict[PooledConnection, None] = {}
 
     def try_admit(self) -> bool:
-        """Admits one more connection: at the limit, closes the one that is idle longest.
+        """Makes room for one more connection: at the limit, closes the one that has been idle longest.
 
         Returns:
             Whether one more connection may be opened.
@@ -50,11 +50,12 @@
         if self.open_count >= self.max_connections and self.idle_connections:
             next(iter(self.idle_connections)).close()
             self.metrics.increment("backend-connections-evicted")
-            return True  # its socket closes an iteration of the loop later; UNCOUNTED_SOCKETS allow for it
+            # The evicted socket closes an iteration of the event loop later; UNCOUNTED_SOCKETS allow for it.
+            return True
         return self.open_count < self.max_connections
 
     def sweep(self) -> None:
-        """Closes the connections that were idle for `idle_timeout`."""
+        """Closes the connections that have been idle for `idle_timeout`."""
         now = self.loop.time()
         while self.idle_connections:
             connection = next(iter(self.idle_connections))
@@ -72,14 +73,14 @@
         self.limiter = limiter
         self.metrics = limiter.metrics
         self.loop = limiter.loop
-        self.idle_connections: list[PooledConnection] = []  # the most recent last
+        self.idle_connections: list[PooledConnection] = []  # in the order in which they became idle
         self.connect_tasks: set[asyncio.Task[None]] = set()
         self.closed = False
 
     def send(self, exchange: Exchange) -> None:
         """Starts an exchange: on an idle connection at once, else on a new one.
 
-        `exchange.on_end` is called in a later iteration of the loop, never during this call.
+        `exchange.on_end` is called in a later iteration of the event loop, never during this call.
         """
         connection = self._take_idle(exchange.needs_cooldown)
         if connection:
@@ -104,7 +105,7 @@
         return None
 
     def has_connection_older_than(self, seconds: float) -> bool:
-        """Whether an idle connection is open for more than that: the backend has not restarted since."""
+        """Whether an idle connection is open for longer, which shows that the backend has not restarted."""
         now = self.loop.time()
         return any(
             connection.is_reusable() and now - connection.opened_at > seconds
@@ -112,7 +113,7 @@
         )
 
     def remove_idle(self, connection: PooledConnection) -> None:
-        """Removes a connection from the idle ones, if it is one."""
+        """Removes a connection from the idle connections; does nothing if it is not idle."""
         if connection in self.limiter.idle_connections:
             del self.limiter.idle_connections[connection]
             self.idle_connections.remove(connection)
@@ -147,7 +148,7 @@
             reader = CountingStreamReader(limit=READ_SIZE, loop=self.loop)
             protocol = DrainNotifyingProtocol(reader, loop=self.loop)
             try:
-                transport, _ = await self.loop.create_connection(lambda: protocol, self.host, self.port)  # noqa: B023 - called in here
+                transport, _ = await self.loop.create_connection(lambda: protocol, self.host, self.port)  # noqa: B023 - called before the next iteration
             except OSError as error:
                 if error.errno not in LOCAL_ERRORS:
                     raise
@@ -166,14 +167,14 @@
         self.limiter.idle_connections[connection] = None
 
     def connection_lost(self, connection: PooledConnection) -> None:
-        """Forgets a connection that was closed."""
+        """Stops counting a connection that was closed."""
         self.remove_idle(connection)
         self.limiter.open_count -= 1
 
     def close(self) -> None:
         """Closes the idle connections and opens no more; exchanges in progress run to their end.
 
-        Called when the backend has another address.
+        Called when the address of the backend changes.
         """
         self.closed = True
         while self.idle_connections:
--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -17,36 +17,37 @@
 
 logger = logging.getLogger(__name__)
 
-# A change must be applied within 6 s of the moment when discovery has it and is reachable. A long poll can
-# lose its connection unnoticed as soon as it is sent. LONG_POLL_MS and OVERDUE_GRACE pass until that is
-# detected; further calls have the remainder of the 6 s. Times are in seconds unless the name says otherwise.
+# A change must be applied within 6 s of the moment when discovery has it and is reachable. The connection of
+# a long poll can be lost without notice as soon as the call is sent. Detecting that takes LONG_POLL_MS and
+# OVERDUE_GRACE; the rest of the 6 s is left for further calls. Times are in seconds unless the name says
+# otherwise.
 LONG_POLL_MS = 2000  # discovery may wait this long for a change
-OVERDUE_GRACE = 0.5  # after the expected end of a long poll, until a further call is started beside it
-# The same for all calls where lists are pushed. A call can end or begin in a short silence of the agent, and
-# a drain that the agent learns at the end of it is in force at once: this and the further call must fit into
-# the grace period of that drain.
+OVERDUE_GRACE = 0.5  # from the expected end of a long poll until a further call is started beside it
+# Replaces OVERDUE_GRACE where lists are pushed, for every call. A call can begin or end while the agent is
+# briefly unresponsive, and a drain that the agent learns of as it recovers is in force at once: this time and
+# the further call must fit into the grace period of that drain.
 WATCH_OVERDUE_GRACE = 0.1
 CONNECT_TIMEOUT = 1.0
-QUEUE_TIMEOUT = 6.0  # discovery answers calls in turn, and a call that is cancelled loses its place
-# Between calls where lists are pushed. A call that began during a silence of the agent may never be answered;
-# one that begins within this interval after it is.
+QUEUE_TIMEOUT = 6.0  # discovery answers calls in order, and a cancelled call loses its place in the queue
+# Between calls where lists are pushed. A call that starts while the agent is unresponsive may never be
+# answered. The next one starts within this interval after the agent recovers, and is answered.
 RETRY_INTERVAL = 0.15
-MAX_WATCH_CALLS = 4  # at once, where lists are pushed
-POLL_RETRY_INTERVAL = 2.5  # between calls where lists are polled, as each one loads discovery
-MAX_POLL_CALLS = 2  # at once, where lists are polled
-# Between the starts of two calls, where an agent answers long polls at once. Less than the 0.2 s in which
+MAX_WATCH_CALLS = 4  # limit on concurrent calls where lists are pushed
+POLL_RETRY_INTERVAL = 2.5  # between calls where lists are polled; long, because each call loads discovery
+MAX_POLL_CALLS = 2  # limit on concurrent calls where lists are polled
+# Between the starts of two calls, for agents that answer long polls at once. Less than the 0.2 s within which
 # discovery expects the next call of a watch.
 MIN_CALL_INTERVAL = 0.02
 READ_SIZE = 64 * 1024  # bytes
 NO_REVISION = -1  # the next call requests a snapshot
-CATEGORY = {"category": "discovery"}  # of log records
+CATEGORY = {"category": "discovery"}  # limits the rate of this module's log records
 
 
 class DiscoveryCall:
     """One call to discovery and its connection, which a later call may reuse.
 
     Attributes:
-        sent_at: When the last call began, in seconds of the loop's clock.
+        sent_at: When the last call began, in seconds of the event loop's clock.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -85,7 +86,7 @@
     Attributes:
         is_pushed: Whether lists are pushed: a call then has no timeout, and is hedged until it is answered.
         interval: Seconds between further calls.
-        max_calls: Calls at once.
+        max_calls: Limit on concurrent calls.
     """
 
     is_pushed: bool
@@ -96,7 +97,8 @@
 class _CallRace:
     """Hedged calls to discovery: the first response wins, and the other calls are cancelled.
 
-    The network does not report a lost connection, so an overdue call is hedged and not cancelled.
+    An overdue call may be queued or may have lost its connection, which nothing reports. So it is hedged and
+    not cancelled.
     """
 
     def __init__(
@@ -113,10 +115,13 @@
         self.error: BaseException | None = None  # of the last call that failed
 
     async def first_answered(self, call: DiscoveryCall | None) -> DiscoveryCall:
-        """The first call with a complete response. `call` is a finished one whose connection is reused.
+        """Returns the first call that has a complete response.
+
+        Args:
+            call: A finished call whose connection is reused, if there is one.
 
         Raises:
-            DiscoveryError, OSError: The last call in progress failed so.
+            DiscoveryError, OSError: All calls failed, the last one with this error.
             TimeoutError: No call was answered in time, or the last one could not connect in time.
         """
         started_at = self.loop.time()
@@ -137,25 +142,25 @@
         raise self.error
 
     def _overdue_grace(self) -> float:
-        """Seconds from the expected end of the first call until it is hedged."""
+        """Returns the seconds from the expected end of the first call until it is hedged."""
         if self.policy.is_pushed:
             return WATCH_OVERDUE_GRACE
         return OVERDUE_GRACE if self.wait_ms else POLL_RETRY_INTERVAL
 
     def _hedge(self) -> None:
-        """Starts a further call beside those in progress, which is answered without a wait."""
+        """Starts a further call, which discovery answers without waiting for a change."""
         self.metrics.increment("discovery-silent")
         self._drop_surplus_calls()
         self._start(DiscoveryCall(self.host, self.port), 0)
 
     def _start(self, call: DiscoveryCall, wait_ms: int) -> None:
         task = self.loop.create_task(call.fetch(self.revision, wait_ms))
-        # Retrieves the exception of a task that is no longer awaited, which asyncio would report.
+        # Retrieves the exception of a task that is no longer awaited; asyncio would report it otherwise.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         self.calls[task] = call
 
     async def _next_answered(self, due: float) -> DiscoveryCall | None:
-        """Waits until a call ends, but not after `due` (seconds of the loop's clock).
+        """Waits until a call ends, but not beyond `due` (seconds of the event loop's clock).
 
         Returns:
             A call with a complete response, or None. Calls that failed are closed.
@@ -180,9 +185,9 @@
             self.calls.pop(dropped).close()
 
     def _least_promising_call(self) -> asyncio.Task[None]:
-        """The oldest expired call; else the oldest without a response so far; else the oldest but one.
+        """Returns the oldest expired call, else the oldest without response bytes, else the second oldest.
 
-        The oldest call is kept unless it expired, as it may be next in the queue of discovery.
+        The oldest call is kept unless it has expired, because discovery may answer it next.
         """
         expired_before = self.loop.time() - QUEUE_TIMEOUT - LONG_POLL_MS / MILLISECONDS_PER_SECOND
         expired = [task for task, call in self.calls.items() if call.sent_at < expired_before]
@@ -198,7 +203,7 @@
 
 
 class DiscoveryWatcher:
-    """Calls discovery and passes the endpoints in its responses on.
+    """Calls discovery and passes on the endpoints in its responses.
 
     Attributes:
         make_endpoint: Turns the names in an entry into indices.
@@ -206,8 +211,8 @@
         on_failure: Called at the end of each watch.
         retry_interval: Seconds between calls of a watch.
         revision: The next call requests the changes after it; negative to request a snapshot.
-        list_revision: Of the last list that was received from this agent; negative if there is none.
-        last_answer_at: When discovery last answered, in seconds of the loop's clock.
+        list_revision: Revision of the last list received from this agent; negative if there is none.
+        last_answer_at: When discovery last answered, in seconds of the event loop's clock.
     """
 
     def __init__(
@@ -221,7 +226,7 @@
         metrics: Metrics,
         retry_interval: float = RETRY_INTERVAL,
     ) -> None:
-        """Is idle until `start`; the address is the discovery agent's."""
+        """Creates an idle watcher; `host` and `port` are the address of the discovery agent."""
         self.host = host
         self.port = port
         self.make_endpoint = make_endpoint
@@ -233,7 +238,7 @@
         self.list_revision = NO_REVISION
         self.task: asyncio.Task[None] | None = None
         self.last_answer_at = 0.0
-        self._lost_connection = False  # the last call ended so
+        self._lost_connection = False  # whether the last call broke or timed out
 
     def start(self, keep_running: bool) -> None:
         """Starts a watch, unless one runs; with `keep_running`, the next one starts when it fails."""
@@ -241,9 +246,9 @@
             self.task = asyncio.get_running_loop().create_task(self._run(keep_running))
 
     def switch_to(self, host: str, port: int, keep_running: bool) -> None:
-        """Follows the agent of that address; no effect if that is the present one.
+        """Follows the agent at that address; does nothing if the watcher already does.
 
-        Another agent is followed at once and from a snapshot, as revisions of the two are not comparable.
+        A new agent is followed at once and from a snapshot, as revisions of two agents are not comparable.
         """
         if (host, port) == (self.host, self.port):
             return
@@ -273,7 +278,8 @@
 
     def _record_failure(self, error: OSError | DiscoveryError) -> None:
         self._lost_connection = not isinstance(error, DiscoveryError)
-        # A call without a usable response leaves the revision valid, and a delta is shorter than a snapshot.
+        # After a lost connection or a rejected call the revision is still valid. It is kept, because a delta
+        # is shorter than a snapshot.
         if isinstance(error, DiscoveryError) and not isinstance(error, RejectedError):
             self.revision = NO_REVISION
         self.metrics.increment("discovery-failed")
@@ -286,12 +292,12 @@
             logger.warning("%s; no endpoint list received yet", reason, extra=CATEGORY)
 
     def _describe_failure(self, error: OSError | DiscoveryError) -> str:
-        """The cause in plain words; with the address unless discovery itself has answered."""
+        """Returns the cause of a failure; errors of the connection include the address of the agent."""
         if isinstance(error, DiscoveryError):
             return str(error)
         if error.errno and error.errno > 0:
             cause = os.strerror(error.errno).lower()
-        else:  # a failed name resolution has a negative number, and a timeout of asyncio has none
+        else:  # errno is negative after a failed name resolution, and None after a timeout of asyncio
             cause = error.strerror or str(error) or "connect timed out"
         return f"{cause} ({self.host}:{self.port})"
 
@@ -299,7 +305,7 @@
         """Runs one watch.
 
         Raises:
-            DiscoveryError, OSError, TimeoutError: The call that failed.
+            DiscoveryError, OSError, TimeoutError: A call failed.
         """
         loop = asyncio.get_running_loop()
         call: DiscoveryCall | None = None
@@ -309,10 +315,10 @@
                 call = await self._first_answer(call, is_pushed)
                 self.last_answer_at = loop.time()
                 self._lost_connection = False
-                self._take_answer(call)
+                self._apply_response(call)
                 await asyncio.sleep(max(called_at + MIN_CALL_INTERVAL - loop.time(), 0))
                 if not call.protocol.is_reusable():
-                    call.close()  # discovery may close the connection after a response without a failure
+                    call.close()  # no failure: discovery may close the connection after a response
                     call = None
         finally:
             if call:
@@ -330,16 +336,16 @@
             race.close()
 
     def _wait_ms(self, is_pushed: bool) -> int:
-        """How long discovery may wait for a change before it answers the next call, in milliseconds.
+        """Returns for how many milliseconds discovery may wait for a change before it answers the next call.
 
-        After a lost connection the agent may be silent. A call that is answered at once shows that sooner
-        than a long poll.
+        After a lost connection the agent may be unresponsive. A call without a wait detects that sooner than
+        a long poll.
         """
         if self.revision < 0 or (is_pushed and self._lost_connection):
             return 0
         return LONG_POLL_MS
 
-    def _take_answer(self, call: DiscoveryCall) -> None:
+    def _apply_response(self, call: DiscoveryCall) -> None:
         update = call.protocol.decode_response(self.make_endpoint)
         if update.revision < self.revision and not update.is_snapshot:
             raise DiscoveryError(f"received revision {update.revision} after revision {self.revision}")
--- a/crankfold/network/exchange.py
+++ b/crankfold/network/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a backend, and what its end proves about the request."""
+"""One exchange with a backend, and what its result proves about the execution of the request."""
 
 from collections.abc import Callable, Sequence
 from enum import Enum
@@ -14,10 +14,11 @@
     It is certain that a request was not executed only if the backend cannot have the complete message:
     nothing was written, or its last byte never left this process (an incomplete message, RFC 9112 section 8).
     Once the last byte is written, a close, a reset or a timeout proves nothing: the backend may have executed
-    the request and lost the response. RFC 9110 section 9.2.2 permits an automatic retry of a non-idempotent
-    request only with a means to detect that the original request was never applied; the results with a "no"
-    below are that means. RFC 9112 section 9.3.1 makes no exception for persistent connections. In this
-    program the idempotency is that of the request class, not that of the HTTP method.
+    the request before its response was lost. RFC 9110 section 9.2.2 permits an automatic retry of a
+    non-idempotent request only with a means to detect that the original request was never applied; the
+    results with a "no" below are that means. RFC 9112 section 9.3.1 makes no exception for persistent
+    connections. In this program the request class, not the HTTP method, decides whether a request is
+    idempotent.
 
     ================  ==========================================  =================  =====================
     result            seen on the connection                      may be executed    charged to backend
@@ -45,8 +46,8 @@
     full close of the connection (RFC 9112 section 9.6).
 
     The service maps these results to `Outcome` of the routing (`Attempts._on_exchange_ended`). There,
-    `NEVER_EXECUTED` has the two results with a "no" and OVERLOADED: that response of 503 or 504, or the
-    callback state `returned`.
+    `NEVER_EXECUTED` contains the two results with a "no" and OVERLOADED. OVERLOADED stands for that response
+    of 503 or 504, and for the callback state `returned`.
     """
 
     ANSWERED = "answered"
@@ -67,7 +68,7 @@
         """The exchange in progress."""
 
     def abort(self) -> None:
-        """Closes the connection at once, without writing what is left."""
+        """Closes the connection at once, without writing the remaining bytes."""
 
 
 class Exchange:
@@ -80,8 +81,8 @@
             called where a connection is reused.
         on_end: Called once with the result, and with the state of the connection if there was one.
         needs_cooldown: Whether REUSE_COOLDOWN must have passed since the last response on the connection;
-            False where the response has no consequence.
-        connection: Carries the exchange, once there is one.
+            False if the response to this request has no consequences.
+        connection: The connection that carries the exchange, once there is one.
         finished: Whether `on_end` was called, or the exchange was aborted.
     """
 
@@ -128,7 +129,7 @@
             self.on_end(result, protocol)
 
     def abort(self) -> None:
-        """Drops the exchange without a call of `on_end`, and closes the connection that carries it."""
+        """Ends the exchange without calling `on_end`, and closes the connection that carries it."""
         self.finished = True
         if self.connection and self.connection.exchange is self:
             self.connection.abort()
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -1,6 +1,6 @@
 """Connects a process to its successor through a Unix socket, which also passes the listening TCP socket.
 
-The file of manual drains is in the same directory, for a start after both processes have died.
+The file of manual drains is in the same directory. It preserves the drains when both processes have died.
 """
 
 import asyncio
@@ -25,33 +25,33 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_TIMEOUT = 1.0  # seconds in which a predecessor must answer; else the process starts without it
+ANSWER_TIMEOUT = 1.0  # seconds; a process starts without a predecessor that does not answer within this time
 READ_SIZE = 64 * 1024  # bytes
-MAX_UNSENT_BYTES = 1024 * 1024
-SOCKET_SIGNATURE = b"!"  # the byte with which the listening socket is passed
-MAX_DESCRIPTORS = 4  # received in one message; all but the first are closed
+MAX_UNSENT_BYTES = 1024 * 1024  # limit of a connection's buffer, above which `send` aborts the connection
+SOCKET_SIGNATURE = b"!"  # the byte that accompanies the listening socket
+MAX_DESCRIPTORS = 4  # accepted in one message; all but the first are closed
 
 
 class HandoverChannelEvents(Protocol):
     """Receives the events of a channel. Each connected process has a number that is never reused."""
 
     def successor_found(self, process: int, sock: socket.socket, hello: HandoverMessage) -> None:
-        """Another process has connected; `sock` may pass the listening socket during this call only."""
+        """Another process has connected; the listening socket may be sent on `sock` during this call only."""
 
     def message_received(self, process: int, message: HandoverMessage) -> None:
         """A process has sent a message."""
 
     def connection_lost(self, process: int) -> None:
-        """A process has closed its connection, or has sent bytes that are no message."""
+        """A process has closed its connection, or has sent bytes that are not a message."""
 
 
 class PredecessorConnection(NamedTuple):
     """A predecessor that answered.
 
     Attributes:
-        process: Its number.
-        listening_socket: The TCP socket that it passed, if it did.
-        welcome: Its first message.
+        process: The number of the process.
+        listening_socket: The TCP socket that the predecessor passed, or None.
+        welcome: The first message of the predecessor.
     """
 
     process: int
@@ -78,16 +78,16 @@
     """Connects to a predecessor, accepts successors, and carries messages both ways.
 
     Attributes:
-        writers: Of the connected processes, by number.
-        inode: Of the socket of this process; 0 before `open`.
+        writers: The writers of the connected processes, by process number.
+        inode: The inode of this process's socket; 0 before `open`.
     """
 
     def __init__(self, directory: str, name: str, events: HandoverChannelEvents) -> None:
-        """Connects to nothing yet.
+        """Creates a channel without connections.
 
         Args:
-            directory: Holds the socket and the file of manual drains.
-            name: Of the socket; the file has the same name with a suffix.
+            directory: The directory of the socket and of the file of manual drains.
+            name: The name of the socket; the file has the same name with a suffix.
             events: Receives the events.
         """
         self.directory = Path(directory)
@@ -102,7 +102,7 @@
 
     @contextlib.contextmanager
     def _short_path(self, name: str) -> Iterator[str]:
-        """A path of the file that fits into a socket address (107 bytes), however long the directory's is."""
+        """Yields a path of the file that fits into a socket address (107 bytes) for any directory."""
         directory = os.open(self.directory, os.O_PATH | os.O_DIRECTORY)
         try:
             yield f"/proc/self/fd/{directory}/{name}"
@@ -112,31 +112,31 @@
     # --- the file of manual drains ---
 
     def save_record(self, record: ManualDrainRecord) -> None:
-        """Replaces the file atomically.
+        """Replaces the file of manual drains atomically.
 
         Raises:
             OSError: The file can't be written.
         """
         path = self.directory / f"{self.name}.bans"
-        unfinished = path.with_suffix(f".{os.getpid()}")
-        unfinished.write_bytes(encode_drain_record(record))
-        os.replace(unfinished, path)
+        temporary_path = path.with_suffix(f".{os.getpid()}")
+        temporary_path.write_bytes(encode_drain_record(record))
+        os.replace(temporary_path, path)
 
     def load_record(self) -> ManualDrainRecord | None:
-        """The content of the file; None if there is no file, or it can't be read, which is logged."""
+        """Returns the content of the file; logs a file that can't be read. None without a readable file."""
         path = self.directory / f"{self.name}.bans"
         try:
             return decode_drain_record(path.read_bytes())
         except FileNotFoundError:
             return None
         except (OSError, ProtocolError) as error:
-            _warn("records", f"{path.name}: {error}; starting without")
+            _warn("records", f"{path.name}: {error}; starting without manual drains")
             return None
 
     # --- to a predecessor ---
 
     async def connect(self, hello: HandoverMessage) -> PredecessorConnection | None:
-        """Connects to the process that serves now; None without one, or if it does not answer as expected."""
+        """Connects to the serving process; returns None if there is none or its answer is not as expected."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.setblocking(False)
         decoder = HandoverDecoder()
@@ -157,7 +157,7 @@
             if listening_socket:
                 listening_socket.close()
             if not isinstance(error, FileNotFoundError):  # no socket, so no predecessor
-                _warn("predecessor", f"{type(error).__name__}: {error}; starting alone")
+                _warn("predecessor", f"{type(error).__name__}: {error}; starting without a predecessor")
             return None
         peer = self._register(reader, writer, decoder)
         self._start_reading(peer, messages[1:])
@@ -170,7 +170,7 @@
             await self.loop.sock_connect(sock, path)
 
     async def _receive_socket(self, sock: socket.socket) -> socket.socket | None:
-        """Waits for the first byte, and receives the listening socket that may come with it.
+        """Waits for the first byte, and receives the listening socket if it accompanies that byte.
 
         Raises:
             ProtocolError: The byte is not SOCKET_SIGNATURE.
@@ -196,21 +196,21 @@
     # --- to successors ---
 
     async def open(self) -> None:
-        """Accepts successors, and replaces the socket of the process that had the name before.
+        """Starts to accept successors, and replaces the socket of an earlier process at the same path.
 
         Raises:
             OSError: The socket can't be created in the directory.
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        unfinished = f"{self.name}.{os.getpid()}"
-        with self._short_path(unfinished) as path:
+        temporary_name = f"{self.name}.{os.getpid()}"
+        with self._short_path(temporary_name) as path:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
             sock.bind(path)
             os.chmod(path, stat.S_IRUSR | stat.S_IWUSR)
             self.inode = os.stat(path).st_ino
         self.server = await asyncio.start_unix_server(self._handle_connection, sock=sock, limit=READ_SIZE)
-        os.replace(self.directory / unfinished, self.directory / self.name)
+        os.replace(self.directory / temporary_name, self.directory / self.name)
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         decoder = HandoverDecoder()
@@ -241,7 +241,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _read(self, peer: _Peer, messages: list[HandoverMessage]) -> None:
-        """Passes on these messages, which were received already, and all that follow."""
+        """Passes on `messages`, which were already received, and all that follow."""
         try:
             while True:
                 for message in messages:
@@ -268,19 +268,19 @@
             writer.write(encode_message(message))
 
     def disconnect(self, process: int) -> None:
-        """Closes a connection once all messages are written, without a call of `connection_lost`."""
+        """Closes a connection once all messages are written, without calling `connection_lost`."""
         writer = self.writers.pop(process, None)
         if writer:
             writer.close()
 
     def stop_accepting(self) -> None:
-        """Accepts no more successors; connected ones stay."""
+        """Accepts no more successors; those that are connected stay connected."""
         if self.server:
             self.server.close()
             self.server = None
 
     def close(self) -> None:
-        """Closes all connections and removes the socket, if it is still that of this process."""
+        """Closes all connections, and removes the socket if it is still the one of this process."""
         self.stop_accepting()
         with contextlib.suppress(OSError):
             if os.stat(self.directory / self.name).st_ino == self.inode:
@@ -290,10 +290,10 @@
 
 
 async def _read_messages(reader: asyncio.StreamReader, decoder: HandoverDecoder) -> list[HandoverMessage]:
-    """Reads until there is a message; returns it and those that were received with it.
+    """Reads until a message is complete; returns it and those that were received with it.
 
     Raises:
-        ProtocolError: The other side closed the connection before that, or sent bytes that are no message.
+        ProtocolError: The other side closed the connection before that, or sent bytes that are not a message.
     """
     messages: list[HandoverMessage] = []
     while not messages:
--- a/crankfold/network/listener.py
+++ b/crankfold/network/listener.py
@@ -10,8 +10,9 @@
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.client_connection import ClientChannel, ClientRequestHandler
 
-# Timeouts of accepted connections, in seconds, checked each SWEEP_INTERVAL. A client that sends nothing, or
-# stops in the middle of a request, is disconnected within 3 s, one that keeps sending after TRANSFER_TIMEOUT.
+# Timeouts of accepted connections, in seconds, checked every SWEEP_INTERVAL. A client that sends nothing, or
+# stops in the middle of a request, is disconnected within 3 s; one that keeps sending the same request is
+# disconnected after TRANSFER_TIMEOUT.
 FIRST_REQUEST_TIMEOUT = 2.0  # from connecting to the first byte of a request or callback
 STALL_TIMEOUT = 2.0  # without a byte in the middle of a request
 FIRST_HEADER_TIMEOUT = 2.5  # from connecting to the end of the first header
@@ -20,15 +21,15 @@
 SWEEP_INTERVAL = 0.25
 LIMITS = AcceptLimits(backlog=1024, read_limit=READER_LIMIT, accepts_per_iteration=4)
 RECEIVE_BUFFER_SIZE = 2 * READER_LIMIT  # bytes in the kernel, for each connection
-# Iterations of the loop between accepting a connection and the close of the one evicted for it.
+# Iterations of the event loop from accepting a connection until the one evicted for it is closed.
 EVICTION_ITERATIONS = 6
-UNCOUNTED_SOCKETS = EVICTION_ITERATIONS * LIMITS.accepts_per_iteration  # open beyond the limits
-CLOSE_CHECKS = 20  # checks, in `close`, for connections with unwritten bytes
+UNCOUNTED_SOCKETS = EVICTION_ITERATIONS * LIMITS.accepts_per_iteration  # may be open beyond the limits
+CLOSE_CHECKS = 20  # number of times that `close` checks for connections with unwritten bytes
 CLOSE_CHECK_INTERVAL = 0.01  # seconds
 
 
 class ConnectionHandler(ClientRequestHandler, Protocol):
-    """Receives requests, and notices of clients that disconnect."""
+    """Receives requests, and is notified of clients that disconnect."""
 
     def client_disconnected(self, client: ClientChannel) -> None:
         """The client has disconnected while its request was open."""
@@ -39,9 +40,9 @@
 
     Attributes:
         max_connections: From this number on, one connection is evicted for each new one.
-        flooding_connections: Those whose input is discarded, as too much is pipelined behind a request.
-        unidentified_connections: Those without a request or callback so far, the oldest first.
-        closing: Out of service or shutting down: each response is the last on its connection.
+        flooding_connections: Connections whose input is discarded, as too much is pipelined behind a request.
+        unidentified_connections: Connections without a request or callback so far, the oldest first.
+        closing: Whether each response is the last on its connection: out of service or shutting down.
         shared_socket: A duplicate of the listening socket, for a successor.
     """
 
@@ -67,19 +68,19 @@
     def open(
         self, host: str, port: int, inherited: socket.socket | None = None, reuse_port: bool = False
     ) -> None:
-        """Begins to accept.
+        """Starts to accept connections.
 
         Args:
             host: An IPv4 or IPv6 address.
-            port: 0 for one that the system chooses.
-            inherited: The predecessor's listening socket, in place of a new one.
+            port: The port; 0 lets the system choose one.
+            inherited: The predecessor's listening socket, used instead of a new one.
             reuse_port: Whether the listening socket can be passed to a successor.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: Listening on the address failed.
         """
         listening = inherited or open_listening_socket(host, port, LIMITS, reuse_port=reuse_port)
-        # Accepted connections inherit the size. It bounds what asyncio reads from one of them at once.
+        # Accepted connections inherit this size, which bounds how much asyncio reads from one at once.
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_SIZE)
         if reuse_port:
             self.shared_socket = listening.dup()
@@ -96,16 +97,16 @@
             self.acceptor = None
 
     def resume(self) -> None:
-        """Accepts again after a pause."""
+        """Accepts connections again after `pause`."""
         if self.shared_socket and not self.acceptor:
             self._start_accepting(self.shared_socket.dup())
 
     def _has_pending_connections(self) -> bool:
-        # Complete requests may be in the kernel's buffers of such a connection.
+        # The kernel's buffers of a pending connection may already hold complete requests.
         return self.acceptor is not None and self.acceptor.has_pending()
 
     def port(self) -> int:
-        """The port on which the listener accepts, 0 for none."""
+        """Returns the port on which the listener accepts connections, or 0 if it does not accept any."""
         return self.acceptor.port() if self.acceptor else 0
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -140,9 +141,11 @@
             self.metrics.increment("connections-over-limit")
 
     def _eviction_candidate(self) -> AcceptedConnection | None:
-        """The oldest unidentified connection past its grace, else an idle one, else the oldest unidentified.
+        """Returns the connection to evict.
 
-        Within the grace a connection may have its first request or callback in transit.
+        That is the oldest unidentified connection if NEW_CONNECTION_GRACE has passed since it was accepted,
+        else an idle one, else the oldest unidentified one. During the grace the first request or callback may
+        be in transit.
         """
         oldest = next(iter(self.unidentified_connections), None)
         if oldest and self.loop.time() - oldest.accepted_at >= NEW_CONNECTION_GRACE:
@@ -160,11 +163,11 @@
         self.unidentified_connections.pop(connection, None)
 
     def is_over_limit(self) -> bool:
-        """Whether there are more connections than allowed, as each has an open request."""
+        """Whether more connections are open than allowed, because none could be evicted."""
         return len(self.connections) > self.max_connections
 
     def sweep(self) -> None:
-        """Closes the connections that timed out; called once in SWEEP_INTERVAL."""
+        """Closes the connections that timed out; called every SWEEP_INTERVAL."""
         now = self.loop.time()
         for connection in list(self.connections):
             if self._is_timed_out(now, connection):
@@ -205,7 +208,11 @@
         )
 
     def close_idle(self, spare_backends: bool = False) -> None:
-        """Closes idle connections that are past NEW_CONNECTION_GRACE; backends' too if not spared."""
+        """Closes the connections that have been idle for NEW_CONNECTION_GRACE.
+
+        Args:
+            spare_backends: Whether connections of backends stay open.
+        """
         for connection in self.connections:
             if spare_backends and connection.protocol.is_backend:
                 continue
@@ -215,13 +222,13 @@
                 connection.close()
 
     async def close(self) -> None:
-        """Closes the listening socket and all connections, once written responses have left.
+        """Closes the listening socket, and each connection once its responses are written.
 
-        Connections in the accept queue, and new ones, are read before that for up to NEW_CONNECTION_GRACE;
+        Before that, new connections and those in the accept queue are read for up to NEW_CONNECTION_GRACE;
         the request handler sheds their requests.
         """
         end = self.loop.time() + NEW_CONNECTION_GRACE
-        while self.loop.time() < end and self.expects_data():  # noqa: ASYNC110 - no event
+        while self.loop.time() < end and self.expects_data():  # noqa: ASYNC110 - no event is set for this
             await asyncio.sleep(CLOSE_CHECK_INTERVAL)
         self.pause()
         if self.shared_socket:
--- a/crankfold/network/log_handler.py
+++ b/crankfold/network/log_handler.py
@@ -1,4 +1,4 @@
-"""The program's log: one line a record on standard error, rate-limited by category.
+"""The program's log: one line per record on standard error, rate-limited by category.
 
 Modules log through `logging.getLogger(__name__)`. A record that carries a category, given by
 `extra={"category": "discovery"}`, is rate-limited together with all others of that category, and its line
@@ -11,13 +11,13 @@
 import time
 from collections import Counter
 
-PACKAGE = "crankfold"  # the logger above those of all modules, and the prefix of each line
+PACKAGE = "crankfold"  # the parent logger of all modules, and the prefix of each line
 FIRST_INTERVAL = 1.0  # seconds between two lines of a category
-MAX_INTERVAL = 60.0  # seconds; the interval doubles up to this while the records go on
+MAX_INTERVAL = 60.0  # seconds; the interval doubles up to this while records keep coming
 
 
 class RateLimitFilter(logging.Filter):
-    """Drops records that follow one of the same category too soon; the next one has the number dropped."""
+    """Drops records that follow one of their category too soon, and counts them for the next one written."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,7 +26,7 @@
         self._suppressed: Counter[str] = Counter()
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the record is written; sets its attribute `suppressed` to the number dropped before it."""
+        """Whether to write the record; sets its attribute `suppressed` to the number dropped before it."""
         category = getattr(record, "category", None)
         if category is None:
             return True
@@ -48,7 +48,7 @@
     """Formats a record as `crankfold: CATEGORY: message (N similar suppressed)`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line without its end; category and count only where the record has them."""
+        """Returns the line without a line break; category and count only if the record has them."""
         category = getattr(record, "category", None)
         suppressed = getattr(record, "suppressed", 0)
         prefix = f"{PACKAGE}: {category}: " if category else f"{PACKAGE}: "
@@ -57,7 +57,7 @@
 
 
 class StderrHandler(logging.Handler):
-    """Writes each record to `sys.stderr`, looked up for each record.
+    """Writes each record to `sys.stderr`, which is looked up anew for each record.
 
     Errors of the stream, such as a full disk, are ignored: logging must not fail a request.
     """
--- a/crankfold/network/pooled_connection.py
+++ b/crankfold/network/pooled_connection.py
@@ -14,23 +14,23 @@
 # milliseconds and would be read as the response to that next request: a duplicate `X-Not-Processed` would
 # permit a retry of a request that the backend executes.
 REUSE_COOLDOWN = 0.05
-NEVER_ANSWERED = -REUSE_COOLDOWN  # seconds of the loop's clock: a new connection needs no cooldown
+NEVER_ANSWERED = -REUSE_COOLDOWN  # seconds of the event loop's clock; a new connection needs no cooldown
 
 
 class OwningPool(Protocol):
-    """What a connection needs of its pool."""
+    """The interface of a pool that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
 
     def release(self, connection: "PooledConnection") -> None:
-        """The exchange has ended, and the connection can carry another one."""
+        """Makes a connection idle whose exchange has ended and that can carry another one."""
 
     def remove_idle(self, connection: "PooledConnection") -> None:
-        """The connection is no longer idle."""
+        """Removes a connection from the idle connections; does nothing if it is not idle."""
 
     def connection_lost(self, connection: "PooledConnection") -> None:
-        """The connection is closed."""
+        """Stops counting a connection that was closed."""
 
 
 class CountingStreamReader(asyncio.StreamReader):
@@ -63,11 +63,11 @@
     """One open connection to a backend.
 
     Attributes:
-        exchange: The one in progress; None while the connection is idle.
-        opened_at: Seconds of the loop's clock, as the next two.
+        exchange: The exchange in progress; None while the connection is idle.
+        opened_at: When the connection was opened; this and the next two in seconds of the event loop's clock.
         idle_since: When the connection last became idle; 0 before its first exchange has ended.
         answered_at: When the last response ended.
-        consumed_bytes: Received and read; fewer than the reader received if bytes came unsolicited.
+        consumed_bytes: Number of bytes read; the reader has received more if unsolicited bytes are unread.
         request_written: Whether all bytes of the request have left this process.
     """
 
@@ -88,9 +88,9 @@
         self.answered_at = NEVER_ANSWERED
         self.consumed_bytes = 0
         self.request_written = True
-        # Not an argument of its constructor: asyncio creates the streams, which this object needs, with it.
+        # Set here, not in its constructor: it exists before the streams, and this object needs the streams.
         stream_protocol.on_drained = self._on_drained
-        writer.transport.set_write_buffer_limits(high=0)  # resume_writing is called at an empty buffer only
+        writer.transport.set_write_buffer_limits(high=0)  # calls resume_writing only at an empty buffer
         self.task = pool.loop.create_task(self._run())
 
     def start(self, exchange: Exchange) -> None:
@@ -104,10 +104,10 @@
         self.request_written = self.writer.transport.get_write_buffer_size() == 0
 
     def _on_drained(self) -> None:
-        """Notes that the backend may have the complete request: the kernel has its last byte.
+        """Records that the backend may have the complete request, as the kernel has its last byte.
 
-        Recorded here because the transport clears its buffer when the connection breaks: after that, an
-        empty buffer is no proof that the request was written.
+        This is recorded at once because the transport clears its buffer when the connection breaks: after
+        that, an empty buffer is no proof that the request was written.
         """
         self.request_written = True
 
@@ -168,7 +168,7 @@
         return verdict is Acceptance.ACCEPTED
 
     def _break_result(self) -> ExchangeResult:
-        """The result for a connection that closed before a usable response; see `ExchangeResult`."""
+        """Returns the result for a connection that closed before a usable response; see `ExchangeResult`."""
         if not self.request_written:
             return ExchangeResult.UNREACHABLE
         is_reused = self.idle_since > 0
--- a/crankfold/network/signals.py
+++ b/crankfold/network/signals.py
@@ -4,7 +4,7 @@
 import signal
 from types import FrameType
 
-# The signals with a handler while the process serves.
+# The signals that have a handler while the process serves.
 OPERATOR_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 _reload_requested = False
@@ -22,7 +22,7 @@
 
 
 def take_reload_request() -> bool:
-    """Whether SIGHUP was received since the last call."""
+    """Returns whether SIGHUP was received since the last call."""
     global _reload_requested
     requested = _reload_requested
     _reload_requested = False
--- a/crankfold/network/socket_state.py
+++ b/crankfold/network/socket_state.py
@@ -1,9 +1,10 @@
-"""Checks a connection for input in the kernel's buffers that was not read yet."""
+"""Checks a connection for input that is in the kernel's buffers and not read yet."""
 
 import asyncio
 import select
 
-PEER_CLOSED = select.POLLRDHUP  # the peer has half-closed; poll reports errors and resets in any case
+# The peer has half-closed the connection; poll reports errors and resets without being asked for them.
+PEER_CLOSED = select.POLLRDHUP
 ANY_INPUT = select.POLLIN | PEER_CLOSED
 
 
--- a/crankfold/network/timers.py
+++ b/crankfold/network/timers.py
@@ -7,26 +7,27 @@
 from crankfold.network.metrics import Metrics
 from crankfold.time_units import NANOSECONDS_PER_TICK, TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-MAX_DRIFT = 100 * TICKS_PER_MILLISECOND  # between wall and monotonic clock without a step
-MAX_LATENESS = 10 * TICKS_PER_MILLISECOND  # beyond it a timer is counted as late
+# A larger difference between wall clock and monotonic clock is a step of the wall clock.
+MAX_DRIFT = 100 * TICKS_PER_MILLISECOND
+MAX_LATENESS = 10 * TICKS_PER_MILLISECOND  # a timer that fires later than this is counted as late
 
 
 class Clock:
     """A monotonic clock that starts at the wall clock's time.
 
-    It compares with the start times of backends, which are wall-clock times, and a step of the wall clock
-    does not move timers and deadlines.
+    Its times can be compared with the start times of backends, which are wall-clock times. A step of the wall
+    clock does not move timers and deadlines.
     """
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Ticks since the epoch."""
+        """Returns the ticks since the epoch."""
         return (time.monotonic_ns() + self._offset) // NANOSECONDS_PER_TICK
 
     def wall_shift(self) -> int:
-        """Ticks by which the wall clock was stepped forward since the start; 0 up to MAX_DRIFT."""
+        """Returns by how many ticks the wall clock has stepped forward since the start; 0 up to MAX_DRIFT."""
         shift = time.time_ns() // NANOSECONDS_PER_TICK - self.now()
         return shift if abs(shift) > MAX_DRIFT else 0
 
