--- a/crankfold/protocol/__init__.py
+++ b/crankfold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols of the deployment: state machines and codecs without sockets or clocks."""
+"""The protocols on the wire: state machines and codecs without sockets or clocks."""
--- a/crankfold/protocol/admin_api.py
+++ b/crankfold/protocol/admin_api.py
@@ -1,6 +1,6 @@
-"""The admin API without I/O: decodes one call a connection, executes it and encodes the response.
+"""The admin API without I/O: decodes one call per connection, executes it and encodes the response.
 
-The paths on the wire (`agreed`, `runners`, `offline`, `online`, `least`) stay in this module.
+The words of its paths and queries (`agreed`, `runners`, `offline`, `online`, `least`) are used only here.
 """
 
 from collections.abc import Awaitable, Sequence
@@ -39,7 +39,7 @@
     Attributes:
         action: The requested operation.
         subject: The id of the backend or the name of the document; empty for operations without one.
-        minimum_version: Of the document: an older version is not an answer to this call.
+        minimum_version: The oldest version of the document with which the call may be answered.
     """
 
     action: AdminAction
@@ -51,7 +51,7 @@
     """Operations on the cluster and its replicated documents. Results are a status and JSON."""
 
     def cluster_status(self) -> tuple[int, str]:
-        """The members and their state."""
+        """Returns the members and their state."""
 
     def read_document(self, name: str, minimum_version: int) -> Awaitable[tuple[int, str]]:
         """Reads a document at that version or a newer one."""
@@ -61,7 +61,7 @@
 
 
 class AdminOperations(Protocol):
-    """The operations of the admin API. Each is in force when its call is answered."""
+    """The operations of the admin API. Each has taken effect when its call is answered."""
 
     cluster_admin: ClusterOperations | None  # None without a cluster
 
@@ -69,16 +69,16 @@
         """Whether a request would be admitted and a backend is available."""
 
     def drain_backend(self, backend_id: str) -> Awaitable[bool]:
-        """Drains a backend until it is restored; whether it is known."""
+        """Drains a backend until it is restored; returns whether the backend is known."""
 
     def restore_backend(self, backend_id: str) -> Awaitable[bool]:
-        """Ends a manual drain; whether the backend is known."""
+        """Ends a manual drain; returns whether the backend is known."""
 
     def leave_service(self) -> None:
-        """Begins to drain this dispatcher."""
+        """Starts to drain this dispatcher."""
 
     def enter_service(self) -> bool:
-        """Puts this dispatcher back in service; False if the process is shutting down."""
+        """Puts this dispatcher back in service; returns False if the process is shutting down."""
 
 
 _GET_ACTIONS = (AdminAction.CHECK_READY, AdminAction.SHOW_CLUSTER, AdminAction.READ_DOCUMENT)
@@ -100,10 +100,10 @@
     """The state of one admin connection. It receives bytes until `command` is set or `answered` is true.
 
     Attributes:
-        command: The call, once it was read.
-        body: Of the call.
+        command: The call, once it is complete.
+        body: The body of the call.
         outgoing: Bytes to be written, in order.
-        answered: The response is in `outgoing`; no more is read.
+        answered: Whether the response is in `outgoing`; no more input is read then.
     """
 
     def __init__(self) -> None:
@@ -163,7 +163,7 @@
             self.command = command
 
     def respond(self, status: int, headers: Sequence[Header] = (), text: str = "") -> None:
-        """Answers the call once, if a response can still be sent; an empty `text` is the status phrase."""
+        """Answers the call once, if a response can still be sent; `text` defaults to the status phrase."""
         if self.answered:
             return
         self.answered = True
@@ -186,7 +186,7 @@
 
 
 def _find_command(head: h11.Request) -> AdminCommand | None:
-    """The command of a path, or None. A document's path is a publish with POST, else a read."""
+    """Returns the command of a path, or None. POST publishes a document; any other method reads it."""
     target, _, query = head.target.partition(b"?")
     root, *path = target.decode("ascii").split("/")
     if root or path[:1] != ["control"]:
@@ -204,8 +204,8 @@
 
 
 def _minimum_version(query: bytes) -> int:
-    least = parse_qs(query.decode("ascii")).get("least", ["0"])[0]
-    return int(least) if least.isdecimal() and len(least) <= MAX_VERSION_DIGITS else 0
+    digits = parse_qs(query.decode("ascii")).get("least", ["0"])[0]
+    return int(digits) if digits.isdecimal() and len(digits) <= MAX_VERSION_DIGITS else 0
 
 
 async def execute(connection: AdminConnection, operations: AdminOperations) -> None:
--- a/crankfold/protocol/backend_connection.py
+++ b/crankfold/protocol/backend_connection.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP without I/O: one exchange at a time with a backend, and no automatic retries."""
+"""The client side of HTTP without I/O: one exchange at a time with a backend, without automatic retries."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -19,7 +19,7 @@
 
 
 class Acceptance(Enum):
-    """Meanings of a response that do not end an attempt, or end it without an outcome of the backend."""
+    """What a response means that does not end the attempt, or ends it without an `Outcome` of the backend."""
 
     ACCEPTED = "accepted"  # the backend executes the request and reports its end by callback
     REJECTED = "rejected"  # the request is invalid at any backend: final, and not charged to this one
@@ -29,12 +29,12 @@
     """The state of one connection to a backend.
 
     Attributes:
-        status: Of the response in the present exchange, NO_STATUS before its header.
-        not_processed: The response has `X-Not-Processed: 1`: the request was not executed.
-        complete: The response was received to its end.
-        load_header: The value of the response's load report header, or nothing.
-        body: Of the response.
-        reusable: Another exchange may follow on this connection.
+        status: Status of the response in the present exchange; NO_STATUS before its header.
+        not_processed: Whether the response has `X-Not-Processed: 1`: the request was not executed.
+        complete: Whether the response was received to its end.
+        load_header: The value of the response's load report header; empty without one.
+        body: Body of the response.
+        reusable: Whether another exchange may follow on this connection.
     """
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         """Receives bytes of the response.
 
         Returns:
-            True once the response has ended: `complete`, or not if it is malformed or too long.
+            True once the response has ended; `complete` is False if it is malformed, too long or cut off.
         """
         try:
             self.http.receive_data(data)
@@ -112,14 +112,14 @@
 
 
 def classify_response(status: int, not_processed: bool) -> Acceptance | Outcome:
-    """The meaning of a response for its attempt.
+    """Returns what a response means for its attempt.
 
     ==============================  ====================  =============================================
     response                        result                the request may be executed
     ==============================  ====================  =============================================
     202                             Acceptance.ACCEPTED   yes; its end is reported by callback
     503 or 504, X-Not-Processed: 1  Outcome.OVERLOADED    no: the backend says so
-    4xx but 408 and 429             Acceptance.REJECTED   no matter: the response is the final one
+    4xx except 408 and 429          Acceptance.REJECTED   irrelevant: this response is the final one
     none, or malformed              Outcome.RESET         yes
     any other                       Outcome.ERROR         yes: a status alone does not rule it out
     ==============================  ====================  =============================================
@@ -136,5 +136,5 @@
 
 
 def attempt_headers(headers: Sequence[Header], timeout: int) -> list[Header]:
-    """The headers of an attempt, with its remaining time in ticks."""
+    """Returns the headers of an attempt; `timeout` is its remaining time in ticks."""
     return [*headers, (b"X-Timeout", f"{timeout / TICKS_PER_SECOND:.4f}".encode())]
--- a/crankfold/protocol/callbacks.py
+++ b/crankfold/protocol/callbacks.py
@@ -1,6 +1,6 @@
 """Decodes callbacks, in which backends report on the requests that they execute.
 
-The words of the wire (`id`, `from`, `share`, `returned`, `lost`) stay in this module.
+The names on the wire (`id`, `from`, `share`, `returned`, `lost`) are used only here.
 """
 
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
 
 
 class CallbackHandler(Protocol):
-    """Receives the contents of callbacks. Their ids may be unknown to it."""
+    """Receives the contents of callbacks. The request and the backend may be unknown."""
 
     def execution_started(self, request_id: str, backend_id: str) -> None:
         """The backend has begun to execute the request."""
@@ -36,7 +36,7 @@
 
 
 def request_id_of(body: bytes) -> str:
-    """The id of the request that a callback is about, or an empty string."""
+    """Returns the id of the request that a callback is about; an empty string if there is none."""
     message = _decode(body)
     request_id = message.get("id") if message is not None else None
     return request_id if isinstance(request_id, str) else ""
@@ -80,6 +80,6 @@
 
 
 def _result(message: _Message) -> bytes:
-    """The result as text; a value of another JSON type is encoded as JSON."""
+    """Returns the result as text; a value of another JSON type is encoded as JSON."""
     result = message.get("result", "")
     return result.encode() if isinstance(result, str) else orjson.dumps(result)
--- a/crankfold/protocol/client_connection.py
+++ b/crankfold/protocol/client_connection.py
@@ -29,7 +29,7 @@
         """Whether the peer has closed the connection, as far as the kernel knows."""
 
     def exceeds_limit(self) -> bool:
-        """Whether more connections are open than allowed: requests on this one are shed."""
+        """Whether more connections are open than allowed, so that requests on this one are shed."""
 
 
 class CallbackReceiver(CallbackHandler, Protocol):
@@ -51,7 +51,7 @@
 
     @property
     def callbacks(self) -> CallbackReceiver:
-        """Receives callbacks."""
+        """The receiver of callbacks."""
 
     def is_serving(self) -> bool:
         """Whether health checks succeed."""
@@ -68,14 +68,15 @@
 
     Attributes:
         outgoing: Bytes to be written, in order.
-        awaiting_response: A request is open: it was read and has no response yet.
-        closing: No more input is processed; the connection closes once `outgoing` is written.
-        rejected_status: Of the last request that was rejected as malformed, 0 for none.
-        close_after_response: Responses have `Connection: close`.
-        discarding_input: Input is no longer passed in; the connection closes after the last complete request.
-        identified: Has sent a request or a callback.
-        is_backend: Has sent a callback.
-        buffered_bytes: Received behind the last request that was read.
+        awaiting_response: Whether a request is open: it was read and has no response yet.
+        closing: Whether no more input is processed; the connection closes once `outgoing` is written.
+        rejected_status: Status of the last malformed request that was rejected; 0 for none.
+        close_after_response: Whether responses have `Connection: close`.
+        discarding_input: Whether input is no longer passed in; the connection closes after the last complete
+            request.
+        identified: Whether the peer has sent a request or a callback.
+        is_backend: Whether the peer has sent a callback.
+        buffered_bytes: Number of bytes received after the last request that was read.
     """
 
     def __init__(
@@ -98,15 +99,15 @@
         self.buffered_bytes = 0
 
     def is_mid_request(self) -> bool:
-        """Whether part of a request was received, and not all of it."""
+        """Whether a request was received in part."""
         return not self.awaiting_response and (self.request_head is not None or self.buffered_bytes > 0)
 
     def is_in_body(self) -> bool:
-        """Whether the header of a request was received, and not all of its body."""
+        """Whether the header of a request was received, but not its whole body."""
         return not self.awaiting_response and self.request_head is not None
 
     def receive_data(self, data: bytes) -> None:
-        """Receives bytes, and handles the request that they complete."""
+        """Receives bytes, and handles a request that they complete."""
         if self.closing:
             return
         self.http.receive_data(data)
@@ -114,7 +115,7 @@
         self.process_buffered()
 
     def process_buffered(self) -> None:
-        """Processes received bytes up to the end of one request, or as far as they are complete."""
+        """Processes received bytes up to the end of one request, or all of them if none is complete."""
         try:
             while not self.awaiting_response and not self.closing:
                 event = self.http.next_event()
@@ -137,7 +138,7 @@
             self._fail(error.error_status_hint)
 
     def respond(self, status: int, headers: Sequence[Header] = (), body: bytes = b"") -> None:
-        """Answers the open request; a next one may be processed after that."""
+        """Answers the open request, after which the next one may be processed."""
         response_headers: list[Header] = []
         if status != HTTPStatus.NO_CONTENT:
             response_headers.append((b"Content-Length", str(len(body)).encode()))
@@ -169,7 +170,8 @@
         self.body.clear()
         lengths = [value for name, value in head.headers if name == b"content-length"]
         if lengths and any(name == b"transfer-encoding" for name, _ in head.headers):
-            # Two lengths: a proxy before this server may read another end (RFC 9112, section 11.2).
+            # With two lengths, a proxy in front of this server may see the end of the message elsewhere
+            # (RFC 9112, section 11.2).
             self._fail(HTTPStatus.BAD_REQUEST)
         elif lengths and int(lengths[0]) > MAX_BODY_SIZE:
             self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -220,7 +222,8 @@
         known = not request_id or self.handler.callbacks.has_request(request_id)
         if not known and self.handler.callbacks.forward_unknown_callback(self.client, body):
             self.identified = True
-            self.is_backend = True  # the response follows once the other process has answered
+            self.is_backend = True
+            # The response follows once the other process has answered.
         elif handle_callback(body, self.handler.callbacks, self.report_fields):
             self.identified = True
             self.is_backend = True
@@ -235,7 +238,7 @@
             self.respond(HTTPStatus.OK if self.handler.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def _reject(self, status: int, allowed_methods: bytes = b"") -> None:
-        # The connection is closed, as it counts against the limit on connections.
+        # Closes the connection, so that it does not count against the connection limit any longer.
         self.rejected_status = status
         self.close_after_response = True
         self.respond(status, [(b"Allow", allowed_methods)] if allowed_methods else [])
--- a/crankfold/protocol/client_request.py
+++ b/crankfold/protocol/client_request.py
@@ -1,6 +1,6 @@
 """A client's request: the HTTP message that is forwarded, and the attributes in its headers.
 
-Header names of the protocol (`x-priority-class`, `x-cost`, `x-attrs`, ...) stay in this module and `headers`.
+Header names on the wire (`x-priority-class`, `x-cost`, `x-attrs`, ...) are used only here and in `headers`.
 """
 
 import zlib
@@ -20,7 +20,7 @@
 MAX_WORK = 1e12  # microseconds
 MAX_ATTRIBUTE = 1e9  # slots, or the unit of another attribute
 MAX_ID_LENGTH = 256  # characters
-# Set in each key, so that none is 0; the 32 bits below it are the hash.
+# This bit is set in each affinity key, so that none is 0; the 32 bits below it are the hash.
 AFFINITY_KEY_FLAG = 1 << 32
 _SINGLE_HEADERS = frozenset((b"x-request-id", b"idempotency-key", b"x-timeout", b"x-priority-class"))
 _REQUIRED_HEADERS = frozenset((b"x-request-id", b"x-timeout", b"x-priority-class"))
@@ -94,7 +94,7 @@
 
 
 def _parse_slots(attributes: bytes) -> float:
-    """The slots among attributes in the form `slots=2,memory=0.5`; 1 if they are not given.
+    """Returns the slots in attributes of the form `slots=2,memory=0.5`; 1 if they are not given.
 
     Raises:
         HeaderError: An attribute has no value or is not a number.
@@ -107,5 +107,5 @@
             if name.strip() == b"slots":
                 slots = number
         elif name.strip():
-            raise HeaderError("an attribute without a value")
+            raise HeaderError("an attribute has no value")
     return slots
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -1,7 +1,7 @@
 """The discovery protocol without I/O: encodes the calls, decodes the endpoint lists in the responses.
 
-Field names on the wire (`uid`, `az`, `model`, `pod_group`, `capacity_hint`, `rev`, `all`, `targets`) stay in
-this module.
+The field names on the wire (`uid`, `az`, `model`, `pod_group`, `capacity_hint`, `rev`, `all`, `targets`) are
+used only here.
 """
 
 from collections.abc import Callable, Sequence
@@ -27,11 +27,11 @@
 
 
 class DiscoveryError(CrankfoldError, ValueError):
-    """A response of discovery is incomplete or can't be decoded; none of it is applied."""
+    """A response of discovery is incomplete or can't be decoded; no part of it is applied."""
 
 
 class RejectedError(DiscoveryError):
-    """Discovery rejected the call; the last revision is still valid there."""
+    """Discovery rejected the call; the last revision stays valid."""
 
 
 class DiscoveryEntry(NamedTuple):
@@ -39,14 +39,14 @@
 
     Attributes:
         backend_id: Unique, and never reused.
-        host: Of its address.
-        port: Of its address.
-        zone: By name.
-        instance_type: By name.
+        host: Host of the address.
+        port: Port of the address.
+        zone: Name of the zone.
+        instance_type: Name of the instance type.
         cell: Number of the cell, a group of machines.
-        state: Whether requests may be sent to it.
-        weight: Its capacity relative to other backends; 0 where discovery does not state it.
-        boot_ms: When it started, in milliseconds since the epoch; 0 for long ago.
+        state: Whether requests may be sent to the backend.
+        weight: Capacity relative to other backends; 0 if discovery does not state it.
+        boot_ms: When the backend started, in milliseconds since the epoch; 0 for long ago.
     """
 
     backend_id: str
@@ -67,9 +67,9 @@
     """One response of discovery.
 
     Attributes:
-        revision: Of the list with this update applied.
-        is_snapshot: Whether it is the whole list; else it is the delta since the revision in the call.
-        endpoints: All in the list, or those that changed.
+        revision: Revision of the list after this update.
+        is_snapshot: Whether this is the whole list; else it is the delta since the revision in the call.
+        endpoints: All endpoints of the list, or those that changed.
     """
 
     revision: int
@@ -100,7 +100,7 @@
 def _decode_entry(entry: _WireEntry) -> DiscoveryEntry:
     host, _, port = entry["endpoint"].rpartition(":")
     if not host or not isinstance(entry["uid"], str):
-        raise DiscoveryError("an entry without uid or address")
+        raise DiscoveryError("an entry has no uid or no address")
     return DiscoveryEntry(
         backend_id=entry["uid"],
         host=host.strip("[]"),
@@ -115,7 +115,7 @@
 
 
 def encode_entry(entry: DiscoveryEntry) -> _WireEntry:
-    """The entry in the form of the wire."""
+    """Returns the entry as it is sent on the wire."""
     return {
         "uid": entry.backend_id,
         "endpoint": f"{entry.host}:{entry.port}",
@@ -129,14 +129,14 @@
 
 
 def snapshot_document(entries: Sequence[DiscoveryEntry]) -> EndpointDocument:
-    """A snapshot of the endpoint list in the form of a response; its revision is 0."""
+    """Returns a snapshot of the endpoint list in the form of a response, with revision 0."""
     return {"rev": 0, "all": True, "targets": [encode_entry(entry) for entry in entries]}
 
 
 def without_weights(document: EndpointDocument) -> EndpointDocument | None:
     """Returns the endpoint list without the weights of its entries; None if it has no entries.
 
-    Anything else in the list stays as it is; entries that are no JSON objects are left out.
+    Anything else in the list stays as it is; entries that are not JSON objects are left out.
     """
     entries = document.get("targets")
     if not isinstance(entries, list):
@@ -146,11 +146,11 @@
 
 
 class DiscoveryConnection:
-    """The state of one connection to discovery, used for one call after the other.
+    """The state of one connection to discovery, used for one call after another.
 
     Attributes:
-        status: Of the present response, 0 before its header.
-        body: Of the present response.
+        status: Status of the present response; 0 before its header.
+        body: Body of the present response.
         response_started: Whether any byte of the present response was received.
     """
 
@@ -166,7 +166,7 @@
         """Begins a call; returns the bytes to be written.
 
         Args:
-            revision: The response has the changes after it, or a snapshot if it is negative.
+            revision: The response has the changes after this revision, or a snapshot if it is negative.
             wait_ms: How long discovery may wait for a change, in milliseconds.
         """
         target = "/v1/servers" if revision < 0 else f"/v1/servers?after={revision}&wait_ms={wait_ms}"
@@ -177,7 +177,10 @@
         return (self.http.send(head) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
 
     def receive_data(self, data: bytes) -> bool:
-        """Receives bytes of the response, or its end if there are none; True once it is complete.
+        """Receives bytes of the response; no bytes mean that the peer closed the connection.
+
+        Returns:
+            Whether the response is complete.
 
         Raises:
             DiscoveryError: The response is not valid HTTP, is too long, or ends before it is complete.
@@ -197,7 +200,7 @@
         return is_complete
 
     def _process_events(self) -> bool:
-        """Reads the events that are complete; True at the end of the response."""
+        """Reads all complete events; returns whether the response has ended."""
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
@@ -207,7 +210,7 @@
             elif isinstance(event, h11.Data):
                 self.body += event.data
                 if len(self.body) > MAX_LIST_SIZE:
-                    raise DiscoveryError(f"response over {MAX_LIST_SIZE} bytes")
+                    raise DiscoveryError(f"response is longer than {MAX_LIST_SIZE} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 if self.http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
                     self.http.start_next_cycle()
--- a/crankfold/protocol/handover_messages.py
+++ b/crankfold/protocol/handover_messages.py
@@ -1,8 +1,8 @@
-"""Messages between a process and its successor: one JSON object a line.
+"""Messages between a process and its successor: one JSON object per line.
 
 Keys on the wire differ from the names in the program: `take` is a `TakeoverRequest`, `yours` a
 `TakeoverGrant`, `elsewhere` a `TakeoverRefusal`, `holds` a `UsageReport`, `ask` a query and `re` the
-`QueryAnswer`. The file of manual drains has keys of the state in a `Welcome`. No key is used outside this
+`QueryAnswer`. The file of manual drains uses keys of the state in a `Welcome`. No key is used outside this
 module.
 """
 
@@ -13,7 +13,7 @@
 from crankfold.errors import CrankfoldError
 from crankfold.protocol.discovery import EndpointDocument
 
-START_TIMES = 2  # of an assumed start: when its drain began, and the start itself
+START_TIMES = 2  # number of times in an assumed start: when its drain began, and the start itself
 FORMAT_VERSION = 1  # of Hello and Welcome; processes of different versions do not hand over
 MAX_LINE_SIZE = 4 * 1024 * 1024  # bytes
 DYNAMIC_WEIGHTS = "moving"  # weights in endpoint lists follow load
@@ -30,7 +30,7 @@
 
     Attributes:
         drained_since: When each drain began that is still in force.
-        assumed_starts: Of restored backends: when the drain began, and the assumed start of the backend.
+        assumed_starts: For each restored backend, when the drain began and the assumed start of the backend.
     """
 
     drained_since: dict[str, int]
@@ -49,13 +49,13 @@
 
     Attributes:
         format_version: FORMAT_VERSION of the sender.
-        dispatcher_name: Of both processes.
+        dispatcher_name: Name of the dispatcher to which both processes belong.
         weight_semantics: DYNAMIC_WEIGHTS or STATIC_WEIGHTS.
-        report_fields: The fields of `load_reports`; None from an older version, which has the successor's.
-        manual_drains: In force or ended.
-        known_ids: Of all backends ever listed.
-        endpoints: The list in the form of a discovery response.
-        load_reports: The last one of each backend, by id.
+        report_fields: The fields of `load_reports`; None from an older version, which uses the successor's.
+        manual_drains: The manual drains, in force or ended.
+        known_ids: The ids of all backends ever listed.
+        endpoints: The endpoint list in the form of a discovery response.
+        load_reports: The last load report of each backend, by id.
     """
 
     format_version: int
@@ -101,7 +101,7 @@
 
 
 class TakeoverRefusal(NamedTuple):
-    """From a process that has already handed over to another one, or does not serve yet."""
+    """From a process that has already handed over to another one or does not serve yet."""
 
 
 class UsageReport(NamedTuple):
@@ -119,7 +119,7 @@
 
 
 class CallbackQuery(NamedTuple):
-    """Asks whether the receiver holds the request of a callback, which is passed as JSON text."""
+    """Asks whether the receiver holds the request of a callback; `callback` is its JSON text."""
 
     query_id: int
     callback: str
@@ -160,7 +160,7 @@
 
 
 def encode_message(message: HandoverMessage) -> bytes:
-    """The line for a message, with its end."""
+    """Returns the line for a message, including the line break."""
     return orjson.dumps(_message_fields(message)) + b"\n"
 
 
@@ -179,8 +179,8 @@
         case UsageReport():
             return {"holds": _usage_fields(message.usage)}
         case ManualDrainQuery():
-            word = "out" if message.drained else "back"
-            return {"ask": message.query_id, "what": word, "uid": message.backend_id}
+            operation = "out" if message.drained else "back"
+            return {"ask": message.query_id, "what": operation, "uid": message.backend_id}
         case CallbackQuery():
             return {"ask": message.query_id, "what": "event", "body": message.callback}
         case UnknownQuery():
@@ -216,7 +216,7 @@
 
 
 def encode_drain_record(record: ManualDrainRecord) -> bytes:
-    """The content of the file of manual drains."""
+    """Returns the content of the file of manual drains."""
     drains = record.manual_drains
     return orjson.dumps(
         {"of": record.dispatcher_name, "bans": drains.drained_since, "assumed": drains.assumed_starts}
@@ -242,7 +242,7 @@
         *lines, rest = bytes(self.buffer).split(b"\n")
         self.buffer = bytearray(rest)
         if len(rest) > MAX_LINE_SIZE:
-            raise ProtocolError(f"a line of over {MAX_LINE_SIZE} bytes")
+            raise ProtocolError(f"a line is longer than {MAX_LINE_SIZE} bytes")
         return [decode_message(line) for line in lines]
 
 
@@ -275,8 +275,8 @@
 
 def _decode_query(fields: _Fields) -> Query:
     match fields:
-        case {"ask": query_id, "what": "out" | "back" as word, "uid": str(backend_id)}:
-            return ManualDrainQuery(query_id, backend_id, word == "out")
+        case {"ask": query_id, "what": "out" | "back" as operation, "uid": str(backend_id)}:
+            return ManualDrainQuery(query_id, backend_id, operation == "out")
         case {"ask": query_id, "what": "event", "body": str(callback)}:
             return CallbackQuery(query_id, callback)
     return UnknownQuery(fields["ask"])
--- a/crankfold/protocol/headers.py
+++ b/crankfold/protocol/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers: limits on sizes, typed reads, and the selection that is forwarded to backends."""
+"""HTTP headers: size limits, parsing of values, and the selection that is forwarded to backends."""
 
 import math
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 Header = tuple[bytes, bytes]  # name in lower case as h11 gives it, and value
 Headers = Iterable[Header]
 
-# A backend closes its connection on a header that it can't parse. So headers of the client's connection, and
-# those that the protocol does not define, are not forwarded.
+# A backend closes its connection on a header that it can't parse. So only headers that the protocol defines
+# are forwarded, and none that concern the client's connection.
 _FORWARDED = frozenset(
     (
         b"host",
@@ -33,15 +33,15 @@
 
 
 def forwarded_headers(headers: Headers) -> list[Header]:
-    """The headers that are forwarded to a backend, in their order, always with a host."""
+    """Returns the headers that are forwarded to a backend, in their order, always with a host."""
     forwarded = [(name, value) for name, value in headers if name in _FORWARDED]
     if not any(name == b"host" for name, _ in forwarded):
-        forwarded.append((b"host", b""))  # optional in a client's HTTP/1.0, required in HTTP/1.1
+        forwarded.append((b"host", b""))  # optional in HTTP/1.0 of the client, required in HTTP/1.1
     return forwarded
 
 
 def first_values(headers: Headers, single: frozenset[bytes]) -> dict[bytes, bytes]:
-    """The first value of each header by name.
+    """Returns the first value of each header by name.
 
     Raises:
         HeaderError: A header in `single` is repeated.
@@ -58,7 +58,7 @@
     """Parses a decimal number from 0 to `maximum`.
 
     Raises:
-        HeaderError: It is no such number, or has underscores, which only Python accepts.
+        HeaderError: The text is not such a number, or has underscores, which only Python accepts.
     """
     try:
         value = float(text)
--- a/crankfold/protocol/load_reports.py
+++ b/crankfold/protocol/load_reports.py
@@ -1,7 +1,7 @@
 """Decodes load reports of backends into values in the order of the report fields in the settings.
 
-A report without one of the fields, or with another value there than a finite number, is discarded: the result
-is an empty tuple.
+A report is discarded, and the result is an empty tuple, if one of the fields is missing or is not a finite
+number.
 """
 
 import math
@@ -23,8 +23,8 @@
 
 def report_from_header(header: bytes, names: Sequence[str]) -> tuple[float, ...]:
     """Reads a report from a header of the form `TEXT queue=2, x0=1`."""
-    form, _, pairs = header.decode("latin-1").strip().partition(" ")
-    if form != "TEXT":
+    format_name, _, pairs = header.decode("latin-1").strip().partition(" ")
+    if format_name != "TEXT":
         return ()
     fields: dict[str, float] = {}
     for pair in pairs.split(","):
