--- a/crankfold/simulator_adapter/__init__.py
+++ b/crankfold/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Runs routers behind the simulator's protocol: codec and host loop, without routing rules."""
+"""Runs routers behind the simulator's protocol: codec and host loop, without any routing logic."""
--- a/crankfold/simulator_adapter/codec.py
+++ b/crankfold/simulator_adapter/codec.py
@@ -34,10 +34,12 @@
 _PEER_MESSAGE = Struct("<IH")
 _ENDPOINTS = Struct("<BQI")
 
-_HAS_WORK_HINT = 1  # bits of a request's flags
+# Bits of a request's flags.
+_HAS_WORK_HINT = 1
 _IS_RETRY = 2
-_NOTE_STARTED = 1  # kinds of a note
-_DELTA = 2  # kinds of an endpoint list
+_NOTE_STARTED = 1  # kind of a note about an attempt
+# Kinds of an endpoint list.
+_DELTA = 2
 _FAILED = 3
 
 _OUTCOMES = {
@@ -104,7 +106,7 @@
 
 @dataclass(slots=True)
 class EndpointsRecord:
-    """Names the endpoint list that an instance receives."""
+    """States which endpoint list an instance receives."""
 
     list_index: int
     snapshot: bool
@@ -136,21 +138,21 @@
         """Reads the fields of `layout`.
 
         Raises:
-            struct.error: The frame ends within them.
+            struct.error: The frame ends before the last of them.
         """
         fields = layout.unpack_from(self._frame, self._offset)
         self._offset += layout.size
         return fields
 
-    def take(self, size: int, what: str) -> bytes:
+    def take(self, size: int, content: str) -> bytes:
         """Reads `size` bytes.
 
         Raises:
-            FrameError: The frame ends within them; the text names `what`.
+            FrameError: The frame ends before that; the message names the `content` of the bytes.
         """
         start = self._offset
         if start + size > len(self._frame):
-            raise FrameError(f"{what} longer than its frame")
+            raise FrameError(f"{content} longer than the frame")
         self._offset += size
         return self._frame[start : self._offset]
 
@@ -195,7 +197,7 @@
         return EndpointsRecord(index, snapshot=kind != _DELTA, failed=kind == _FAILED)
 
     def request(self) -> RequestArrival:
-        """Reads a request with its id on the wire; its tenant and second size are not used."""
+        """Reads a request with its id on the wire; the tenant and the second size are not used."""
         request_id, class_index, _tenant, key, deadline, work, slots, _size, flags = self.unpack(_REQUEST)
         return RequestArrival(
             request_id,
@@ -213,7 +215,7 @@
         return AttemptRecord(request_id, attempt_number, address)
 
     def attempt_note(self) -> tuple[AttemptRecord, bool]:
-        """Reads an attempt, and whether it started (True) or made progress (False)."""
+        """Reads an attempt, and whether it has started (True) or made progress (False)."""
         request_id, attempt_number, address, kind, _share = self.unpack(_ATTEMPT_NOTE)
         return AttemptRecord(request_id, attempt_number, address), kind == _NOTE_STARTED
 
--- a/crankfold/simulator_adapter/host.py
+++ b/crankfold/simulator_adapter/host.py
@@ -7,7 +7,7 @@
 
 
 class SimulatorHost:
-    """Owns the instances by their index, and the endpoint lists that records name."""
+    """Owns the instances and the endpoint lists, both by the index that records use."""
 
     def __init__(self) -> None:
         self.instances: dict[int, RouterInstance] = {}
@@ -17,10 +17,10 @@
         """Processes a frame.
 
         Args:
-            frame: Without its length.
+            frame: The frame without its length field.
 
         Returns:
-            The reply with its length.
+            The reply, including its length field.
 
         Raises:
             struct.error, IndexError, KeyError, ValueError: The frame cannot be decoded.
@@ -43,7 +43,7 @@
         return self._reply(active)
 
     def _start_or_notify(self, index: int, code: int, reader: FrameReader) -> RouterInstance:
-        """Starts the instance, or passes it an event, as the record says; returns the instance."""
+        """Starts the instance or passes it an event, depending on the code; returns the instance."""
         if code == EventCode.START:
             seed, settings = reader.start()
             self.instances[index] = RouterInstance(seed, settings, self.endpoint_lists)
--- a/crankfold/simulator_adapter/instance.py
+++ b/crankfold/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One router instance: decodes events into its calls, encodes its actions and maps ids to indices."""
+"""One router instance: decodes events into calls of its router, encodes actions, and maps ids to indices."""
 
 import traceback
 from collections.abc import Callable, Mapping, Sequence
@@ -27,7 +27,7 @@
 _SET_TIMER = Struct("<HIQ")
 _PROBE = Struct("<H6s")
 _MAX_DELAY = 0xFFFFFFFF  # microseconds, the largest value of a timer's field
-# Multiplicative hash: 2**64 / golden ratio as multiplier, 20 bits of the product as position.
+# Multiplicative hash: the multiplier is 2**64 / golden ratio, the position is 20 bits of the product.
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _HASH_SHIFT_BITS = 20
 _HASH_POSITIONS = 0x100000
@@ -43,15 +43,15 @@
 
 
 class RouterInstance:
-    """Carries events to one `Router`, and implements its `RoutingActions`."""
+    """Passes events to one `Router`, and implements its `RoutingActions`."""
 
     def __init__(self, seed: int, settings: str, endpoint_lists: Mapping[int, Sequence[ListEntry]]) -> None:
-        """Makes the router from the lines of the settings.
+        """Creates the router from the settings.
 
         Args:
-            seed: Of the router's random choices.
-            settings: The lines of its configuration.
-            endpoint_lists: By index; read when a record names one.
+            seed: Seed of the router's random choices.
+            settings: The lines of the router's configuration.
+            endpoint_lists: The endpoint lists by index; read when a record names one.
         """
         self.output = bytearray()
         backends: Interner[bytes] = Interner()
