--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -21,7 +21,7 @@
 from crankfold.fault_injection.http_client import HOST, find_free_port
 from crankfold.network.metrics import Metrics
 from crankfold.simulation.consensus.cluster import IdleHost, settings_document
-from tests.loopback import Loopback
+from tests.loopback import LoopbackTestCase
 
 VOTERS = ("n0", "n1", "n2")
 
@@ -36,7 +36,7 @@
         return []
 
 
-class ClusterScene(Loopback):
+class ClusterScene(LoopbackTestCase):
     """Nodes of one cluster, each with a folder of its own."""
 
     async def asyncSetUp(self) -> None:
--- a/tests/handover_scene.py
+++ b/tests/handover_scene.py
@@ -94,7 +94,7 @@
             "name": "n0",
             "listen": f"127.0.0.1:{self.listen}",
             "admin_addr": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{await self.stand_in(silent)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(silent)}",
             "known": {
                 "rev": 4,
                 "all": True,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -26,21 +26,21 @@
     b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: 40\r\n\r\n"
     b'{"id":"u0","from":"a","state":"started"}'
 )
-NEVER_RAN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-OK = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+NOT_PROCESSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 
-async def accepting(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def accept_requests(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A backend that takes whatever it is sent."""
     while True:
         await read_request(reader)
-        writer.write(OK)
+        writer.write(ACCEPTED)
 
 
-class Loopback(TraceTestCase, unittest.IsolatedAsyncioTestCase):
+class LoopbackTestCase(TraceTestCase, unittest.IsolatedAsyncioTestCase):
     """Listening stand-ins, calls of operators, and waiting for a condition."""
 
-    async def stand_in(self, handler: Handler) -> int:
+    async def start_fake_server(self, handler: Handler) -> int:
         """Serves connections by the handler until the test ends; gives the port."""
 
         async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -72,7 +72,7 @@
                 await asyncio.sleep(0.001)
 
 
-class DispatcherTestCase(Loopback):
+class DispatcherTestCase(LoopbackTestCase):
     """A dispatcher between a client, a backend and discovery that the test plays."""
 
     def setUp(self) -> None:
@@ -82,7 +82,7 @@
 
     async def begin(self, backend: Handler, **settings: Any) -> None:
         """Starts discovery and the one backend, and writes the configuration."""
-        self.backend_port = await self.stand_in(backend)
+        self.backend_port = await self.start_fake_server(backend)
         self.backend_state = "in_service"
         self.endpoints_changed = asyncio.Event()
 
@@ -97,7 +97,7 @@
         request_class = {"name": "g", "effect": "safe", "cut-off": 3_000_000, "expected-time": 2_000_000}
         self.config: dict[str, Any] = {
             "listen": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{await self.stand_in(discovery)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(discovery)}",
             "seed": "1f",
             "known": self.discovery_answer(),
             "limits": {"sockets": 256},
--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -14,7 +14,7 @@
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.admin_api import MAX_CALL_SIZE, AdminConnection, execute
 from crankfold.service.config_file import divide_socket_limit
-from tests.loopback import Loopback
+from tests.loopback import LoopbackTestCase
 
 CALLS = {
     "ready": b"GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n",
@@ -38,7 +38,7 @@
 }
 
 
-class AdminCallsTest(Loopback):
+class AdminCallsTest(LoopbackTestCase):
     async def test_calls_whole_and_cut_at_every_byte(self) -> None:
         for what, request in CALLS.items():
             response = await self.responses([request])
@@ -113,7 +113,7 @@
         self.assertEqual(await waiting, "200 offline")
 
 
-class SocketLimitTest(Loopback):
+class SocketLimitTest(LoopbackTestCase):
     async def test_clients_that_use_up_their_places_leave_the_operators_theirs(self) -> None:
         given: dict[str, Any] = {"limits": {"sockets": 120}}
         with_admin_server, without = divide_socket_limit(given, True)[1], divide_socket_limit(given, False)[1]
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -7,11 +7,11 @@
 from crankfold.network.metrics import Metrics
 from crankfold.network.pooled_connection import REUSE_COOLDOWN
 from crankfold.protocol.backend_connection import BackendConnection
-from tests.loopback import OK, Loopback
+from tests.loopback import ACCEPTED, LoopbackTestCase
 from tests.scene import read_request
 
 
-class ConnectionPoolTest(Loopback):
+class ConnectionPoolTest(LoopbackTestCase):
     def pool(self, port: int, has_room: bool = True) -> ConnectionPool:
         self.metrics = Metrics()
         return ConnectionPool(
@@ -39,7 +39,7 @@
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for _ in range(3):
                 await read_request(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         async def hang_up(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
@@ -50,27 +50,27 @@
 
         async def speak_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
-            writer.write(OK + OK)
+            writer.write(ACCEPTED + ACCEPTED)
 
         async def close_at_the_second(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
-            writer.write(OK)
+            writer.write(ACCEPTED)
             await read_request(reader)
 
-        good = self.pool(await self.stand_in(accept))
+        good = self.pool(await self.start_fake_server(accept))
         for number in range(4):
             await self.run_exchange(good, f"taken {number}")
         opened = self.metrics.counters["backend-connections-opened"]
         self.say(f"  opened {opened} for 4, as the runner closes after three")
-        await self.run_exchange(self.pool(await self.stand_in(hang_up)), "closed before the answer")
-        reused = self.pool(await self.stand_in(close_at_the_second))
+        await self.run_exchange(self.pool(await self.start_fake_server(hang_up)), "closed before the answer")
+        reused = self.pool(await self.start_fake_server(close_at_the_second))
         await self.run_exchange(reused, "taken")
         await self.run_exchange(reused, "closed before the answer, on a kept connection")
-        await self.run_exchange(self.pool(await self.stand_in(babble)), "garbage")
-        twice = self.pool(await self.stand_in(speak_first))
+        await self.run_exchange(self.pool(await self.start_fake_server(babble)), "garbage")
+        twice = self.pool(await self.start_fake_server(speak_first))
         await self.run_exchange(twice, "answered twice")
         self.say(f"  kept {len(twice.idle_connections)}")
-        port = await self.stand_in(accept)
+        port = await self.start_fake_server(accept)
         await self.run_exchange(self.pool(port, has_room=False), "no socket left")
         drained = self.pool(port)
         await self.run_exchange(drained, "drained while connecting", may_send=False)
@@ -93,7 +93,9 @@
             await reader.readexactly(10)
             writer.transport.abort()
 
-        await self.run_exchange(self.pool(await self.stand_in(read_little)), "broken", body=b"x" * 20_000_000)
+        await self.run_exchange(
+            self.pool(await self.start_fake_server(read_little)), "broken", body=b"x" * 20_000_000
+        )
         self.assertEqual(self.lines, ["broken: unreachable 0"])
 
     async def test_an_exchange_aborted_before_its_response_closes_the_connection(self) -> None:
@@ -104,7 +106,7 @@
             await reader.read()
             closed.set()
 
-        pool = self.pool(await self.stand_in(silent))
+        pool = self.pool(await self.start_fake_server(silent))
         exchange = Exchange(
             b"POST", b"/api", lambda: [(b"Host", b"b")], b"", may_send=lambda: True, on_end=lambda *_: None
         )
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -9,11 +9,11 @@
 from crankfold.network.metrics import Metrics
 from crankfold.network.pooled_connection import REUSE_COOLDOWN, PooledConnection
 from crankfold.protocol.backend_connection import BackendConnection
-from tests.loopback import NEVER_RAN, OK, Handler, Loopback, accepting
+from tests.loopback import ACCEPTED, NOT_PROCESSED, Handler, LoopbackTestCase, accept_requests
 from tests.scene import read_request
 
 
-class ConnectionPoolCrossings(Loopback):
+class ConnectionPoolCrossings(LoopbackTestCase):
     async def begin(self, handler: Handler) -> None:
         self.ends: list[str] = []
         self.links: list[asyncio.StreamWriter] = []
@@ -24,7 +24,9 @@
 
         self.metrics = Metrics()
         self.pool = ConnectionPool(
-            "127.0.0.1", await self.stand_in(keep_alive), ConnectionLimiter(9, 0.25, 5.0, self.metrics)
+            "127.0.0.1",
+            await self.start_fake_server(keep_alive),
+            ConnectionLimiter(9, 0.25, 5.0, self.metrics),
         )
         self.addCleanup(self.pool.close)
 
@@ -45,8 +47,8 @@
         return exchange
 
     async def test_bytes_unread_when_a_connection_is_reused_answer_nothing(self) -> None:
-        await self.begin(accepting)
-        for unasked in (NEVER_RAN, b"HTTP/1.1 503 Serv"):
+        await self.begin(accept_requests)
+        for unasked in (NOT_PROCESSED, b"HTTP/1.1 503 Serv"):
             self.ends.clear()
             self.send()
             await self.until(lambda: len(self.ends) == 1)
@@ -60,12 +62,12 @@
             await asyncio.sleep(1.2 * REUSE_COOLDOWN)
 
     async def test_bytes_read_but_not_processed_when_a_connection_is_reused_answer_nothing(self) -> None:
-        await self.begin(accepting)
+        await self.begin(accept_requests)
         self.send()
         await self.until(lambda: len(self.ends) == 1)
         await asyncio.sleep(1.2 * REUSE_COOLDOWN)
         (connection,) = self.pool.idle_connections
-        connection.reader.feed_data(NEVER_RAN)  # as the loop does before it calls what comes in this turn
+        connection.reader.feed_data(NOT_PROCESSED)  # as the loop does before it calls what comes in this turn
         self.send()
         await self.until(lambda: len(self.ends) == 2)
         self.assertEqual(self.ends, ["answered 202"] * 2)
@@ -80,9 +82,9 @@
                 await read_request(reader)
                 requests.append(n)
                 if len(requests) == 2:
-                    self.links[0].write(NEVER_RAN)  # of the first, while the second is being worked on
+                    self.links[0].write(NOT_PROCESSED)  # of the first, while the second is being worked on
                     await second_response_due.wait()
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         await self.begin(backend)
         self.send()
@@ -99,15 +101,15 @@
 
     async def test_a_response_that_breaks_off_says_only_that_the_request_was_accepted(self) -> None:
         answers: list[tuple[bytes, str]] = [
-            (NEVER_RAN.replace(b"Length: 0", b"Length: 9") + b"half", "broken 503"),
+            (NOT_PROCESSED.replace(b"Length: 0", b"Length: 9") + b"half", "broken 503"),
             (
-                NEVER_RAN.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"zz\r\n",
+                NOT_PROCESSED.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"zz\r\n",
                 "broken 503",
             ),
             (b"HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf", "answered 202"),
             (b"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "answered 202"),
             (b"HTTP/1.1 202 Acc", "broken 0"),
-            (NEVER_RAN.replace(b"Length: 0", b"Length: 900000") + b"x" * 900_000, "broken 503"),
+            (NOT_PROCESSED.replace(b"Length: 0", b"Length: 900000") + b"x" * 900_000, "broken 503"),
         ]
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -19,7 +19,7 @@
 )
 from crankfold.network.metrics import Metrics
 from crankfold.protocol.discovery import DiscoveryEntry
-from tests.loopback import Handler, Loopback
+from tests.loopback import Handler, LoopbackTestCase
 from tests.scene import read_request
 
 CHANGES = (
@@ -28,7 +28,7 @@
 )
 
 
-class DiscoveryWatcherTest(Loopback):
+class DiscoveryWatcherTest(LoopbackTestCase):
     async def test_a_watch_that_breaks_is_resumed_with_a_snapshot(self) -> None:
         answers = [
             b'{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service"}]}',
@@ -64,7 +64,7 @@
         self.enterContext(patch.object(logger, "handle", record_log))
         watcher = DiscoveryWatcher(
             "127.0.0.1",
-            await self.stand_in(discovery),
+            await self.start_fake_server(discovery),
             make_endpoint,
             on_endpoints=lambda endpoints, is_snapshot: self.say(
                 f"  {'snapshot' if is_snapshot else 'changes'} {list(endpoints)}"
@@ -139,7 +139,7 @@
 
         watcher = DiscoveryWatcher(
             "127.0.0.1",
-            await self.stand_in(discovery),
+            await self.start_fake_server(discovery),
             Mock(),
             on_endpoints=on_endpoints,
             on_failure=lambda: None,
@@ -164,7 +164,7 @@
 
         watcher = DiscoveryWatcher(
             "127.0.0.1",
-            await self.stand_in(discovery),
+            await self.start_fake_server(discovery),
             Mock(),
             on_endpoints=lambda *_: None,
             on_failure=lambda: None,
@@ -187,7 +187,7 @@
 
         watcher = DiscoveryWatcher(
             "127.0.0.1",
-            await self.stand_in(discovery),
+            await self.start_fake_server(discovery),
             Mock(),
             on_endpoints=on_endpoints,
             on_failure=lambda: None,
--- a/tests/network/test_handover_channel.py
+++ b/tests/network/test_handover_channel.py
@@ -15,12 +15,12 @@
     ManualDrainRecord,
     ManualDrainState,
 )
-from tests.loopback import Loopback
+from tests.loopback import LoopbackTestCase
 
 HELLO = Hello(1, ("127.0.0.1", 18080), "n0")
 
 
-class HandoverChannelTest(Loopback):
+class HandoverChannelTest(LoopbackTestCase):
     async def test_remains_of_a_killed_or_foreign_process_are_ignored_and_replaced(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         folder /= "deep" * 40  # too long for the path of a socket
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -10,11 +10,11 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES, NEW_CONNECTION_GRACE
 from crankfold.network.listener import UNCOUNTED_SOCKETS, Listener
 from crankfold.network.metrics import Metrics
-from tests.loopback import CALLBACK, HEALTH_CHECK, REQUEST, Loopback
+from tests.loopback import CALLBACK, HEALTH_CHECK, REQUEST, LoopbackTestCase
 from tests.scene import read_request
 
 
-class ListenerTest(Loopback):
+class ListenerTest(LoopbackTestCase):
     """The listener before a handler that answers nothing by itself."""
 
     async def begin(self, max_connections: int = 100) -> None:
--- a/tests/network/test_listener_races.py
+++ b/tests/network/test_listener_races.py
@@ -7,11 +7,11 @@
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
 from crankfold.network.listener import Listener
 from crankfold.network.metrics import Metrics
-from tests.loopback import REQUEST, Loopback
+from tests.loopback import REQUEST, LoopbackTestCase
 from tests.scene import read_request
 
 
-class ListenerCrossings(Loopback):
+class ListenerCrossings(LoopbackTestCase):
     async def begin(self) -> None:
         self.handler = Mock(is_serving=lambda: True, knows_request_class=lambda _name: True)
         self.metrics = Metrics()
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -4,10 +4,10 @@
 
 from crankfold.network.metrics import Metrics
 from crankfold.network.timers import Clock, Timers
-from tests.loopback import Loopback
+from tests.loopback import LoopbackTestCase
 
 
-class TimersTest(Loopback):
+class TimersTest(LoopbackTestCase):
     async def test_a_timer_never_fires_early(self) -> None:
         clock = Clock()
         timers = Timers(clock, Metrics())
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -11,7 +11,7 @@
 import orjson
 
 from crankfold.service.application import Application
-from tests.loopback import OK, REQUEST, DispatcherTestCase
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase
 from tests.scene import read_request
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
@@ -26,7 +26,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 if head.startswith("DELETE"):
                     continue
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
@@ -172,7 +172,7 @@
             await reader.read()
 
         usual = self.config["discovery"]
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(silent)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.start_fake_server(silent)}"
         self.config_file.write_bytes(orjson.dumps(self.config))
         self.config["discovery"] = usual
         early = await asyncio.create_subprocess_exec(
--- a/tests/service/requests/test_callback_handler.py
+++ b/tests/service/requests/test_callback_handler.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from crankfold.routing.interface import Outcome
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 from tests.scene import read_request
 
 UNKNOWN = "callbacks-unknown-request"
@@ -12,7 +12,7 @@
 class UnknownRequestsTest(DispatcherTestCase):
     async def accept_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
-        writer.write(OK)
+        writer.write(ACCEPTED)
         await reader.read()
 
     async def test_each_callback_for_an_unknown_request_is_counted_once(self) -> None:
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -6,7 +6,7 @@
 import orjson
 
 from crankfold.network.exchange import Exchange
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 from tests.scene import read_request
 
 
@@ -20,7 +20,7 @@
             while True:
                 head, _ = await read_request(reader)
                 self.reads += 1
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
                 if not request_id.startswith("held"):
                     await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -6,7 +6,7 @@
 import orjson
 
 from crankfold.network.exchange import Exchange
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 from tests.scene import read_request
 
 NON_IDEMPOTENT = {"name": "g", "effect": "unsafe", "cut-off": 3_000_000, "expected-time": 2_000_000}
@@ -27,7 +27,7 @@
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="again")
                 await self.send_callback(id="u0", **{"from": "a"}, state="lost")
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 accepted.set()
 
         await self.begin(backend)
@@ -62,7 +62,7 @@
             while True:
                 await read_request(reader)
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         polls: list[str] = []
 
@@ -75,7 +75,7 @@
             await reader.read()
 
         await self.begin(backend, **{"membership-mode": "on_request", "rules": {"ask-within": 80_000}})
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(discovery)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.start_fake_server(discovery)}"
         del self.config["known"]
         await self.start_in_process()
         await self.until(lambda: self.application.metrics.counters["discovery-snapshots"] == 1)
@@ -143,7 +143,7 @@
             while True:
                 head, _ = await read_request(reader)
                 posts.append(head.split()[0])
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         async def moved(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
@@ -167,7 +167,7 @@
         self.assertEqual(
             (posts, self.application.metrics.counters["attempts-ended-not-sent"]), (["POST", "DELETE"], 1)
         )
-        self.backend_port = await self.stand_in(moved)
+        self.backend_port = await self.start_fake_server(moved)
         self.endpoints_changed.set()
         await self.until(lambda: self.application.metrics.counters["discovery-snapshots"] == 2)
         self.assertEqual((await self.send_request("u3"))[1], b"moved")
@@ -179,7 +179,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 (cancelled if head.startswith("DELETE /jobs/u1 ") else accepted).set()
 
         await self.begin(backend)
--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 from tests.scene import read_request
 
 RUN, SLOTS = 0.08, 4  # 85 units a second keep the slots of two runners busy, and some fail
@@ -47,7 +47,7 @@
     async def served(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_request(reader)
-            writer.write(OK)
+            writer.write(ACCEPTED)
             if head.startswith("POST"):
                 ident = head.lower().partition("x-request-id: ")[2].split()[0]
                 self.got.append((time.monotonic(), ident))
@@ -88,12 +88,12 @@
         self.rev, self.news = 1, asyncio.Condition()
         self.runners = {uid: Runner(self, uid, zone) for uid, zone in (("a", "x"), ("b", "y"), ("c", "x"))}
         for runner in self.runners.values():
-            runner.port = await self.stand_in(runner.served)
+            runner.port = await self.start_fake_server(runner.served)
         with socket.create_server(("127.0.0.1", 0)) as free:
             listen = f"127.0.0.1:{free.getsockname()[1]}"
         self.config = {
             "listen": listen,
-            "discovery": f"127.0.0.1:{await self.stand_in(self.discovery)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(self.discovery)}",
             "seed": "1f",
             "admin_addr": "127.0.0.1:0",
             "limits": {"sockets": 384},
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from tests.loopback import OK, REQUEST, DispatcherTestCase
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase
 from tests.scene import read_request
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
@@ -42,7 +42,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_request(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 await accepted.put(head.split("\r\n")[0])
 
         await self.begin(backend)
@@ -83,7 +83,7 @@
                 request_id = (await read_request(reader))[0].lower().partition("x-request-id: ")[2].split()[0]
                 if request_id != "held":
                     await self.send_callback(id=request_id, **{"from": name}, state="done", result=name)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 sent.set()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
@@ -98,14 +98,16 @@
         polls: list[str] = []
         sent = asyncio.Event()
         await self.begin(partial(backend, name="a"))
-        ports = {name: await self.stand_in(partial(backend, name=name)) for name in "bc"}
+        ports = {name: await self.start_fake_server(partial(backend, name=name)) for name in "bc"}
         lines = await self.start_process(SERVE)
         pending = asyncio.create_task(self.send_request("held"))
         async with asyncio.timeout(5):
             await sent.wait()
         for name in "bc":
             self.config["settings"]["tick"] += 1
-            self.config["discovery"] = f"127.0.0.1:{await self.stand_in(partial(discovery, name=name))}"
+            self.config["discovery"] = (
+                f"127.0.0.1:{await self.start_fake_server(partial(discovery, name=name))}"
+            )
             for broken in (b"", b'{"listen":', orjson.dumps({**self.config, "discovery": "here"})):
                 self.config_file.write_bytes(broken)
                 self.process.send_signal(signal.SIGHUP)
@@ -130,7 +132,7 @@
             while True:
                 await read_request(reader)
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         await self.begin(backend)
         lines = await self.start_process(SERVE)
@@ -150,7 +152,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_request(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 posted.set()
 
         posted = asyncio.Event()
@@ -174,7 +176,7 @@
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        port = await self.stand_in(backend)
+        port = await self.start_fake_server(backend)
         await self.begin(backend)
         with tempfile.TemporaryDirectory() as folder:
             for name, body in {
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -11,7 +11,7 @@
 from crankfold.network.accepted_connection import NEW_CONNECTION_GRACE
 from crankfold.network.exchange import Exchange
 from crankfold.service.application import Application
-from tests.loopback import OK, REQUEST, DispatcherTestCase, Handler
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase, Handler
 from tests.scene import read_request
 
 
@@ -95,7 +95,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
-            writer.write(OK)
+            writer.write(ACCEPTED)
             sent.set()
             await reader.read()
 
@@ -159,7 +159,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             self.say("sent")
-            writer.write(OK)
+            writer.write(ACCEPTED)
             for _ in range(2):  # as if the first telling's answer had been lost
                 await self.send_callback(id="u1", **{"from": "a"}, state="returned")
 
@@ -234,7 +234,7 @@
                 head, _ = await read_request(reader)
                 request_id = head.lower().partition("x-request-id: ")[2].partition("\r\n")[0]
                 await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         back = asyncio.Event()
 
@@ -248,7 +248,7 @@
 
         await self.begin(backend)
         self.config |= {
-            "discovery": f"127.0.0.1:{await self.stand_in(discovery)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(discovery)}",
             "limits": {"sockets": 128},
         }
         self.config["known"]["targets"][0]["uid"] = "gone"
@@ -288,7 +288,7 @@
             await reader.read()
 
         await self.begin(backend)
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(discovery)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.start_fake_server(discovery)}"
         with patch(
             "crankfold.service.application.FIRST_LIST_TIMEOUT", 5.0
         ):  # on a busy machine the second call is late
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 from tests.scene import read_request
 
 
@@ -22,7 +22,7 @@
                 if request_id.startswith("fails"):
                     writer.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
                     continue
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 if not request_id.startswith("held"):
                     await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
 
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -9,7 +9,7 @@
 
 from crankfold.fault_injection.http_client import HOST
 from crankfold.fault_injection.stand_ins import StandInServer
-from tests.loopback import NEVER_RAN, OK
+from tests.loopback import ACCEPTED, NOT_PROCESSED
 from tests.scene import read_request
 from tests.soak.observations import AttemptEnd, Observations, SeenAttempt
 
@@ -100,7 +100,7 @@
                 request_id = head.split()[1].rpartition("/")[2]
                 if request_id in self.running:
                     self.running[request_id].cancelled_at = time.monotonic()
-                write_if_open(writer, OK)
+                write_if_open(writer, ACCEPTED)
                 continue
             headers = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
             attempt = SeenAttempt(
@@ -130,7 +130,7 @@
             if how == "never ran, said late":
                 await asyncio.sleep(self.rng.uniform(0.1, 0.3))
             self._end(attempt, AttemptEnd.MAY_HAVE_RUN if how == "error" else AttemptEnd.NEVER_RAN)
-            write_if_open(writer, FAILED if how == "error" else NEVER_RAN)
+            write_if_open(writer, FAILED if how == "error" else NOT_PROCESSED)
             return True
         if how == "reset":
             self._end(attempt, AttemptEnd.MAY_HAVE_RUN)
@@ -145,11 +145,11 @@
         if how == "run, 202 late":
             await asyncio.sleep(self.rng.uniform(0.05, 0.3))
         if how == "run, 202 in pieces":
-            for byte in range(0, len(OK), 10):
-                write_if_open(writer, OK[byte : byte + 10])
+            for byte in range(0, len(ACCEPTED), 10):
+                write_if_open(writer, ACCEPTED[byte : byte + 10])
                 await asyncio.sleep(0.005)
         else:
-            write_if_open(writer, OK)
+            write_if_open(writer, ACCEPTED)
         if how == "run, then reset the idle connection":
             await asyncio.sleep(self.rng.uniform(0.0, 0.2))
             writer.transport.abort()
--- a/tests/terms/test_clocks.py
+++ b/tests/terms/test_clocks.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from tests.loopback import OK, DispatcherTestCase, Handler
+from tests.loopback import ACCEPTED, DispatcherTestCase, Handler
 from tests.scene import read_request
 
 HOUR_MS = 3_600_000
@@ -23,7 +23,7 @@
         self.revision = 1
         self.dispatcher_ahead_ms = dispatcher_ahead_ms
         await self.begin(self.backend("a"))
-        self.other_port = await self.stand_in(self.backend("b"))
+        self.other_port = await self.start_fake_server(self.backend("b"))
         self.config["settings"]["rules"] = {
             "cold-from": 0.13,
             "warm-after": WARM_UP_SECONDS * 1_000_000,
@@ -46,7 +46,7 @@
                 head, _ = await read_request(reader)
                 self.sent[backend_id] += 1
                 request_id = head.lower().partition("x-request-id: ")[2].partition("\r\n")[0]
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 await asyncio.sleep(0.02)
                 await self.send_callback(id=request_id, **{"from": backend_id}, state="done", result="")
 
--- a/tests/terms/test_requests.py
+++ b/tests/terms/test_requests.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from crankfold.network.accepted_connection import MAX_UNREAD_BYTES
-from tests.loopback import NEVER_RAN, REQUEST, DispatcherTestCase, accepting
+from tests.loopback import NOT_PROCESSED, REQUEST, DispatcherTestCase, accept_requests
 from tests.scene import read_request
 
 
@@ -22,7 +22,7 @@
                 sent.append((await read_request(reader))[0])
                 await client_gone.wait()
                 await asyncio.sleep(0.15)
-                writer.write(NEVER_RAN)
+                writer.write(NOT_PROCESSED)
 
         await self.begin(backend)
         await self.start_in_process()
@@ -38,7 +38,7 @@
 
 class EarlySignalTest(DispatcherTestCase):
     async def test_a_signal_for_counters_before_the_program_is_imported_does_not_end_it(self) -> None:
-        await self.begin(accepting)
+        await self.begin(accept_requests)
         program = (
             "import os, runpy, signal, sys\n"
             "class Early:\n"
@@ -54,7 +54,7 @@
         self.assertEqual(self.process.returncode, 0)
 
     async def test_signals_in_series_during_the_end_do_not_cut_it_short(self) -> None:
-        await self.begin(accepting)
+        await self.begin(accept_requests)
         self.config["settings"]["service-grades"][0]["cut-off"] = 300_000
         lines = await self.start_process(["-O", "-m", "crankfold", "serve"])
         self.process.send_signal(signal.SIGTERM)
@@ -82,7 +82,7 @@
                 await asyncio.sleep(broken_after)
 
         await self.begin(backend)
-        self.other_port = await self.stand_in(backend)
+        self.other_port = await self.start_fake_server(backend)
         request_class = self.config["settings"]["service-grades"][0]
         request_class |= {"effect": "keyed", "group": "all", "repeat-window": 400_000}
         self.config["known"] = self.discovery_answer()
