--- a/tests/network/test_admin_server.py
+++ b/tests/network/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server: calls in pieces, silent callers, and descriptors at the limit."""
+"""The admin server: calls split at any byte, idle callers, and the limit on descriptors."""
 
 import asyncio
 import contextlib
@@ -38,29 +38,33 @@
 }
 
 
-class AdminCallsTest(LoopbackTestCase):
-    async def test_calls_whole_and_cut_at_every_byte(self) -> None:
-        for what, request in CALLS.items():
-            response = await self.responses([request])
-            self.say(f"{what}: {response}")
-            for cut in range(1, min(len(request), 400)):
+class AdminServerTest(LoopbackTestCase):
+    async def test_call_split_at_any_byte_gets_same_response(self) -> None:
+        for name, request in CALLS.items():
+            response = await self.execute_call([request])
+            self.say(f"{name}: {response}")
+            for position in range(1, min(len(request), 400)):
                 self.assertEqual(
-                    await self.responses([request[:cut], request[cut:]]), response, f"{what} at {cut}"
+                    await self.execute_call([request[:position], request[position:]]),
+                    response,
+                    f"{name}, split at {position}",
                 )
         self.close("operators-calls")
 
-    async def responses(self, pieces: list[bytes]) -> str:
+    async def execute_call(self, pieces: list[bytes]) -> str:
         calls: list[str] = []
 
-        def record(what: str, yes: bool) -> bool:
-            calls.append(what)
-            return yes
+        def record(operation: str, result: bool) -> bool:
+            calls.append(operation)
+            return result
 
         operations = Mock(
             is_ready=lambda: record("ready?", False),
             leave_service=lambda: record("leave", True),
-            drain_backend=AsyncMock(side_effect=lambda uid: record(f"out {uid!r}", uid != "nobody")),
-            restore_backend=AsyncMock(side_effect=lambda uid: record(f"back {uid!r}", True)),
+            drain_backend=AsyncMock(
+                side_effect=lambda backend_id: record(f"out {backend_id!r}", backend_id != "nobody")
+            ),
+            restore_backend=AsyncMock(side_effect=lambda backend_id: record(f"back {backend_id!r}", True)),
             enter_service=lambda: record("enter", True),
         )
         connection = AdminConnection()
@@ -72,72 +76,77 @@
         self.assertIn(b"Connection: close", head)
         return f"{', '.join(calls) or '-'}: {head.split()[1].decode()} {body.decode().strip()}"
 
-    async def test_silent_callers_by_hundreds_keep_nobody_out(self) -> None:
+    async def test_idle_connections_do_not_block_calls(self) -> None:
         metrics = Metrics()
         admin_server = AdminServer(Mock(is_ready=lambda: True), metrics)
         admin_server.open("127.0.0.1", 0)
         self.addAsyncCleanup(admin_server.close)
-        silent = []
-        for n in range(120):
+        idle_readers = []
+        for number in range(120):
             reader, writer = await asyncio.open_connection("127.0.0.1", admin_server.port())
             self.addCleanup(writer.close)
-            writer.write(b"" if n % 2 else b"GET /control/re")
-            silent.append(reader)
+            writer.write(b"" if number % 2 else b"GET /control/re")
+            idle_readers.append(reader)
             self.assertLessEqual(len(admin_server.connections), MAX_CALLERS)
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.assertEqual(await self.call(admin_server.port(), "ready", "GET"), "200 ready")
-        self.assertLess(time.monotonic() - began, 0.5)
+        self.assertLess(time.monotonic() - started_at, 0.5)
         with contextlib.suppress(ConnectionError):
-            self.assertEqual(await silent[0].read(), b"")  # the first to come went for the last
-        async with asyncio.timeout(5):  # and who stays without a call is told so
-            self.assertIn(b" 408 ", await silent[-1].readline())
+            # The oldest connections were evicted for new ones.
+            self.assertEqual(await idle_readers[0].read(), b"")
+        async with asyncio.timeout(5):  # a connection that sends no call is answered with a timeout
+            self.assertIn(b" 408 ", await idle_readers[-1].readline())
         await self.until(lambda: not admin_server.connections)
 
-    async def test_who_waits_for_a_decision_is_not_sent_away_for_who_says_nothing(self) -> None:
-        decided = asyncio.Event()
+    async def test_pending_call_is_not_evicted_for_idle_connections(self) -> None:
+        drain_applied = asyncio.Event()
 
-        async def drain_backend(_uid: str) -> bool:
-            await decided.wait()
+        async def drain_backend(_backend_id: str) -> bool:
+            await drain_applied.wait()
             return True
 
         admin_server = AdminServer(Mock(drain_backend=drain_backend), Metrics())
         admin_server.open("127.0.0.1", 0)
         self.addAsyncCleanup(admin_server.close)
-        waiting = asyncio.create_task(self.call(admin_server.port(), "runners/a/offline"))
+        pending_call = asyncio.create_task(self.call(admin_server.port(), "runners/a/offline"))
         await self.until(lambda: any(connection.command for connection in admin_server.connections))
         for _ in range(2 * MAX_CALLERS):
             _, writer = await asyncio.open_connection("127.0.0.1", admin_server.port())
             self.addCleanup(writer.close)
         await asyncio.sleep(0.05)
-        decided.set()
-        self.assertEqual(await waiting, "200 offline")
+        drain_applied.set()
+        self.assertEqual(await pending_call, "200 offline")
 
 
 class SocketLimitTest(LoopbackTestCase):
-    async def test_clients_that_use_up_their_places_leave_the_operators_theirs(self) -> None:
-        given: dict[str, Any] = {"limits": {"sockets": 120}}
-        with_admin_server, without = divide_socket_limit(given, True)[1], divide_socket_limit(given, False)[1]
-        self.assertGreaterEqual(without - with_admin_server, MAX_CALLERS)
+    async def test_clients_at_socket_limit_leave_descriptors_for_admin_calls(self) -> None:
+        config: dict[str, Any] = {"limits": {"sockets": 120}}
+        with_admin, without_admin = (
+            divide_socket_limit(config, True)[1],
+            divide_socket_limit(config, False)[1],
+        )
+        self.assertGreaterEqual(without_admin - with_admin, MAX_CALLERS)
         metrics = Metrics()
-        listener = Listener(Mock(is_serving=lambda: True), metrics, (), with_admin_server)
+        listener = Listener(Mock(is_serving=lambda: True), metrics, (), with_admin)
         listener.open("127.0.0.1", 0)
         self.addAsyncCleanup(listener.close)
         admin_server = AdminServer(Mock(is_ready=lambda: True), metrics)
         admin_server.open("127.0.0.1", 0)
         self.addAsyncCleanup(admin_server.close)
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-        rush = [socket.socket() for _ in range(400)]
+        clients = [socket.socket() for _ in range(400)]
         try:
-            for client in rush:
-                client.connect(("127.0.0.1", listener.port()))  # the system takes them; nobody here yet
-            inside = len(os.listdir("/proc/self/fd"))
-            resource.setrlimit(resource.RLIMIT_NOFILE, (inside + 120, limits[1]))
+            for client in clients:
+                # The connections stay in the accept queue until the event loop runs.
+                client.connect(("127.0.0.1", listener.port()))
+            open_descriptors = len(os.listdir("/proc/self/fd"))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (open_descriptors + 120, limits[1]))
             for _ in range(20):
-                began = time.monotonic()
+                started_at = time.monotonic()
                 self.assertEqual(await self.call(admin_server.port(), "ready", "GET"), "200 ready")
-                self.assertLess(time.monotonic() - began, 0.9)
-            self.assertLessEqual(len(listener.connections), with_admin_server)
+                self.assertLess(time.monotonic() - started_at, 0.9)
+            self.assertLessEqual(len(listener.connections), with_admin)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-            for client in rush:
+            for client in clients:
                 client.close()
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends and the exchanges on them, on loopback."""
+"""The connection pool: results of exchanges and reuse of connections, on loopback."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionPoolTest(LoopbackTestCase):
-    def pool(self, port: int, has_room: bool = True) -> ConnectionPool:
+    def create_pool(self, port: int, has_room: bool = True) -> ConnectionPool:
         self.metrics = Metrics()
         return ConnectionPool(
             "127.0.0.1", port, ConnectionLimiter(9 if has_room else 0, 0.25, 5.0, self.metrics)
@@ -21,92 +21,98 @@
     async def run_exchange(
         self, pool: ConnectionPool, label: str, body: bytes = b"x", may_send: bool = True
     ) -> None:
-        ends: list[str] = []
+        results: list[str] = []
 
         def on_end(result: ExchangeResult, protocol: BackendConnection | None) -> None:
-            ends.append(f"{label}: {result.value} {protocol.status if protocol else ''}".strip())
+            results.append(f"{label}: {result.value} {protocol.status if protocol else ''}".strip())
 
         exchange = Exchange(
             b"POST", b"/api", lambda: [(b"Host", b"b")], body, may_send=lambda: may_send, on_end=on_end
         )
         pool.send(exchange)
-        self.assertEqual(ends, [])  # never from within the call
-        await self.until(lambda: bool(ends))
-        await asyncio.sleep(1.2 * REUSE_COOLDOWN)  # from then on the connection may be used again
-        self.lines += ends
+        self.assertEqual(results, [])  # on_end is never called during send
+        await self.until(lambda: bool(results))
+        await asyncio.sleep(1.2 * REUSE_COOLDOWN)  # after that the connection may be reused
+        self.lines += results
 
-    async def test_how_an_exchange_ends(self) -> None:
-        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_exchange_results(self) -> None:
+        async def answer_three_requests(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             for _ in range(3):
                 await read_request(reader)
                 writer.write(ACCEPTED)
 
-        async def hang_up(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        async def close_without_response(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
 
-        async def babble(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def send_invalid_http(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(b"what?\r\n\r\n")
 
-        async def speak_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(ACCEPTED + ACCEPTED)
 
-        async def close_at_the_second(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def close_on_second_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             writer.write(ACCEPTED)
             await read_request(reader)
 
-        good = self.pool(await self.start_fake_server(accept))
-        for number in range(4):
-            await self.run_exchange(good, f"taken {number}")
+        accepting_pool = self.create_pool(await self.start_fake_server(answer_three_requests))
+        for request_number in range(4):
+            await self.run_exchange(accepting_pool, f"taken {request_number}")
         opened = self.metrics.counters["backend-connections-opened"]
         self.say(f"  opened {opened} for 4, as the runner closes after three")
-        await self.run_exchange(self.pool(await self.start_fake_server(hang_up)), "closed before the answer")
-        reused = self.pool(await self.start_fake_server(close_at_the_second))
-        await self.run_exchange(reused, "taken")
-        await self.run_exchange(reused, "closed before the answer, on a kept connection")
-        await self.run_exchange(self.pool(await self.start_fake_server(babble)), "garbage")
-        twice = self.pool(await self.start_fake_server(speak_first))
-        await self.run_exchange(twice, "answered twice")
-        self.say(f"  kept {len(twice.idle_connections)}")
-        port = await self.start_fake_server(accept)
-        await self.run_exchange(self.pool(port, has_room=False), "no socket left")
-        drained = self.pool(port)
-        await self.run_exchange(drained, "drained while connecting", may_send=False)
-        self.say(f"  kept {len(drained.idle_connections)}")
-        drained.limiter.sweep()
-        self.say(f"  kept after a sweep {len(drained.idle_connections)}")
-        drained.limiter.idle_timeout = 0.0
-        drained.limiter.sweep()
-        self.say(f"  kept after its time at rest {len(drained.idle_connections)}")
-        drained.close()
-        await self.run_exchange(drained, "moved away")
-        server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
+        await self.run_exchange(
+            self.create_pool(await self.start_fake_server(close_without_response)), "closed before the answer"
+        )
+        reused_pool = self.create_pool(await self.start_fake_server(close_on_second_request))
+        await self.run_exchange(reused_pool, "taken")
+        await self.run_exchange(reused_pool, "closed before the answer, on a kept connection")
+        await self.run_exchange(self.create_pool(await self.start_fake_server(send_invalid_http)), "garbage")
+        double_response_pool = self.create_pool(await self.start_fake_server(respond_twice))
+        await self.run_exchange(double_response_pool, "answered twice")
+        self.say(f"  kept {len(double_response_pool.idle_connections)}")
+        port = await self.start_fake_server(answer_three_requests)
+        await self.run_exchange(self.create_pool(port, has_room=False), "no socket left")
+        drained_pool = self.create_pool(port)
+        await self.run_exchange(drained_pool, "drained while connecting", may_send=False)
+        self.say(f"  kept {len(drained_pool.idle_connections)}")
+        drained_pool.limiter.sweep()
+        self.say(f"  kept after a sweep {len(drained_pool.idle_connections)}")
+        drained_pool.limiter.idle_timeout = 0.0
+        drained_pool.limiter.sweep()
+        self.say(f"  kept after its time at rest {len(drained_pool.idle_connections)}")
+        drained_pool.close()
+        await self.run_exchange(drained_pool, "moved away")
+        server = await asyncio.start_server(close_without_response, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
-        await self.run_exchange(self.pool(port), "refused")
+        await self.run_exchange(self.create_pool(port), "refused")
         self.close("exchanges")
 
-    async def test_a_break_before_the_last_byte_is_written_never_executed(self) -> None:
-        async def read_little(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def test_connection_broken_before_last_byte_is_written_is_unreachable(self) -> None:
+        async def read_ten_bytes_and_abort(
+            reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             await reader.readexactly(10)
             writer.transport.abort()
 
         await self.run_exchange(
-            self.pool(await self.start_fake_server(read_little)), "broken", body=b"x" * 20_000_000
+            self.create_pool(await self.start_fake_server(read_ten_bytes_and_abort)),
+            "broken",
+            body=b"x" * 20_000_000,
         )
         self.assertEqual(self.lines, ["broken: unreachable 0"])
 
-    async def test_an_exchange_aborted_before_its_response_closes_the_connection(self) -> None:
+    async def test_aborted_exchange_closes_its_connection(self) -> None:
         closed = asyncio.Event()
 
-        async def silent(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        async def never_respond(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             await reader.read()
             closed.set()
 
-        pool = self.pool(await self.start_fake_server(silent))
+        pool = self.create_pool(await self.start_fake_server(never_respond))
         exchange = Exchange(
             b"POST", b"/api", lambda: [(b"Host", b"b")], b"", may_send=lambda: True, on_end=lambda *_: None
         )
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -1,4 +1,4 @@
-"""Races between the bytes of a backend and the reuse, abort or end of its connection, on real sockets."""
+"""Races between bytes from a backend and the reuse, abort or end of its connection, on real sockets."""
 
 import asyncio
 import contextlib
@@ -13,26 +13,26 @@
 from tests.scene import read_request
 
 
-class ConnectionPoolCrossings(LoopbackTestCase):
-    async def begin(self, handler: Handler) -> None:
-        self.ends: list[str] = []
-        self.links: list[asyncio.StreamWriter] = []
+class ConnectionPoolRacesTest(LoopbackTestCase):
+    async def start_backend(self, handler: Handler) -> None:
+        self.results: list[str] = []
+        self.backend_writers: list[asyncio.StreamWriter] = []
 
-        async def keep_alive(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.links.append(writer)
+        async def record_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            self.backend_writers.append(writer)
             await handler(reader, writer)
 
         self.metrics = Metrics()
         self.pool = ConnectionPool(
             "127.0.0.1",
-            await self.start_fake_server(keep_alive),
+            await self.start_fake_server(record_connection),
             ConnectionLimiter(9, 0.25, 5.0, self.metrics),
         )
         self.addCleanup(self.pool.close)
 
-    def send(self, body: bytes = b"x", needs_cooldown: bool = True) -> Exchange:
+    def send_request(self, body: bytes = b"x", needs_cooldown: bool = True) -> Exchange:
         def on_end(result: ExchangeResult, protocol: BackendConnection | None) -> None:
-            self.ends.append(f"{result.value} {protocol.status if protocol else ''}")
+            self.results.append(f"{result.value} {protocol.status if protocol else ''}")
 
         exchange = Exchange(
             b"POST",
@@ -46,61 +46,63 @@
         self.pool.send(exchange)
         return exchange
 
-    async def test_bytes_unread_when_a_connection_is_reused_answer_nothing(self) -> None:
-        await self.begin(accept_requests)
-        for unasked in (NOT_PROCESSED, b"HTTP/1.1 503 Serv"):
-            self.ends.clear()
-            self.send()
-            await self.until(lambda: len(self.ends) == 1)
+    async def test_unread_bytes_on_idle_connection_prevent_its_reuse(self) -> None:
+        await self.start_backend(accept_requests)
+        for unsolicited in (NOT_PROCESSED, b"HTTP/1.1 503 Serv"):
+            self.results.clear()
+            self.send_request()
+            await self.until(lambda: len(self.results) == 1)
             await asyncio.sleep(1.2 * REUSE_COOLDOWN)
             (connection,) = self.pool.idle_connections
-            self.links[-1].write(unasked)  # with the system by now, and in this turn nobody reads it
-            second = self.send()
-            await self.until(lambda: len(self.ends) == 2)
-            self.assertEqual(self.ends, ["answered 202"] * 2)
-            self.assertIsNot(second.connection, connection)
+            # The bytes reach the kernel at once, and are not read in this iteration of the event loop.
+            self.backend_writers[-1].write(unsolicited)
+            second_exchange = self.send_request()
+            await self.until(lambda: len(self.results) == 2)
+            self.assertEqual(self.results, ["answered 202"] * 2)
+            self.assertIsNot(second_exchange.connection, connection)
             await asyncio.sleep(1.2 * REUSE_COOLDOWN)
 
-    async def test_bytes_read_but_not_processed_when_a_connection_is_reused_answer_nothing(self) -> None:
-        await self.begin(accept_requests)
-        self.send()
-        await self.until(lambda: len(self.ends) == 1)
+    async def test_bytes_received_but_not_processed_prevent_reuse_of_idle_connection(self) -> None:
+        await self.start_backend(accept_requests)
+        self.send_request()
+        await self.until(lambda: len(self.results) == 1)
         await asyncio.sleep(1.2 * REUSE_COOLDOWN)
         (connection,) = self.pool.idle_connections
-        connection.reader.feed_data(NOT_PROCESSED)  # as the loop does before it calls what comes in this turn
-        self.send()
-        await self.until(lambda: len(self.ends) == 2)
-        self.assertEqual(self.ends, ["answered 202"] * 2)
-
-    async def test_a_second_response_some_milliseconds_late_answers_nothing(self) -> None:
-        requests: list[int] = []
+        # The transport does this before the callbacks of the same loop iteration run.
+        connection.reader.feed_data(NOT_PROCESSED)
+        self.send_request()
+        await self.until(lambda: len(self.results) == 2)
+        self.assertEqual(self.results, ["answered 202"] * 2)
+
+    async def test_duplicate_response_some_milliseconds_late_answers_no_other_request(self) -> None:
+        request_connections: list[int] = []
         second_response_due = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            n = len(self.links)
+            connection_number = len(self.backend_writers)
             while True:
                 await read_request(reader)
-                requests.append(n)
-                if len(requests) == 2:
-                    self.links[0].write(NOT_PROCESSED)  # of the first, while the second is being worked on
+                request_connections.append(connection_number)
+                if len(request_connections) == 2:
+                    self.backend_writers[0].write(NOT_PROCESSED)  # duplicates the first response
                     await second_response_due.wait()
                 writer.write(ACCEPTED)
 
-        await self.begin(backend)
-        self.send()
-        await self.until(lambda: len(self.ends) == 1)
-        self.send()  # at once: the connection has hardly come to rest
-        await self.until(lambda: len(requests) == 2)
+        await self.start_backend(backend)
+        self.send_request()
+        await self.until(lambda: len(self.results) == 1)
+        self.send_request()  # within the cooldown of the first connection
+        await self.until(lambda: len(request_connections) == 2)
         await self.until(lambda: self.metrics.counters["backend-unsolicited-data"] == 1)
         second_response_due.set()
-        await self.until(lambda: len(self.ends) == 2)
-        self.assertEqual((requests, self.ends), ([1, 2], ["answered 202"] * 2))
-        self.send(needs_cooldown=False)  # what carries no unit waits for nothing
-        await self.until(lambda: len(self.ends) == 3)
-        self.assertEqual(requests, [1, 2, 2])
-
-    async def test_a_response_that_breaks_off_says_only_that_the_request_was_accepted(self) -> None:
-        answers: list[tuple[bytes, str]] = [
+        await self.until(lambda: len(self.results) == 2)
+        self.assertEqual((request_connections, self.results), ([1, 2], ["answered 202"] * 2))
+        self.send_request(needs_cooldown=False)  # reuses a connection within its cooldown
+        await self.until(lambda: len(self.results) == 3)
+        self.assertEqual(request_connections, [1, 2, 2])
+
+    async def test_incomplete_response_proves_at_most_that_request_was_accepted(self) -> None:
+        cases: list[tuple[bytes, str]] = [
             (NOT_PROCESSED.replace(b"Length: 0", b"Length: 9") + b"half", "broken 503"),
             (
                 NOT_PROCESSED.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"zz\r\n",
@@ -114,46 +116,46 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
-            writer.write(answers[len(self.ends)][0])
+            writer.write(cases[len(self.results)][0])
             await writer.drain()
             writer.write_eof()
             await reader.read()
 
-        await self.begin(backend)
-        for n in range(len(answers)):
-            self.send()
-            await self.until(lambda n=n: len(self.ends) > n)  # type: ignore[misc]
-        self.assertEqual(self.ends, [ending for _, ending in answers])
+        await self.start_backend(backend)
+        for number in range(len(cases)):
+            self.send_request()
+            await self.until(lambda number=number: len(self.results) > number)  # type: ignore[misc]
+        self.assertEqual(self.results, [result for _, result in cases])
 
-    async def test_an_exchange_aborted_while_it_is_written_never_arrives(self) -> None:
-        called_off, came = asyncio.Event(), asyncio.get_running_loop().create_future()
+    async def test_exchange_aborted_while_it_is_written_does_not_arrive_whole(self) -> None:
+        aborted, received_length = asyncio.Event(), asyncio.get_running_loop().create_future()
 
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            await called_off.wait()
+            await aborted.wait()
             with contextlib.suppress(ConnectionError):
-                came.set_result(len(await reader.read(-1)))
+                received_length.set_result(len(await reader.read(-1)))
 
-        await self.begin(backend)
-        exchange = self.send(b"x" * 30_000_000)
+        await self.start_backend(backend)
+        exchange = self.send_request(b"x" * 30_000_000)
         await self.until(lambda: exchange.connection is not None)
         assert isinstance(exchange.connection, PooledConnection)
         self.assertFalse(exchange.connection.request_written)
         exchange.abort()
-        called_off.set()
+        aborted.set()
         async with asyncio.timeout(9):
-            self.assertLess(await came, 30_000_000)
+            self.assertLess(await received_length, 30_000_000)
 
-    async def test_a_break_in_the_loop_iteration_in_which_the_last_byte_left_may_have_executed(self) -> None:
+    async def test_connection_broken_in_loop_iteration_of_last_write_may_have_executed(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        await self.begin(backend)
-        exchange = self.send(b"x" * 30_000_000)
+        await self.start_backend(backend)
+        exchange = self.send_request(b"x" * 30_000_000)
         await self.until(lambda: exchange.connection is not None)
         assert isinstance(exchange.connection, PooledConnection)
         transport: Any = exchange.connection.writer.transport
-        transport._buffer.clear()  # as the system takes the last of it ...
+        transport._buffer.clear()  # the kernel takes the last bytes
         transport._maybe_resume_protocol()
-        transport.abort()  # ... and the connection breaks before any task had its turn
-        await self.until(lambda: bool(self.ends))
-        self.assertEqual(self.ends, ["broken 0"])
+        transport.abort()  # the connection breaks before any task runs
+        await self.until(lambda: bool(self.results))
+        self.assertEqual(self.results, ["broken 0"])
