--- a/tests/network/test_discovery_watcher.py
+++ b/tests/network/test_discovery_watcher.py
@@ -1,4 +1,4 @@
-"""The watcher before discovery agents that answer late, badly or never, on loopback."""
+"""The watcher with discovery agents that respond late, incorrectly or never, on loopback."""
 
 import asyncio
 import errno
@@ -29,8 +29,8 @@
 
 
 class DiscoveryWatcherTest(LoopbackTestCase):
-    async def test_a_watch_that_breaks_is_resumed_with_a_snapshot(self) -> None:
-        answers = [
+    async def test_failed_watch_is_resumed_with_snapshot(self) -> None:
+        responses = [
             b'{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service"}]}',
             b'{"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"h:1","state":"terminating"}]}',
             b'{"rev":2,"all":false,"targets":[]}',
@@ -44,10 +44,10 @@
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 self.say((await read_request(reader))[0].splitlines()[0])
-                if not answers:
+                if not responses:
                     done.set()
                     await reader.read()
-                body = answers.pop(0)
+                body = responses.pop(0)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
         def make_endpoint(entry: DiscoveryEntry) -> Any:
@@ -78,15 +78,17 @@
             await done.wait()
         watcher.stop()
         self.close("watch")
-        older, unreadable, empty = messages
-        self.assertEqual(older, "received revision 1 after revision 2; keeping endpoint list of revision 2")
+        older_revision, unreadable, empty_snapshot = messages
+        self.assertEqual(
+            older_revision, "received revision 1 after revision 2; keeping endpoint list of revision 2"
+        )
         self.assertRegex(
             unreadable,
             r"^unreadable endpoint list \(JSONDecodeError: .*\); keeping endpoint list of revision 2$",
         )
-        self.assertEqual(empty, "a snapshot without a backend; keeping endpoint list of revision 2")
+        self.assertEqual(empty_snapshot, "a snapshot without a backend; keeping endpoint list of revision 2")
 
-    async def test_a_failed_connection_is_logged_with_its_cause_and_address(self) -> None:
+    async def test_failed_connection_is_logged_with_its_cause_and_address(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             port = closed.getsockname()[1]
         failed = asyncio.Event()
@@ -107,7 +109,7 @@
             [f"connection refused (127.0.0.1:{port}); no endpoint list received yet"],
         )
 
-    async def test_errors_of_the_system_are_described_in_plain_words_with_the_address(self) -> None:
+    async def test_operating_system_errors_are_described_with_address(self) -> None:
         watcher = DiscoveryWatcher(
             "10.0.0.9", 85, Mock(), on_endpoints=Mock(), on_failure=Mock(), metrics=Metrics()
         )
@@ -120,7 +122,7 @@
         ):
             self.assertEqual(watcher._describe_failure(error), f"{cause} (10.0.0.9:85)")
 
-    async def test_a_call_waits_in_the_queue_and_asks_for_changes_after_a_rejection(self) -> None:
+    async def test_call_after_rejection_waits_in_queue_and_requests_changes(self) -> None:
         answered = asyncio.Event()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,7 +130,7 @@
             if len(self.lines) == 1:
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 return
-            await asyncio.sleep(1.2)  # others were before us
+            await asyncio.sleep(1.2)  # earlier calls are ahead in the queue
             body = b'{"rev":6,"all":false,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service"}]}'
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await reader.read()
@@ -153,7 +155,7 @@
         watcher.stop()
         self.close("watch-turn")
 
-    async def test_an_agent_that_answers_without_waiting_is_not_called_in_a_busy_loop(self) -> None:
+    async def test_agent_that_answers_long_polls_at_once_is_not_called_in_busy_loop(self) -> None:
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -198,28 +200,28 @@
         watcher.start(True)
         return watcher, answered
 
-    def test_the_longest_delay_of_a_change_is_under_six_seconds(self) -> None:
-        """Silent from the moment it was asked, and the next two connections not up or silent as well."""
-        longest_pushed = (
+    def test_longest_delay_of_change_is_under_six_seconds(self) -> None:
+        """The agent answers neither the long poll nor the next two calls, which may not even connect."""
+        longest_watch_delay = (
             LONG_POLL_MS / 1000 + OVERDUE_GRACE + 2 * max(RETRY_INTERVAL, CONNECT_TIMEOUT) + RETRY_INTERVAL
         )
-        self.assertLess(longest_pushed, 5.0)
+        self.assertLess(longest_watch_delay, 5.0)
         self.assertLess(LONG_POLL_MS / 1000 + OVERDUE_GRACE + POLL_RETRY_INTERVAL, 5.5)
-        # Less than any grace after a discovery that is back has told a drain.
+        # Less than any grace period of a drain that discovery reports once it has recovered.
         self.assertLess(RETRY_INTERVAL, 0.25)
 
-    async def test_a_watch_that_falls_silent_for_good_has_another_call_beside_it(self) -> None:
-        silent = asyncio.Event()
-        sent: list[bytes] = []
+    async def test_watch_without_response_is_hedged(self) -> None:
+        stopped_responding = asyncio.Event()
+        sent_changes: list[bytes] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.say((await read_request(reader))[0].splitlines()[0])
-            if not sent:
-                sent.append(CHANGES % 6)
-                writer.write(sent[0])
+            if not sent_changes:
+                sent_changes.append(CHANGES % 6)
+                writer.write(sent_changes[0])
                 self.say((await read_request(reader))[0].splitlines()[0])
-                silent.set()
-                await reader.read()  # says nothing any more and stays open
+                stopped_responding.set()
+                await reader.read()  # never responds, and keeps the connection open
             writer.write(CHANGES % 7)
             await reader.read()
 
@@ -229,43 +231,44 @@
         ):
             watcher, _answered = await self.start_watcher(discovery, revision=5)
             async with asyncio.timeout(2):
-                await silent.wait()
+                await stopped_responding.wait()
                 self.assertEqual(watcher.revision, 6)
                 await self.until(lambda: watcher.revision == 7)
         self.close("watch-silent")
 
-    async def test_discovery_that_accepts_and_is_silent_is_heard_at_once_when_it_is_back(self) -> None:
-        back, begun = asyncio.Event(), asyncio.Event()
-        open_now: set[asyncio.StreamWriter] = set()
-        most_open = 0
+    async def test_agent_that_recovers_from_unresponsiveness_is_followed_at_once(self) -> None:
+        recovered, first_call_received = asyncio.Event(), asyncio.Event()
+        open_writers: set[asyncio.StreamWriter] = set()
+        most_open_connections = 0
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal most_open
-            answers = back.is_set()  # who came before stays unanswered for good
-            open_now.add(writer)
-            most_open = max(most_open, len(open_now))
+            nonlocal most_open_connections
+            responds = recovered.is_set()  # earlier calls are never answered
+            open_writers.add(writer)
+            most_open_connections = max(most_open_connections, len(open_writers))
             await read_request(reader)
-            begun.set()
-            if answers:
+            first_call_received.set()
+            if responds:
                 writer.write(CHANGES % 6)
             await reader.read()
-            open_now.discard(writer)
+            open_writers.discard(writer)
 
         _watcher, answered = await self.start_watcher(discovery, revision=5)
         with (
             patch("crankfold.network.discovery_watcher.LONG_POLL_MS", 20),
             patch("crankfold.network.discovery_watcher.OVERDUE_GRACE", 0.01),
         ):
-            await begun.wait()
-            await self.until(lambda: most_open >= MAX_WATCH_CALLS)
+            await first_call_received.wait()
+            await self.until(lambda: most_open_connections >= MAX_WATCH_CALLS)
             await asyncio.sleep(4 * RETRY_INTERVAL)
-            back.set()
+            recovered.set()
             async with asyncio.timeout(2 * RETRY_INTERVAL):
                 await answered.wait()
-            self.assertLessEqual(most_open, MAX_WATCH_CALLS + 1)  # one whose end has not arrived yet
+            # The close of one connection may not have arrived yet.
+            self.assertLessEqual(most_open_connections, MAX_WATCH_CALLS + 1)
 
-    async def test_following_the_same_agent_again_makes_no_call(self) -> None:
-        """Guards against a reload that gives up a watch, and with it a call that is about to be answered."""
+    async def test_switch_to_present_agent_makes_no_call(self) -> None:
+        """Guards against a reload that cancels a watch, and with it a call that is about to be answered."""
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
@@ -282,16 +285,16 @@
         self.assertEqual(len(calls), 1)
         self.assertEqual(watcher.revision, 5)
 
-    async def test_after_a_lost_connection_the_first_call_is_not_a_long_poll(self) -> None:
-        """Guards against a silence that begins with a reset and is noticed only after a long poll."""
+    async def test_first_call_after_lost_connection_is_not_long_poll(self) -> None:
+        """Guards against an outage that begins with a reset and is detected only after a long poll."""
         calls: list[str] = []
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             calls.append((await read_request(reader))[0].splitlines()[0])
             if len(calls) == 1:
-                linger_of_zero = struct.pack("ii", 1, 0)  # the close resets the connection
+                zero_linger = struct.pack("ii", 1, 0)  # the close resets the connection
                 connection = writer.get_extra_info("socket")
-                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_of_zero)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
                 return
             await reader.read()
 
@@ -301,7 +304,7 @@
         self.assertIn("after=5&wait_ms=2000", calls[0])
         self.assertIn("after=5&wait_ms=0", calls[1])
 
-    async def test_an_answer_that_trickles_is_read_to_its_end_while_others_are_silent(self) -> None:
+    async def test_slow_response_is_read_to_its_end_while_other_calls_are_unanswered(self) -> None:
         calls = 0
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -310,11 +313,11 @@
             await read_request(reader)
             if calls == 2:
                 for byte in CHANGES % 6:
-                    before = calls
+                    calls_before = calls
                     writer.write(bytes([byte]))
                     await writer.drain()
                     if byte == 10:
-                        await self.until(lambda: calls > before)  # noqa: B023 - asked now, in the turn
+                        await self.until(lambda: calls > calls_before)  # noqa: B023 - called before the next iteration
             await reader.read()
 
         with (
