--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener on loopback, on ports the system picks."""
+"""The listener on loopback, on ports that the system chooses."""
 
 import asyncio
 import contextlib
@@ -15,9 +15,9 @@
 
 
 class ListenerTest(LoopbackTestCase):
-    """The listener before a handler that answers nothing by itself."""
+    """The listener with a handler that answers no request by itself."""
 
-    async def begin(self, max_connections: int = 100) -> None:
+    async def start_listener(self, max_connections: int = 100) -> None:
         self.handler = Mock(is_serving=lambda: True, knows_request_class=lambda _name: True)
         self.metrics = Metrics()
         self.listener = Listener(self.handler, self.metrics, (), max_connections)
@@ -32,17 +32,17 @@
         await self.until(lambda: self.metrics.counters["connections-accepted"] > before)
         return reader, writer
 
-    async def test_connections_without_a_request_in_time_are_aborted_and_others_may_be_idle(self) -> None:
-        await self.begin()
+    async def test_sweep_aborts_connections_without_request_in_time_and_keeps_idle_ones(self) -> None:
+        await self.start_listener()
         unidentified = [
             (await self.connect(data))[0] for data in (b"POST /api HTTP/1.1\r\nHo", b"", HEALTH_CHECK)
         ]
         await read_request(unidentified[2])
         identified, _ = await self.connect(CALLBACK)
-        later, more = await self.connect(CALLBACK)
-        for reader in (identified, later):
+        stalled, stalled_writer = await self.connect(CALLBACK)
+        for reader in (identified, stalled):
             await read_request(reader)
-        more.write(b"POST /api HTTP/1.1\r\nHo")
+        stalled_writer.write(b"POST /api HTTP/1.1\r\nHo")
         await self.until(
             lambda: sum(client.protocol.is_mid_request() for client in self.listener.connections) == 2
         )
@@ -51,26 +51,24 @@
             patch("crankfold.network.listener.FIRST_HEADER_TIMEOUT", 0.0),
         ):
             self.listener.sweep()
-        await self.ended(*unidentified)
+        await self.assert_closed(*unidentified)
         await self.until(lambda: len(self.listener.connections) == 2)
         with patch("crankfold.network.listener.TRANSFER_TIMEOUT", 0.0):
             self.listener.sweep()
-        await self.ended(later)
+        await self.assert_closed(stalled)
         self.assertEqual(self.metrics.counters["clients-timed-out"], 4)
         with patch("crankfold.network.listener.IDLE_TIMEOUT", 0.0):
             self.listener.sweep()
-        await self.ended(identified)
+        await self.assert_closed(identified)
 
-    async def ended(self, *readers: asyncio.StreamReader) -> None:
+    async def assert_closed(self, *readers: asyncio.StreamReader) -> None:
         async with asyncio.timeout(5):
             for reader in readers:
                 with contextlib.suppress(ConnectionError):
                     self.assertEqual(await reader.read(), b"")
 
-    async def test_at_the_limit_unidentified_connections_go_first_and_new_ones_and_backends_last(
-        self,
-    ) -> None:
-        await self.begin(max_connections=5)
+    async def test_eviction_order_is_unidentified_then_client_then_backend_connections(self) -> None:
+        await self.start_listener(max_connections=5)
         backend, _ = await self.connect(CALLBACK)
         await read_request(backend)
         identified, _ = await self.connect(REQUEST)
@@ -81,51 +79,52 @@
         health_checker, _ = await self.connect(HEALTH_CHECK)
         await read_request(health_checker)
         await asyncio.sleep(NEW_CONNECTION_GRACE)
-        young, writer = await self.connect()
-        for gone in (silent, health_checker, identified, backend):
+        new_reader, writer = await self.connect()
+        for evicted in (silent, health_checker, identified, backend):
             await self.connect(REQUEST)
-            await self.ended(gone)
+            await self.assert_closed(evicted)
         await self.until(lambda: self.handler.submit.call_count == 5)
         writer.write(HEALTH_CHECK)
-        await read_request(young)
+        await read_request(new_reader)
         self.assertEqual(self.metrics.counters["connections-evicted"], 4)
 
-    async def test_a_rush_of_connections_leaves_descriptors_free(self) -> None:
-        await self.begin(max_connections=20)
+    async def test_burst_of_connections_leaves_descriptors_free(self) -> None:
+        await self.start_listener(max_connections=20)
         open_before = len(os.listdir("/proc/self/fd"))
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-        rush = [socket.socket() for _ in range(300)]
+        sockets = [socket.socket() for _ in range(300)]
         try:
             resource.setrlimit(
                 resource.RLIMIT_NOFILE, (open_before + 301 + 20 + UNCOUNTED_SOCKETS, limits[1])
             )
-            for sock in rush:
-                sock.connect(("127.0.0.1", self.listener.port()))  # the system takes them; nobody here yet
+            for sock in sockets:
+                # The connections stay in the accept queue until the event loop runs.
+                sock.connect(("127.0.0.1", self.listener.port()))
             reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
             writer.write(HEALTH_CHECK)
-            failed = Mock()
-            asyncio.get_running_loop().set_exception_handler(failed)
+            exception_handler = Mock()
+            asyncio.get_running_loop().set_exception_handler(exception_handler)
             async with asyncio.timeout(9):
                 await read_request(reader)
-            self.assertFalse(failed.called, failed.mock_calls)
+            self.assertFalse(exception_handler.called, exception_handler.mock_calls)
             self.assertEqual(self.metrics.counters["accepts-failed"], 0)
             self.assertLessEqual(len(self.listener.connections), 20)
             writer.close()
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-            for sock in rush:
+            for sock in sockets:
                 sock.close()
 
-    async def test_one_rejected_request_ends_the_connection_whatever_is_pipelined_behind(self) -> None:
-        await self.begin()
+    async def test_rejected_request_closes_connection_despite_pipelined_requests(self) -> None:
+        await self.start_listener()
         reader, _ = await self.connect(REQUEST.replace(b"Timeout: 1", b"Timeout: soon") * 200 + REQUEST)
         self.assertIn(b" 400 ", (await reader.readuntil(b"\r\n\r\n")))
-        await self.ended(reader)
+        await self.assert_closed(reader)
         self.assertEqual(self.metrics.counters["clients-rejected-400"], 1)
         self.assertFalse(self.handler.submit.called)
 
-    async def test_at_the_limit_idle_connections_go_and_a_request_in_hand_stays(self) -> None:
-        await self.begin(max_connections=2)
+    async def test_eviction_takes_idle_connections_and_keeps_open_requests(self) -> None:
+        await self.start_listener(max_connections=2)
         reader, _writer = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         idle, _ = await self.connect()
@@ -134,13 +133,13 @@
         self.assertEqual(await idle.read(), b"")
         await self.until(lambda: self.handler.submit.call_count == 2)
         await self.connect(REQUEST)
-        self.assertTrue(self.listener.is_over_limit())  # the handler sheds what comes now
+        self.assertTrue(self.listener.is_over_limit())  # the handler sheds further requests
         self.assertEqual(self.metrics.counters["connections-over-limit"], 1)
         self.handler.submit.call_args_list[0][0][0].respond(200, [], b"done")
         self.assertEqual((await read_request(reader))[1], b"done")
 
-    async def test_the_response_to_a_body_too_large_arrives_while_it_is_still_sent(self) -> None:
-        await self.begin()
+    async def test_response_to_too_large_body_arrives_while_body_is_sent(self) -> None:
+        await self.start_listener()
         reader, _writer = await self.connect(
             REQUEST.replace(b"Length: 2", b"Length: 9000000") + b"x" * 5_000_000
         )
@@ -150,7 +149,7 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: failures.append(context))
         client = next(iter(self.listener.connections))
-        # From here on the rest is left outside.
+        # Further input stays in the kernel from now on.
         await self.until(lambda: client.unread_bytes > MAX_UNREAD_BYTES)
         tasks = [
             task
@@ -158,23 +157,23 @@
             if getattr(task.get_coro(), "__name__", "") == "_handle_connection"
         ]
         self.assertEqual(len(tasks), 1)
-        tasks[0].cancel()  # as the end of the program does
+        tasks[0].cancel()  # as at the end of the process
         await self.until(lambda: not self.listener.connections)
         await asyncio.sleep(0)
         self.assertEqual(failures, [])
 
-    async def test_a_client_that_disconnects_and_one_that_pipelines_without_end(self) -> None:
-        await self.begin()
+    async def test_pipelined_input_is_bounded_and_disconnect_is_noticed(self) -> None:
+        await self.start_listener()
         reader, _writer = await self.connect(REQUEST + REQUEST * 2000)
         await self.until(lambda: self.handler.submit.called)
         client = self.handler.submit.call_args[0][0]
         await self.until(lambda: client.unread_bytes > MAX_UNREAD_BYTES)
-        self.assertLess(client.unread_bytes, 2 * MAX_UNREAD_BYTES)  # the rest waits outside
+        self.assertLess(client.unread_bytes, 2 * MAX_UNREAD_BYTES)  # further input stays in the kernel
         client.respond(200)
         await read_request(reader)
         await self.until(lambda: self.handler.submit.call_count == 2)
-        _, leaving = await self.connect(REQUEST)
+        _, leaving_writer = await self.connect(REQUEST)
         await self.until(lambda: self.handler.submit.call_count == 3)
-        leaving.close()
+        leaving_writer.close()
         await self.until(lambda: self.handler.client_disconnected.called)
         self.assertIs(self.handler.client_disconnected.call_args[0][0], self.handler.submit.call_args[0][0])
--- a/tests/network/test_listener_races.py
+++ b/tests/network/test_listener_races.py
@@ -11,29 +11,29 @@
 from tests.scene import read_request
 
 
-class ListenerCrossings(LoopbackTestCase):
-    async def begin(self) -> None:
+class ListenerRacesTest(LoopbackTestCase):
+    async def start_listener(self) -> None:
         self.handler = Mock(is_serving=lambda: True, knows_request_class=lambda _name: True)
         self.metrics = Metrics()
         self.listener = Listener(self.handler, self.metrics, (), 100)
         self.listener.open("127.0.0.1", 0)
         self.addAsyncCleanup(self.listener.close)
 
-    async def test_a_client_that_floods_or_sends_a_large_request_and_disconnects_is_noticed(self) -> None:
-        await self.begin()
-        large = REQUEST.replace(b"Length: 2", b"Length: 60000") + b"x" * 59_998
-        for number, behind in enumerate((b"", b"y" * 400_000), 1):
+    async def test_disconnect_after_large_request_or_flood_is_noticed(self) -> None:
+        await self.start_listener()
+        large_request = REQUEST.replace(b"Length: 2", b"Length: 60000") + b"x" * 59_998
+        for number, flood in enumerate((b"", b"y" * 400_000), 1):
             _reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
-            writer.write(large + behind)
-            await self.until(lambda n=number: self.handler.submit.call_count == n)  # type: ignore[misc]
+            writer.write(large_request + flood)
+            await self.until(lambda count=number: self.handler.submit.call_count == count)  # type: ignore[misc]
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             writer.close()
             async with asyncio.timeout(2):
-                await self.until(lambda n=number: self.handler.client_disconnected.call_count == n)  # type: ignore[misc]
+                await self.until(lambda count=number: self.handler.client_disconnected.call_count == count)  # type: ignore[misc]
 
-    async def test_a_client_that_floods_behind_a_request_has_its_response_whole(self) -> None:
-        await self.begin()
+    async def test_client_that_floods_after_its_request_receives_whole_response(self) -> None:
+        await self.start_listener()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
         writer.write(REQUEST)
         await self.until(lambda: self.handler.submit.called)
@@ -44,17 +44,17 @@
         self.assertEqual((await read_request(reader))[1], b"done")
         writer.close()
 
-    async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(self) -> None:
-        await self.begin()
+    async def test_request_in_transit_while_idle_connection_closes_is_not_forwarded(self) -> None:
+        await self.start_listener()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
         writer.write(REQUEST)
         await self.until(lambda: self.handler.submit.called)
         client = self.handler.submit.call_args[0][0]
         client.respond(200, [], b"done")
         await asyncio.sleep(0.01)
-        writer.write(REQUEST.replace(b"u1", b"u2"))  # with the system by now, read by nobody
+        writer.write(REQUEST.replace(b"u1", b"u2"))  # in the kernel by now, and not read
         client.close()
-        self.assertEqual((await read_request(reader))[1], b"done")  # no reset overtakes it
+        self.assertEqual((await read_request(reader))[1], b"done")  # not lost to a reset
         self.assertEqual(await reader.read(), b"")
         self.assertEqual(self.handler.submit.call_count, 1)
         writer.close()
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -8,7 +8,7 @@
 
 
 class TimersTest(LoopbackTestCase):
-    async def test_a_timer_never_fires_early(self) -> None:
+    async def test_timer_never_fires_early(self) -> None:
         clock = Clock()
         timers = Timers(clock, Metrics())
         lateness: list[int] = []
@@ -17,8 +17,9 @@
             timers.call_after(delay, partial(lambda due: lateness.append(clock.now() - due), due))
         await self.until(lambda: len(lateness) == 5)
         self.assertGreaterEqual(min(lateness), 0)
-        early = clock.now() + 20
-        timers._fire(early, lambda: lateness.append(clock.now() - early))  # as a loop with coarse steps would
+        early_due = clock.now() + 20
+        # An event loop with a coarse clock calls this early.
+        timers._fire(early_due, lambda: lateness.append(clock.now() - early_due))
         self.assertEqual(len(lateness), 5)
         await self.until(lambda: len(lateness) == 6)
         self.assertGreaterEqual(lateness[5], 0)
