--- a/tests/protocol/test_backend_connection.py
+++ b/tests/protocol/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Connections to backends and load reports, fed bytes: whole, in pieces and broken."""
+"""Connections to backends, and load reports: input that is whole, split or malformed."""
 
 from crankfold.protocol import load_reports
 from crankfold.protocol.backend_connection import (
@@ -10,9 +10,9 @@
 
 
 class BackendConnectionTest(TraceTestCase):
-    def test_responses_of_a_backend(self) -> None:
+    def test_response_has_same_meaning_whole_and_split(self) -> None:
         headers = attempt_headers([(b"host", b"b"), (b"x-request-id", b"u1")], 4807)
-        for answer in (
+        for response in (
             b"202 Accepted\r\nContent-Length: 0\r\n\r\n",
             b"500 No\r\nContent-Length: 2\r\n\r\nno",
             b"503 No\r\nX-Not-Processed: 1\r\nX-Server-Load: TEXT queue=3, x0=0\r\nContent-Length: 0\r\n\r\n",
@@ -26,23 +26,26 @@
             b"202 Accepted\r\nContent-Length: -1\r\n\r\n",
             b"100 Go on\r\n\r\nHTTP/1.1 202 A\r\nContent-Length: 0\r\n\r\n",
         ):
-            for step in (len(answer) + 9, 1):
+            for chunk_size in (len(response) + 9, 1):
                 connection = BackendConnection()
                 outgoing = connection.send_request(b"POST", b"/api", headers, b"hi")
-                data = b"HTTP/1.1 " + answer
-                over = any(connection.receive_data(data[at : at + step]) for at in range(0, len(data), step))
+                data = b"HTTP/1.1 " + response
+                finished = any(
+                    connection.receive_data(data[start : start + chunk_size])
+                    for start in range(0, len(data), chunk_size)
+                )
                 verdict = classify_response(connection.status, connection.not_processed)
                 outcome = verdict.name.lower()
-                described = (
-                    f"{answer[:60]!r}: {outcome}, over {over}"
+                description = (
+                    f"{response[:60]!r}: {outcome}, over {finished}"
                     f", again {connection.reusable}, "
                     f"{load_reports.report_from_header(connection.load_header, ('queue', 'x0'))}"
                 )
-                if step > 1:
-                    self.say(described)
-                self.assertEqual(described, self.lines[-1])  # in pieces it means the same
+                if chunk_size > 1:
+                    self.say(description)
+                self.assertEqual(description, self.lines[-1])  # split input gives the same result
         self.say(b"".join(outgoing).decode().replace("\r\n", " "))
-        for text in (
+        for load_header in (
             b"TEXT queue=1, x0=2",
             b"TEXT queue=1",
             b"JSON queue=1, x0=2",
@@ -50,5 +53,7 @@
             b"",
             b"TEXT queue=nan, x0=1",
         ):
-            self.say(f"{text.decode()!r}: {load_reports.report_from_header(text, ('queue', 'x0'))}")
+            self.say(
+                f"{load_header.decode()!r}: {load_reports.report_from_header(load_header, ('queue', 'x0'))}"
+            )
         self.close("answers")
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients and backends, fed bytes: whole, in pieces and broken."""
+"""Connections of clients and backends: input that is whole, split or malformed."""
 
 from collections.abc import Sequence
 from unittest.mock import Mock
@@ -17,7 +17,7 @@
 
 
 class ClientConnectionTest(TraceTestCase):
-    """Is the handler of its connections, and writes down what reaches it."""
+    """Handles the requests and callbacks of its connections by recording them in the trace."""
 
     @property
     def callbacks(self) -> "ClientConnectionTest":
@@ -58,41 +58,41 @@
     ) -> None:
         self.say(f"{request_id} on {backend_id}: {outcome.name.lower()} {result.decode()} {tuple(report)}")
 
-    def connect(self) -> ClientConnection:
+    def create_connection(self) -> ClientConnection:
         return ClientConnection(self, Mock(), ("queue", "x0"))
 
-    def say_written(self, connection: ClientConnection) -> None:
+    def record_output(self, connection: ClientConnection) -> None:
         if connection.outgoing:
             self.say("< " + b"".join(connection.outgoing).decode().replace("\r\n", " "))
             connection.outgoing.clear()
 
-    def test_requests_whole_in_pieces_and_pipelined(self) -> None:
-        at_once, pieces = self.connect(), self.connect()
-        at_once.receive_data(REQUEST + REQUEST.replace(b"u1", b"u2"))
+    def test_requests_received_whole_split_and_pipelined(self) -> None:
+        pipelined, split = self.create_connection(), self.create_connection()
+        pipelined.receive_data(REQUEST + REQUEST.replace(b"u1", b"u2"))
         self.say("nothing of the second is read before the first is answered")
-        at_once.respond(200, [], b"done")
-        at_once.process_buffered()
-        self.say_written(at_once)
-        for at in range(len(REQUEST)):
-            pieces.receive_data(REQUEST[at : at + 1])
-        pieces.close_after_response = True
-        pieces.respond(503, [(b"Retry-After", b"0.500")])
-        self.say_written(pieces)
-        self.say(f"closing {pieces.closing}")
-        chunked, waiting = self.connect(), self.connect()
+        pipelined.respond(200, [], b"done")
+        pipelined.process_buffered()
+        self.record_output(pipelined)
+        for position in range(len(REQUEST)):
+            split.receive_data(REQUEST[position : position + 1])
+        split.close_after_response = True
+        split.respond(503, [(b"Retry-After", b"0.500")])
+        self.record_output(split)
+        self.say(f"closing {split.closing}")
+        chunked, expecting_continue = self.create_connection(), self.create_connection()
         chunked.receive_data(
             HEAD + b"Transfer-Encoding: chunked\r\nX-Odd: \x80\r\nX-Own: 1\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
         )
-        waiting.receive_data(HEAD + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-        self.say_written(waiting)
-        waiting.receive_data(b"hi")
-        old = self.connect()
-        old.receive_data(REQUEST.replace(b"HTTP/1.1\r\nHost: b", b"HTTP/1.0"))
-        old.respond(200)
-        self.say_written(old)
+        expecting_continue.receive_data(HEAD + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        self.record_output(expecting_continue)
+        expecting_continue.receive_data(b"hi")
+        http_1_0 = self.create_connection()
+        http_1_0.receive_data(REQUEST.replace(b"HTTP/1.1\r\nHost: b", b"HTTP/1.0"))
+        http_1_0.respond(200)
+        self.record_output(http_1_0)
         self.close("units")
 
-    def test_input_cut_at_every_byte_means_the_same(self) -> None:
+    def test_input_split_at_any_byte_has_same_effect(self) -> None:
         callback = b'{"id":"u1","from":"a","state":"done","result":"r","load":{"queue":1,"x0":2}}'
         unrouted = b"GET /control/ready HTTP/1.1\r\nHost: b\r\n\r\n"
         for data in (
@@ -105,19 +105,22 @@
             REQUEST.replace(b"Class: g", b"Class: h") + REQUEST,
             unrouted,
         ):
-            seen = []
-            for cut in range(1, len(data)):
-                connection, self.lines = self.connect(), []
-                connection.receive_data(data[:cut])
-                connection.receive_data(data[cut:])
-                self.say_written(connection)
-                seen.append(
-                    [*self.lines, f"in hand {connection.awaiting_response}, closing {connection.closing}"]
+            traces = []
+            for position in range(1, len(data)):
+                connection, self.lines = self.create_connection(), []
+                connection.receive_data(data[:position])
+                connection.receive_data(data[position:])
+                self.record_output(connection)
+                traces.append(
+                    [
+                        *self.lines,
+                        f"awaiting response {connection.awaiting_response}, closing {connection.closing}",
+                    ]
                 )
-            self.assertEqual([one for one in seen if one != seen[0]], [])
-            self.assertGreater(len(seen[0]), 1)
+            self.assertEqual([trace for trace in traces if trace != traces[0]], [])
+            self.assertGreater(len(traces[0]), 1)
 
-    def test_what_is_not_understood_reaches_no_backend_and_is_never_answered_as_shed(self) -> None:
+    def test_malformed_request_is_neither_forwarded_nor_answered_as_shed(self) -> None:
         chunks = b"Transfer-Encoding: chunked\r\n\r\n"
         for name, data in {
             "garbage": b"\x00\x01\r\n\r\n",
@@ -147,13 +150,13 @@
             "health": b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
             "health, head": b"HEAD /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
         }.items():
-            connection = self.connect()
+            connection = self.create_connection()
             connection.receive_data(data)
-            first = b"".join(connection.outgoing).partition(b"\r\n")[0].decode()
-            self.say(f"{name}: {first}{', closing' if connection.closing else ''}")
+            status_line = b"".join(connection.outgoing).partition(b"\r\n")[0].decode()
+            self.say(f"{name}: {status_line}{', closing' if connection.closing else ''}")
         self.close("bad-requests")
 
-    def test_callbacks(self) -> None:
+    def test_callbacks_are_decoded_or_rejected(self) -> None:
         for body in (
             b'{"id":"u1","from":"a","state":"started"}',
             b'{"id":"u1","from":"a","state":"running","share":0.4}',
@@ -175,10 +178,10 @@
             self.say(
                 f"{callbacks.handle_callback(body, self, ('queue', 'x0'))}: {body[:80].decode('latin-1')}"
             )
-        connection = self.connect()
+        connection = self.create_connection()
         for body in (b'{"id":"u1","from":"a","state":"lost"}', b"{}"):
             connection.receive_data(
                 b"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n" % len(body) + body
             )
-            self.say_written(connection)
+            self.record_output(connection)
         self.close("call-backs")
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,4 +1,4 @@
-"""Answers of discovery: whole, in pieces and broken."""
+"""Responses of discovery: whole, split and malformed."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class EndpointDocumentTest(unittest.TestCase):
-    def test_a_snapshot_is_encoded_as_discovery_writes_it(self) -> None:
+    def test_snapshot_is_encoded_as_discovery_response(self) -> None:
         entry = DiscoveryEntry("a", "10.0.0.1", 84, "n", "m", 3, EndpointState.DRAINING, 1.5, 7)
         target = {
             "uid": "a",
@@ -29,7 +29,7 @@
         }
         self.assertEqual(snapshot_document([entry]), {"rev": 0, "all": True, "targets": [target]})
 
-    def test_without_weights_all_else_in_a_list_stays(self) -> None:
+    def test_without_weights_keeps_rest_of_list(self) -> None:
         document = {
             "rev": 3,
             "new": 1,
@@ -38,14 +38,15 @@
         unweighted = [{"uid": "a", "capacity_hint": 0.0, "new": 2}, {"uid": "b", "capacity_hint": 0.0}]
         self.assertEqual(without_weights(document), {"rev": 3, "new": 1, "targets": unweighted})
 
-    def test_without_weights_of_a_list_without_entries_is_none(self) -> None:
+    def test_without_weights_of_list_without_entries_is_none(self) -> None:
         for document in ({}, {"rev": 3, "targets": None}, {"targets": {"uid": "a"}}):
             self.assertIsNone(without_weights(document))
 
 
 class ReusableConnectionTest(unittest.TestCase):
-    # Guards against a call on a connection that discovery closed, which fails and costs a list in full.
-    def test_a_connection_that_the_end_of_a_response_closed_is_not_reused(self) -> None:
+    # Guards against a call on a connection that discovery has closed: it fails, and the next call needs a
+    # snapshot.
+    def test_connection_closed_at_end_of_response_is_not_reused(self) -> None:
         connection = DiscoveryConnection("h:1")
         connection.request(-1, 0)
         self.assertFalse(connection.receive_data(b'HTTP/1.1 200 OK\r\n\r\n{"rev":1'))
@@ -53,7 +54,7 @@
         self.assertTrue(connection.receive_data(b""))
         self.assertFalse(connection.is_reusable())
 
-    def test_a_connection_is_reused_after_a_response_with_its_length(self) -> None:
+    def test_connection_is_reused_after_response_with_length(self) -> None:
         connection = DiscoveryConnection("h:1")
         for _ in range(2):
             connection.request(-1, 0)
@@ -69,39 +70,40 @@
         )
         return Endpoint(0, entry.state, entry.weight, 0, entry.cell, entry.boot_ms)
 
-    def test_lists_whole_broken_and_in_pieces(self) -> None:
-        one = (
+    def test_endpoint_lists_whole_malformed_and_split(self) -> None:
+        entry = (
             b'{"uid":"a","endpoint":"10.0.0.1:84","az":"n","model":"m","pod_group":3,"state":"in_service",'
             b'"capacity_hint":1.5,"boot_ms":7}'
         )
         for entries in (
-            one,
-            one.replace(b"in_service", b"terminating"),
+            entry,
+            entry.replace(b"in_service", b"terminating"),
             b'{"uid":"a","endpoint":"10.0.0.1:84","state":"terminated"}',
             b"",
-            one.replace(b"in_service", b"odd"),
-            one.replace(b":84", b""),
-            one.replace(b'"a"', b"1"),
-            one.replace(b"1.5", b'"x"'),
+            entry.replace(b"in_service", b"odd"),
+            entry.replace(b":84", b""),
+            entry.replace(b'"a"', b"1"),
+            entry.replace(b"1.5", b'"x"'),
             b"7",
-            one + b"," + one.replace(b'"state"', b'"stat"'),
+            entry + b"," + entry.replace(b'"state"', b'"stat"'),
         ):
             for is_snapshot in (b"true", b"false"):
                 self.decode(b'{"rev":4,"all":' + is_snapshot + b',"targets":[' + entries + b"]}")
-        for broken in (
+        for malformed_body in (
             b"{",
             b"[]",
             b"null",
             b'{"rev":"4","all":true,"targets":[]}',
             b'{"rev":4,"targets":[]}',
         ):
-            self.decode(broken)
+            self.decode(malformed_body)
         connection = DiscoveryConnection("10.0.0.9:85")
         self.say(connection.request(-1, 4000).decode().replace("\r\n", " "))
-        body = b'{"rev":4,"all":true,"targets":[' + one + b"]}"
+        body = b'{"rev":4,"all":true,"targets":[' + entry + b"]}"
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         self.assertEqual(
-            [connection.receive_data(data[at : at + 1]) for at in range(len(data))].index(True), len(data) - 1
+            [connection.receive_data(data[start : start + 1]) for start in range(len(data))].index(True),
+            len(data) - 1,
         )
         connection.decode_response(self.make_endpoint)
         self.say(connection.request(4, 4000).decode().replace("\r\n", " "))
@@ -122,7 +124,7 @@
                 reason = cause
             self.say(f"{body.decode()}: old list stands, {reason}")
 
-    def test_a_response_that_breaks_off_or_is_malformed_is_reported_in_plain_words(self) -> None:
+    def test_incomplete_or_malformed_response_is_described_in_error(self) -> None:
         for received, reason in (
             (b"", "connection closed without a response"),
             (b"HTTP/1.1 2", "connection closed in the middle of a response"),
@@ -146,7 +148,7 @@
         with self.assertRaisesRegex(DiscoveryError, r"^response is not valid HTTP \(.+\)$"):
             connection.receive_data(b"what?\r\n\r\n")
 
-    def test_a_response_without_a_length_ends_with_its_connection(self) -> None:
+    def test_response_without_length_ends_with_connection(self) -> None:
         connection = DiscoveryConnection("10.0.0.9:85")
         connection.request(4, 0)
         self.assertFalse(connection.receive_data(b"HTTP/1.1 200 OK\r\n\r\n{}"))
--- a/tests/protocol/test_handover_messages.py
+++ b/tests/protocol/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""The lines between a process and the one that replaces it, as messages."""
+"""Messages between a process and its successor: encoding, decoding and malformed fields."""
 
 import unittest
 
@@ -58,12 +58,12 @@
 
 
 class HandoverMessagesTest(unittest.TestCase):
-    def test_each_message_is_decoded_from_its_line(self) -> None:
+    def test_message_is_decoded_from_its_line(self) -> None:
         for message in MESSAGES:
             decoded = decode_message(encode_message(message))
             self.assertEqual((type(decoded), decoded), (type(message), message))
 
-    def test_the_record_of_manual_drains_is_decoded_from_its_bytes(self) -> None:
+    def test_manual_drain_record_is_decoded_from_its_bytes(self) -> None:
         record = ManualDrainRecord("n0", DRAINS)
         self.assertEqual(decode_drain_record(encode_drain_record(record)), record)
         for content in (b"[]", b"{}", b'{"of": 1}'):
@@ -71,7 +71,7 @@
         with self.assertRaises(ValueError):
             decode_drain_record(b'{"of"')
 
-    def test_malformed_fields_are_left_out_of_a_state(self) -> None:
+    def test_malformed_fields_are_left_out_of_state(self) -> None:
         fields = {
             "form": 1,
             "of": "n0",
@@ -94,7 +94,7 @@
         )
         self.assertEqual(message, Welcome(expected))
 
-    def test_a_malformed_message_is_decoded_as_unknown(self) -> None:
+    def test_malformed_message_is_decoded_as_unknown(self) -> None:
         malformed: tuple[dict[str, object], ...] = (
             {"hello": 1},
             {"hello": "1", "at": ["h", 1], "of": "n0"},
