--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Test cases on loopback, on ports the system picks: stand-ins, and a whole dispatcher between them."""
+"""Test cases on loopback ports that the system chooses: fake servers, and a whole dispatcher among them."""
 
 import asyncio
 import os
@@ -31,57 +31,57 @@
 
 
 async def accept_requests(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A backend that takes whatever it is sent."""
+    """Serves one connection of a fake backend that accepts every request."""
     while True:
         await read_request(reader)
         writer.write(ACCEPTED)
 
 
 class LoopbackTestCase(TraceTestCase, unittest.IsolatedAsyncioTestCase):
-    """Listening stand-ins, calls of operators, and waiting for a condition."""
+    """Provides fake servers, admin calls, and waiting for a condition."""
 
     async def start_fake_server(self, handler: Handler) -> int:
-        """Serves connections by the handler until the test ends; gives the port."""
+        """Serves connections with the handler until the test ends; returns the port."""
 
-        async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 await handler(reader, writer)
             except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-                pass  # the other side is done, or the test
+                pass  # the peer has disconnected, or the test is over
             finally:
                 writer.close()
 
-        server = await asyncio.start_server(served, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         self.addCleanup(server.close)
         return int(server.sockets[0].getsockname()[1])
 
     async def call(self, port: int, path: str, method: str = "POST") -> str:
-        """An operator's call; the answer's status and text."""
+        """Sends an admin call; returns the status and text of the response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{method} /control/{path} HTTP/1.1\r\nHost: b\r\n\r\n".encode())
         async with asyncio.timeout(5):
             head, body = await read_request(reader)
-            self.assertEqual(await reader.read(), b"")  # one call a connection
+            self.assertEqual(await reader.read(), b"")  # one call per connection
         writer.close()
         return f"{head.split()[1]} {body.decode().strip()}"
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Waits for a condition; fails after half a minute."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits for a condition; raises TimeoutError after 30 seconds."""
         async with asyncio.timeout(30):
-            while not holds():  # noqa: ASYNC110 - what is waited for sets no event
+            while not condition():  # noqa: ASYNC110 - no event is set for the condition
                 await asyncio.sleep(0.001)
 
 
 class DispatcherTestCase(LoopbackTestCase):
-    """A dispatcher between a client, a backend and discovery that the test plays."""
+    """A dispatcher with a client, a backend and discovery that are played by the test."""
 
     def setUp(self) -> None:
         super().setUp()
-        for number in OPERATOR_SIGNALS:  # a dispatcher that ends in this process leaves them ignored
-            self.addCleanup(signal.signal, number, signal.getsignal(number))
+        for signal_number in OPERATOR_SIGNALS:  # a dispatcher run in this process ignores them at its end
+            self.addCleanup(signal.signal, signal_number, signal.getsignal(signal_number))
 
     async def begin(self, backend: Handler, **settings: Any) -> None:
-        """Starts discovery and the one backend, and writes the configuration."""
+        """Starts fake discovery and one fake backend, and creates the configuration in `config`."""
         self.backend_port = await self.start_fake_server(backend)
         self.backend_state = "in_service"
         self.endpoints_changed = asyncio.Event()
@@ -111,7 +111,7 @@
         }
 
     def discovery_answer(self) -> dict[str, Any]:
-        """The list as discovery has it now."""
+        """Returns the present response of discovery, with the whole endpoint list."""
         return {
             "rev": 1,
             "all": True,
@@ -123,18 +123,18 @@
     async def start_in_process(self) -> None:
         """Runs the dispatcher in this process until the test ends."""
         self.application = Application(self.config, lambda: self.config)
-        running = asyncio.create_task(self.application.run())
+        run_task = asyncio.create_task(self.application.run())
         await self.until(lambda: self.application.request_handler.is_serving())
         self.port = self.application.listener.port()
 
-        async def end() -> None:
+        async def shut_down() -> None:
             self.application.shutdown_requested.set()
-            await running
+            await run_task
 
-        self.addAsyncCleanup(end)
+        self.addAsyncCleanup(shut_down)
 
     async def send_request(self, request_id: str, headers: str = "", wait: float = 2.5) -> tuple[str, bytes]:
-        """A client's request; the status line and body of its response."""
+        """Sends a request as a client; returns the status line and body of the response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(
             f"POST /api?x=1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request_id}\r\nX-Priority-Class: g\r\n"
@@ -148,7 +148,7 @@
         return head.split("\r\n")[0], body
 
     async def send_callback(self, **fields: Any) -> None:
-        """A backend's callback, with the status that answers it in the trace."""
+        """Sends a callback as a backend; records it in the trace with the status of its response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         body = orjson.dumps(fields)
         writer.write(
@@ -159,7 +159,7 @@
         writer.close()
 
     async def start_process(self, command: list[str], folder: str = "") -> asyncio.Task[str]:
-        """The program as operators start it; gives what it prints until it ends."""
+        """Starts the program as operators do; the returned task has its output once it ends."""
         folder = folder or self.enterContext(tempfile.TemporaryDirectory())
         self.config_file = Path(folder) / "config.json"
         self.config_file.write_bytes(orjson.dumps(self.config))
@@ -170,27 +170,27 @@
             limit=1 << 20,
             env={**os.environ, "GW_CONFIG": str(self.config_file), "TMPDIR": folder},
         )
-        errors = self.process.stderr
-        assert errors
+        stderr = self.process.stderr
+        assert stderr
         self.addAsyncCleanup(self.kill_process, self.process)
-        printed = [(await errors.readline()).decode()]
-        while "serving on" not in printed[-1]:
-            self.assertTrue(printed[-1], printed)
-            printed.append((await errors.readline()).decode())
-        self.port = int(printed[-1].rpartition(":")[2])
+        output = [(await stderr.readline()).decode()]
+        while "serving on" not in output[-1]:
+            self.assertTrue(output[-1], output)
+            output.append((await stderr.readline()).decode())
+        self.port = int(output[-1].rpartition(":")[2])
         if "admin_addr" in self.config:
-            printed.append((await errors.readline()).decode())
-            self.admin_port = int(printed[-1].rpartition(":")[2])
+            output.append((await stderr.readline()).decode())
+            self.admin_port = int(output[-1].rpartition(":")[2])
         process = self.process
 
-        async def rest() -> str:
-            printed.append((await errors.read()).decode())
+        async def read_remaining_output() -> str:
+            output.append((await stderr.read()).decode())
             await process.wait()
-            return "".join(printed)
+            return "".join(output)
 
-        return asyncio.create_task(rest())
+        return asyncio.create_task(read_remaining_output())
 
     async def kill_process(self, process: asyncio.subprocess.Process) -> None:
-        if process.returncode is None:  # a test that failed must leave nothing running
+        if process.returncode is None:  # a failed test must not leave a process running
             process.kill()
             await process.wait()
