--- a/crankfold/protocol/admin_api.py
+++ b/crankfold/protocol/admin_api.py
@@ -1,6 +1,6 @@
 """The admin API without I/O: decodes one call per connection, executes it and encodes the response.
 
-The words of its paths and queries (`agreed`, `runners`, `offline`, `online`, `least`) are used only here.
+The words of paths and queries (`agreed`, `runners`, `offline`, `online`, `least`) are translated only here.
 """
 
 from collections.abc import Awaitable, Sequence
--- a/crankfold/protocol/backend_connection.py
+++ b/crankfold/protocol/backend_connection.py
@@ -19,7 +19,7 @@
 
 
 class Acceptance(Enum):
-    """What a response means that does not end the attempt, or ends it without an `Outcome` of the backend."""
+    """The meaning of a response that does not end its attempt, or ends it without an `Outcome`."""
 
     ACCEPTED = "accepted"  # the backend executes the request and reports its end by callback
     REJECTED = "rejected"  # the request is invalid at any backend: final, and not charged to this one
--- a/crankfold/protocol/callbacks.py
+++ b/crankfold/protocol/callbacks.py
@@ -1,6 +1,6 @@
 """Decodes callbacks, in which backends report on the requests that they execute.
 
-The names on the wire (`id`, `from`, `share`, `returned`, `lost`) are used only here.
+Only this module translates the names on the wire (`id`, `from`, `share`, `returned`, `lost`).
 """
 
 from collections.abc import Sequence
--- a/crankfold/protocol/client_request.py
+++ b/crankfold/protocol/client_request.py
@@ -1,6 +1,6 @@
 """A client's request: the HTTP message that is forwarded, and the attributes in its headers.
 
-Header names on the wire (`x-priority-class`, `x-cost`, `x-attrs`, ...) are used only here and in `headers`.
+Only this module and `headers` translate the header names on the wire (`x-priority-class`, `x-cost`, ...).
 """
 
 import zlib
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -1,7 +1,7 @@
 """The discovery protocol without I/O: encodes the calls, decodes the endpoint lists in the responses.
 
-The field names on the wire (`uid`, `az`, `model`, `pod_group`, `capacity_hint`, `rev`, `all`, `targets`) are
-used only here.
+Only this module translates the field names on the wire (`uid`, `az`, `model`, `pod_group`, `capacity_hint`,
+`rev`, `all`, `targets`).
 """
 
 from collections.abc import Callable, Sequence
--- a/crankfold/protocol/headers.py
+++ b/crankfold/protocol/headers.py
@@ -36,7 +36,7 @@
     """Returns the headers that are forwarded to a backend, in their order, always with a host."""
     forwarded = [(name, value) for name, value in headers if name in _FORWARDED]
     if not any(name == b"host" for name, _ in forwarded):
-        forwarded.append((b"host", b""))  # optional in HTTP/1.0 of the client, required in HTTP/1.1
+        forwarded.append((b"host", b""))  # optional in HTTP/1.0, required in HTTP/1.1
     return forwarded
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Test cases on loopback ports that the system chooses: fake servers, and a whole dispatcher among them."""
+"""Test cases with fake servers and a whole dispatcher, on loopback ports that the system chooses."""
 
 import asyncio
 import os
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -12,10 +12,10 @@
 
 
 class ConnectionPoolTest(LoopbackTestCase):
-    def create_pool(self, port: int, has_room: bool = True) -> ConnectionPool:
+    def create_pool(self, port: int, allow_connections: bool = True) -> ConnectionPool:
         self.metrics = Metrics()
         return ConnectionPool(
-            "127.0.0.1", port, ConnectionLimiter(9 if has_room else 0, 0.25, 5.0, self.metrics)
+            "127.0.0.1", port, ConnectionLimiter(9 if allow_connections else 0, 0.25, 5.0, self.metrics)
         )
 
     async def run_exchange(
@@ -73,7 +73,7 @@
         await self.run_exchange(double_response_pool, "answered twice")
         self.say(f"  kept {len(double_response_pool.idle_connections)}")
         port = await self.start_fake_server(answer_three_requests)
-        await self.run_exchange(self.create_pool(port, has_room=False), "no socket left")
+        await self.run_exchange(self.create_pool(port, allow_connections=False), "no socket left")
         drained_pool = self.create_pool(port)
         await self.run_exchange(drained_pool, "drained while connecting", may_send=False)
         self.say(f"  kept {len(drained_pool.idle_connections)}")
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -127,7 +127,7 @@
             await self.until(lambda number=number: len(self.results) > number)  # type: ignore[misc]
         self.assertEqual(self.results, [result for _, result in cases])
 
-    async def test_exchange_aborted_while_it_is_written_does_not_arrive_whole(self) -> None:
+    async def test_exchange_aborted_while_it_is_written_arrives_incomplete(self) -> None:
         aborted, received_length = asyncio.Event(), asyncio.get_running_loop().create_future()
 
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
