--- a/crankfold/cluster/__init__.py
+++ b/crankfold/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, storage and clock of a cluster member. Imported only for a configuration with `peers`."""
+"""The sockets, storage and clock of a cluster member. Imported only if the configuration has `peers`."""
--- a/crankfold/cluster/clock.py
+++ b/crankfold/cluster/clock.py
@@ -1,4 +1,4 @@
-"""The clock of leases."""
+"""The clock by which leases expire."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 
 def boottime_ticks() -> int:
-    """The time since boot in ticks of a tenth of a millisecond.
+    """Returns the time since boot in ticks.
 
-    Unlike the monotonic clock it includes the time during which the machine is suspended: leases expire
-    then too.
+    Unlike the monotonic clock, it includes the time during which the machine is suspended, so leases also
+    expire during a suspension.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TICK
--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -1,4 +1,4 @@
-"""One cluster member: runs its consensus state machine on sockets, storage and clock."""
+"""A cluster member, which connects its consensus state machine to sockets, storage and the clock."""
 
 import asyncio
 import logging
@@ -31,7 +31,7 @@
 
 
 class MemberOwner(Protocol):
-    """The node of a member."""
+    """The node that a member belongs to."""
 
     def documents_changed(self, member: "ClusterMember", names: set[str]) -> None:
         """Handles a change of the effective contents of the named documents at the member."""
@@ -46,7 +46,7 @@
         """Handles the response to a proposal of this process."""
 
     def propose_transitions(self, member: "ClusterMember", now: int) -> list[TransitionDocument]:
-        """The transitions of machines to propose at `now`, in their stored form."""
+        """Returns the transitions of machines to propose at `now`, in their stored form."""
 
 
 class ClusterMember:
@@ -59,12 +59,12 @@
         metrics: Counts messages and failures.
         owner: The node of the member.
         host: The dispatcher that acts on the documents.
-        initial_settings: Published by the first leader if no settings were published.
+        initial_settings: Settings that the first leader publishes if there are none.
 
     Attributes:
         consensus: The state machine.
         storage: The storage of a voter; None for a follower.
-        disabled_reason: Why a voter stopped taking part; empty while it takes part.
+        disabled_reason: Why a voter no longer takes part in consensus; empty while it does.
     """
 
     def __init__(
@@ -151,21 +151,21 @@
         self._tick()
 
     def has_lease(self) -> bool:
-        """Whether the member may act on its documents now."""
+        """Returns whether the member may act on its documents now."""
         return not self.disabled_reason and self.consensus.has_lease(boottime_ticks())
 
     def inactive_reason(self) -> str:
-        """The reason why the member does not act on its documents; empty if it does."""
+        """Returns the reason why the member does not act on its documents; empty if it does."""
         if self.disabled_reason:
             return self.disabled_reason
         if not self.consensus.has_lease(boottime_ticks()):
-            nothing_applied = "nothing heard of the fleet yet"
-            isolated = "cut off from the majority" if self.consensus.last_applied else nothing_applied
-            return self.consensus.rejection_reason or isolated
+            never_connected = "nothing heard of the fleet yet"
+            no_lease = "cut off from the majority" if self.consensus.last_applied else never_connected
+            return self.consensus.rejection_reason or no_lease
         return "" if self.consensus.effective_content(SETTINGS) else "no settings count yet"
 
     def status(self) -> StatusDocument:
-        """The state of the cluster at this member, as an answer of the admin API."""
+        """Returns the state of the cluster at this member in the form of the admin API."""
         return cluster_status(
             self.consensus,
             boottime_ticks(),
@@ -177,9 +177,9 @@
         """Proposes an entry; its outcome goes to `MemberOwner.proposal_answered`.
 
         Args:
-            proposal_id: Proposals with the same id take effect once.
+            proposal_id: The id of the proposal; proposals with the same id take effect once.
             kind: The kind of the entry.
-            data: Its fields, with the keys and the order of the stored entry.
+            data: The fields of the entry, with the keys and the order in which they are stored.
         """
         self.consensus.propose(boottime_ticks(), proposal_id, kind, data)
         self._process_output()
@@ -194,7 +194,7 @@
         return self.consensus.admit(hello.name, hello.folder_id) if hello.folder_id else ""
 
     def propose_transitions(self, now: int) -> list[TransitionDocument]:
-        """The transitions of machines to propose at `now`, in their stored form."""
+        """Returns the transitions of machines to propose at `now`, in their stored form."""
         return self._owner.propose_transitions(self, now)
 
     def handle_message(self, sender: str, message: Message) -> None:
@@ -205,7 +205,7 @@
             self.consensus.receive(boottime_ticks(), sender, message)
         except Exception as error:
             self._metrics.record_exception(error)
-            if __debug__:  # with -O a message that causes a failure does not end the connection
+            if __debug__:  # with -O, a failure in handling a message does not end the connection
                 raise
         self._process_output()
 
@@ -214,11 +214,11 @@
             return
         self.consensus.tick(boottime_ticks())
         self._process_output()
-        wait = max(self.consensus.next_deadline() - boottime_ticks(), MIN_TICK_INTERVAL_TICKS)
-        self._tick_timer = self._loop.call_later(wait / TICKS_PER_SECOND, self._tick)
+        delay_ticks = max(self.consensus.next_deadline() - boottime_ticks(), MIN_TICK_INTERVAL_TICKS)
+        self._tick_timer = self._loop.call_later(delay_ticks / TICKS_PER_SECOND, self._tick)
 
     def _process_output(self) -> None:
-        """Carries out the output of an event: notifications, then immediate messages, then storage."""
+        """Handles the output of the state machine: notifications, then immediate messages, then storage."""
         consensus = self.consensus
         if consensus.changed_documents:
             changed = consensus.changed_documents
@@ -245,20 +245,22 @@
     def _store_and_send(self, voter: Voter, ready: Ready) -> None:
         if ready.must_sync() and self.storage:
             self._saving = self._loop.run_in_executor(None, self.storage.save, ready)
-            self._saving.add_done_callback(lambda done: self._sync_finished(voter, ready, done))
+            self._saving.add_done_callback(lambda saving: self._save_finished(voter, ready, saving))
         else:
             self._send(ready.messages)
 
-    def _sync_finished(self, voter: Voter, ready: Ready, done: "asyncio.Future[None]") -> None:
+    def _save_finished(self, voter: Voter, ready: Ready, saving: "asyncio.Future[None]") -> None:
         self._saving = None
         if self._closed:
             return
-        error = done.exception()
+        error = saving.exception()
         if error:
-            # Part of the data may be stored, so this voter sends no more messages and does not act.
+            # The data may be stored in part, so this voter sends no more messages and does not act.
             self.disabled_reason = f"the voter's folder failed: {error}"
             self._metrics.increment("cluster-storage-failures")
-            logger.error("%s; this voter takes no part until the folder works", self.disabled_reason)
+            logger.error(
+                "%s; this voter is disabled until its folder can be used again", self.disabled_reason
+            )
             self._owner.storage_failed(self)
             return
         self._send(ready.messages)
@@ -270,7 +272,7 @@
             self._transport.send(receiver, message)
 
     async def close(self) -> None:
-        """Closes connections and storage; a follower releases its lease first."""
+        """Closes the connections and the storage; a follower releases its lease first."""
         self._closed = True
         if self._tick_timer:
             self._tick_timer.cancel()
@@ -289,8 +291,8 @@
     """Opens the storage of the configured voter.
 
     Raises:
-        FolderInUseError: Another process uses it.
-        StorageUnavailableError: A system call failed.
-        StorageError: It is damaged, incomplete, or the folder of another voter.
+        FolderInUseError: Another process uses the folder.
+        StorageUnavailableError: A system call on the folder failed.
+        StorageError: The folder is damaged, incomplete or belongs to another voter.
     """
     return RaftStorage(Path(config.storage_folder), config.name)
--- a/crankfold/cluster/config.py
+++ b/crankfold/cluster/config.py
@@ -9,12 +9,12 @@
 
 MAX_NAME_CHARACTERS = 100
 VOTER_COUNTS = (3, 5, 7)
-MIN_STALENESS_BOUND_SECONDS = 0.5  # elections and leases are fractions of it
+MIN_STALENESS_BOUND_SECONDS = 0.5  # leaves time for elections and leases, which last fractions of it
 MAX_STALENESS_BOUND_SECONDS = 60
 
 
 class ClusterConfigError(CrankfoldError, ValueError):
-    """The `peers` part of the configuration is invalid; the text names the key and the reason."""
+    """The `peers` part of the configuration is invalid; the message names the key and the reason."""
 
 
 class ClusterConfig(Struct, rename="kebab", forbid_unknown_fields=True):
@@ -28,10 +28,10 @@
         storage_folder: The folder for the state of a voter.
         staleness_bound: The longest time, in seconds, for which two dispatchers act on contradicting
             versions.
-        isolation_policy: Whether a member without a lease sheds, or continues with the last settings.
-        is_successor: Whether this process replaces another one; set by the process itself.
-        event_log_path: The file of the event log for `crankfold trial`; "-" for standard output, empty for
-            none.
+        isolation_policy: Whether a member without a lease sheds requests or continues with its last settings.
+        is_successor: Whether this process takes over from a predecessor; set by the process itself.
+        event_log_path: The file of the event log that `crankfold trial` reads; "-" for standard output, empty
+            for no event log.
     """
 
     name: str
@@ -55,7 +55,7 @@
         return self.address or self.voters[self.name]
 
     def config_error(self) -> str:
-        """The first invalid setting: its key, its value and the permitted values; empty for none."""
+        """Returns key, value and permitted values of the first invalid setting; empty if all are valid."""
         if not self.name or len(self.name) > MAX_NAME_CHARACTERS:
             return f"peers.name: found {self.name!r}; 1 to {MAX_NAME_CHARACTERS} characters"
         if self.is_voter and not self.storage_folder:
@@ -85,7 +85,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns host and port of HOST:PORT; an IPv6 address is in brackets.
+    """Returns the host and the port of HOST:PORT; an IPv6 address is in brackets.
 
     Raises:
         ValueError: The port is not a number.
@@ -94,14 +94,14 @@
     return host.strip("[]"), int(port)
 
 
-def read_cluster_config(given: object) -> ClusterConfig:
+def read_cluster_config(peers: object) -> ClusterConfig:
     """Decodes and validates the `peers` part of a configuration.
 
     Raises:
-        ClusterConfigError: It is invalid.
+        ClusterConfigError: The part is invalid.
     """
     try:
-        config = msgspec.convert(given, ClusterConfig)
+        config = msgspec.convert(peers, ClusterConfig)
     except msgspec.ValidationError as error:
         raise ClusterConfigError(f"peers: {error}") from None
     error_text = config.config_error()
--- a/crankfold/cluster/framing.py
+++ b/crankfold/cluster/framing.py
@@ -1,4 +1,4 @@
-"""Frames between cluster members: the length in four bytes, then a message in MessagePack.
+"""Frames between cluster members: four bytes for the length of a message, then the message in MessagePack.
 
 Members do not authenticate each other.
 """
@@ -10,7 +10,7 @@
 from crankfold.errors import CrankfoldError
 
 PROTOCOL_VERSION = 1
-MAX_FRAME_BYTES = 8 * 1024 * 1024  # of a message, without its length
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # of the encoded message, without the length before it
 LENGTH_BYTES = 4
 
 
@@ -20,7 +20,7 @@
     Attributes:
         protocol_version: `PROTOCOL_VERSION` of the sender.
         name: The name of the sender.
-        incarnation: A random number of the sender's process.
+        incarnation: A random number that identifies the sender's process.
         folder_id: The id of a voter's storage folder; empty for a follower.
     """
 
@@ -31,7 +31,7 @@
 
 
 class ProtocolError(CrankfoldError):
-    """A connection received bytes that are not a message of the protocol; it is closed."""
+    """Received bytes are not a message of the protocol, or a message to send is too long."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -46,7 +46,7 @@
     """
     body = _encoder.encode(message)
     if len(body) > MAX_FRAME_BYTES:
-        raise ProtocolError(f"a message of {len(body)} bytes exceeds {MAX_FRAME_BYTES}")
+        raise ProtocolError(f"message of {len(body)} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
@@ -54,7 +54,7 @@
     """Decodes the bytes of one connection incrementally."""
 
     def __init__(self) -> None:
-        """Starts at the beginning of a frame."""
+        """Creates a decoder without buffered bytes."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message | Hello]:
@@ -69,7 +69,7 @@
         while len(self._buffer) - start >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[start : start + LENGTH_BYTES], "big")
             if size > MAX_FRAME_BYTES:
-                raise ProtocolError(f"a frame of {size} bytes exceeds {MAX_FRAME_BYTES}")
+                raise ProtocolError(f"frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             body_start = start + LENGTH_BYTES
             if len(self._buffer) - body_start < size:
                 break
--- a/crankfold/cluster/log_records.py
+++ b/crankfold/cluster/log_records.py
@@ -1,9 +1,10 @@
 """The records of a voter's log file, and how they are framed.
 
 A frame holds the records of one append: the length of its body, the CRC-32 of the body, then the body, a
-MessagePack array of records. One frame is one write and one sync, so a crash tears the last frame at most.
+MessagePack array of records. Each frame is written and synced at once, so a crash can tear only the last one.
 
-The tags, the order of the fields and their types are the file format; the names are not.
+The tags of the records and the order and types of their fields make up the file format; the names of the
+fields are not stored.
 """
 
 import zlib
@@ -18,11 +19,11 @@
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 4
 HEADER_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
-UNWRITTEN_BYTE = b"\0"  # what a file system returns for space that is allocated, but not written
+UNWRITTEN_BYTE = b"\0"  # read from space that the file system allocated, but that was never written
 
 
 class LogFormatError(CrankfoldError):
-    """The log file is damaged, not only torn, or another version wrote it; the text says where."""
+    """The log file is damaged beyond a torn tail, or another version wrote it; the message says where."""
 
 
 class HardStateRecord(Struct, array_like=True, tag="t"):
@@ -61,10 +62,10 @@
     """Applies the frames of a log file to `state`, up to a torn tail.
 
     Returns:
-        The number of bytes of the complete frames; the torn tail begins there.
+        The total size of the complete frames in bytes, which is where a torn tail begins.
 
     Raises:
-        LogFormatError: A frame is damaged that is no torn tail, or a body has an unknown form.
+        LogFormatError: A frame is damaged and is not a torn tail, or a body cannot be decoded.
     """
     start = 0
     while start < len(data):
@@ -86,27 +87,28 @@
     try:
         records: list[Record] = _decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise LogFormatError(f"at byte {start}: {error}; written by another version?") from None
+        raise LogFormatError(f"at byte {start}: {error}; another version may have written it") from None
     return records
 
 
 def _check_torn_tail(data: bytes, start: int, end: int) -> None:
     """Raises a LogFormatError unless a crash can have left the frame from `start` to `end` as it is.
 
-    A crash leaves a part of the last frame, and maybe allocated space behind it that was not written. So
-    nothing written may follow, the frame must lack its last bytes, and no part of it may be a complete body.
+    A crash leaves a part of the last frame, possibly followed by allocated space that was never written. So
+    no written bytes may follow the frame, its last bytes must be missing, and no part of it may be a complete
+    body.
     """
-    has_data_behind = bool(data[end:].strip(UNWRITTEN_BYTE))
+    has_data_after_frame = bool(data[end:].strip(UNWRITTEN_BYTE))
     lacks_last_bytes = end > len(data) or data[start:end].endswith(UNWRITTEN_BYTE)
-    if has_data_behind or not lacks_last_bytes or _has_complete_body(data, start):
+    if has_data_after_frame or not lacks_last_bytes or _has_complete_body(data, start):
         raise LogFormatError(
-            f"damaged at byte {start} of {len(data)}; take this voter out, empty the folder and add it "
-            f"anew, or restore the undamaged file"
+            f"damaged at byte {start} of {len(data)}; remove this voter from the cluster, empty its "
+            f"folder and add the voter again, or restore the undamaged file"
         )
 
 
 def _has_complete_body(data: bytes, start: int) -> bool:
-    """Whether the frame at `start` has a body that matches its checksum, so that only its length is wrong."""
+    """Whether the frame at `start` has a body that matches its checksum, so only its length is wrong."""
     body_start = start + HEADER_BYTES
     checksum = int.from_bytes(data[start + LENGTH_BYTES : body_start], "big")
     running_checksum = 0
@@ -126,7 +128,7 @@
 
 
 def apply_record(state: PersistentState, record: Record) -> None:
-    """Changes `state` as the record says."""
+    """Applies the change that the record describes to `state`."""
     match record:
         case HardStateRecord():
             state.term = record.term
--- a/crankfold/cluster/node.py
+++ b/crankfold/cluster/node.py
@@ -1,4 +1,4 @@
-"""The cluster node of a dispatcher: its present member, and the change from follower to voter."""
+"""The cluster node of a dispatcher: its current member, and the switch between follower and voter."""
 
 import asyncio
 import logging
@@ -39,16 +39,19 @@
         """Handles a change of the effective contents of the named documents."""
 
     def propose_transitions(self, now: int) -> list[TransitionDocument]:
-        """The transitions of machines to propose at `now`, in their stored form; none unless it leads."""
+        """Returns the transitions of machines to propose at `now`, in their stored form.
+
+        Only the dispatcher of the leader proposes any.
+        """
 
 
 class ClusterNode:
-    """A dispatcher's part in its cluster.
+    """Runs the cluster member through which a dispatcher takes part in its cluster.
 
-    A process that replaces another one joins as a follower under a temporary name. If it is configured as a
-    voter, it opens the voter's folder once the predecessor has released it. It switches to the voter once
-    the voter holds a lease and has applied as much of the log as the follower. A voter whose folder fails is
-    replaced by a follower, and later by a voter, in the same way.
+    A successor joins as a follower under a temporary name. If it is configured as a voter, it opens the
+    voter's folder once the predecessor has released it. It switches to the voter once the voter holds a lease
+    and has applied as much of the log as the follower. A voter whose folder fails is replaced by a follower,
+    and later by a voter again, in the same way.
 
     Attributes:
         config: The settings of this process as a member.
@@ -63,11 +66,12 @@
         dispatcher: Dispatcher,
         initial_settings: DocumentContent,
     ) -> None:
-        """Creates the first member, and opens the storage of a voter.
+        """Creates the first member; opens the storage of a voter.
+
+        If a system call on the folder fails, the node starts as a follower.
 
         Raises:
-            StorageError: The folder is damaged or belongs to another voter. Where a system call on it
-                fails, the node starts as a follower.
+            StorageError: The folder is damaged, belongs to another voter or is in use by another process.
         """
         self.config = config
         self._metrics = metrics
@@ -86,11 +90,11 @@
         try:
             return self._make_member(self.config.name, open_storage(self.config))
         except StorageUnavailableError as error:
-            logger.error("%s; starts as a follower until the folder works", error)
+            logger.error("%s; starting as a follower until the folder can be used", error)
             return self._make_interim_follower()
 
     def _make_interim_follower(self) -> ClusterMember:
-        """A follower under a temporary name, until the voter can be opened."""
+        """Returns a follower under a temporary name, for the time until the voter can be opened."""
         return self._make_member(f"{self.config.name}+{secrets.token_hex(SUCCESSOR_SUFFIX_BYTES)}", None)
 
     def _make_member(self, name: str, storage: RaftStorage | None) -> ClusterMember:
@@ -115,21 +119,21 @@
             self._takeover_task = asyncio.get_running_loop().create_task(self._take_over())
 
     async def _take_over(self) -> None:
-        """Switches to the voter once its folder and address are available and it may act."""
+        """Switches to the voter once its folder and address are available and the voter may act."""
         while voter := await self._open_voter():
-            if not await self._becomes_ready(voter):
+            if not await self._wait_until_ready(voter):
                 continue
             follower = self.member
             self.member = voter
             self._dispatcher.documents_changed(set(DOCUMENTS))
             await follower.close()
-            logger.info("%s is a voter again", self.config.name)
+            logger.info("now running as voter %s", self.config.name)
             return
 
-    async def _becomes_ready(self, voter: ClusterMember) -> bool:
+    async def _wait_until_ready(self, voter: ClusterMember) -> bool:
         """Waits until an opened voter may act; closes it and returns False if its folder fails first."""
         try:
-            # No event marks that a lease has expired, so it is polled.
+            # No event signals that a lease has expired, so readiness is polled.
             while not self._is_ready(voter):
                 await asyncio.sleep(TAKEOVER_RETRY_SECONDS)
                 if voter.disabled_reason:
@@ -141,7 +145,7 @@
         return True
 
     async def _replace_failed_voter(self, failed: ClusterMember) -> None:
-        """Switches to a follower, and back to the voter once the folder works."""
+        """Switches to a follower, and back to the voter once the folder can be used again."""
         self.member = self._make_interim_follower()
         await failed.close()
         await self.member.open()
@@ -153,7 +157,7 @@
         return voter.has_lease() and applied_as_much
 
     async def _open_voter(self) -> ClusterMember | None:
-        """Opens the voter once folder and address are available; None if the folder is unusable."""
+        """Opens the voter once its folder and address are available; None if the folder is damaged."""
         while True:
             await asyncio.sleep(TAKEOVER_RETRY_SECONDS)
             try:
@@ -161,7 +165,7 @@
             except (FolderInUseError, StorageUnavailableError):
                 continue
             except StorageError as error:
-                logger.error("%s; continues as a follower", error)
+                logger.error("%s; continuing as a follower", error)
                 return None
             voter = self._make_member(self.config.name, storage)
             try:
@@ -176,25 +180,25 @@
 
     @property
     def consensus(self) -> Voter | Follower:
-        """The state machine of the present member."""
+        """The state machine of the current member."""
         return self.member.consensus
 
     def has_lease(self) -> bool:
-        """Whether the dispatcher may act on the documents now; to be called before each act."""
+        """Returns whether the dispatcher may act on the documents now; called before each action."""
         return self.member.has_lease()
 
     def inactive_reason(self) -> str:
-        """The reason why the dispatcher does not act on the documents; empty if it does."""
+        """Returns the reason why the dispatcher does not act on the documents; empty if it does."""
         return self.member.inactive_reason()
 
     def status(self) -> StatusDocument:
-        """The state of the cluster at this node, as an answer of the admin API."""
+        """Returns the state of the cluster at this node in the form of the admin API."""
         return self.member.status()
 
-    # --- called by members ---
+    # Called by members.
 
     def documents_changed(self, member: ClusterMember, names: set[str]) -> None:
-        """Notifies the dispatcher of changes at the present member."""
+        """Notifies the dispatcher of changes at the current member."""
         if member is self.member:
             self._dispatcher.documents_changed(names)
 
@@ -203,31 +207,31 @@
         self._progress.set()
 
     def storage_failed(self, member: ClusterMember) -> None:
-        """Replaces the present member; a voter that is not in use yet is reopened by `_take_over`."""
+        """Replaces the current member; a voter that is not in use yet is reopened by `_take_over`."""
         if member is self.member:
             self._takeover_task = asyncio.get_running_loop().create_task(self._replace_failed_voter(member))
 
     def propose_transitions(self, member: ClusterMember, now: int) -> list[TransitionDocument]:
-        """The transitions that the dispatcher proposes, for the present member only."""
+        """Returns the transitions that the dispatcher proposes; none unless `member` is the current one."""
         return self._dispatcher.propose_transitions(now) if member is self.member else []
 
     def proposal_answered(self, response: ProposalResponse) -> None:
-        """Ends the wait for an outcome; a response without a leader is not final."""
+        """Completes a pending proposal; a response for lack of a leader is not final."""
         future = self._pending_proposals.get(response.proposal_id)
         if future and not future.done() and (response.accepted or response.reason != NO_LEADER):
             future.set_result(response)
 
-    # --- called by the dispatcher ---
+    # Called by the dispatcher.
 
     async def propose(
         self, kind: str, data: EntryData, proposal_id: str, max_seconds: float
     ) -> ProposalResponse:
-        """Proposes an entry, repeatedly, until there is an outcome.
+        """Proposes an entry repeatedly until there is an outcome.
 
         Args:
             kind: The kind of the entry.
-            data: Its fields, with the keys and the order of the stored entry.
-            proposal_id: Proposals with the same id take effect once.
+            data: The fields of the entry, with the keys and the order in which they are stored.
+            proposal_id: The id of the proposal; proposals with the same id take effect once.
             max_seconds: The time after which a response without an outcome is returned.
         """
         loop = asyncio.get_running_loop()
@@ -245,11 +249,11 @@
                 del self._pending_proposals[proposal_id]
 
     async def wait_until_active(self, document: str, number: int, max_seconds: float) -> int:
-        """Waits until a version is active.
+        """Waits until a version is active at this node.
 
         Returns:
-            The applied index here; 0 if the version is not active after `max_seconds`. Once each member with
-            a lease has applied that index, all members act on that version alone.
+            The applied index of this node; 0 if the version is not active after `max_seconds`. Once each
+            member with a lease has applied that index, all members act on that version alone.
         """
         active = await self._wait_until(
             lambda: self.consensus.documents.document(document).active_number >= number, max_seconds
@@ -257,13 +261,13 @@
         return self.consensus.last_applied if active else 0
 
     async def wait_until_known(self, document: str, number: int, max_seconds: float) -> bool:
-        """Waits until a version is applied here; False after `max_seconds`."""
+        """Waits until a version is applied at this node; returns False after `max_seconds`."""
         return await self._wait_until(
             lambda: self.consensus.documents.document(document).latest_number() >= number, max_seconds
         )
 
     async def wait_until_cluster_applied(self, index: int, max_seconds: float) -> bool:
-        """Waits until each member with a lease has applied `index`; False after `max_seconds`."""
+        """Waits until each member with a lease has applied `index`; returns False after `max_seconds`."""
         return await self._wait_until(lambda: self.consensus.cluster_applied_index >= index, max_seconds)
 
     async def _wait_until(self, condition: Callable[[], bool], max_seconds: float) -> bool:
@@ -277,7 +281,7 @@
         return True
 
     async def close(self) -> None:
-        """Closes the member; a follower releases its lease."""
+        """Closes the current member; a follower releases its lease."""
         if self._takeover_task:
             self._takeover_task.cancel()
             await asyncio.gather(self._takeover_task, return_exceptions=True)
--- a/crankfold/cluster/raft_storage.py
+++ b/crankfold/cluster/raft_storage.py
@@ -1,9 +1,9 @@
-"""Stable storage of one voter: term, vote, log entries and the snapshot, in a folder of its own.
+"""Stable storage of one voter, in a folder of its own: term, vote, log entries and the snapshot.
 
-Each append is written and synced as one frame before any message that depends on it is sent. On opening,
-a torn last frame is truncated; a damaged one is refused (`log_records`).
+Each append is written and synced as one frame before any message that depends on it is sent. When the folder
+is opened, a torn last frame is truncated, and any other damage is an error (`log_records`).
 
-A storage error is final for an open storage: after a failed fsync the kernel may have dropped the unwritten
+An open storage cannot be used after an error: after a failed fsync the kernel may have dropped the unwritten
 pages and marked them clean, so a second fsync could succeed without the data. Opening the folder again, in
 this process or another, copies the readable frames to a new file, which is synced and read back before it
 replaces the old one.
@@ -36,11 +36,11 @@
 APPEND_FLAGS = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC
 REPLACE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
 LOCK_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
-CLOSED = -1  # in place of a file descriptor
+CLOSED_FD = -1  # the value of a file descriptor that is not open
 
 
 class StorageError(CrankfoldError):
-    """The folder cannot be used; the text says why and which step repairs it."""
+    """The folder cannot be used; the message says why and how to repair it."""
 
 
 class FolderInUseError(StorageError):
@@ -55,24 +55,24 @@
     """The folder of one voter, locked against other processes.
 
     Attributes:
-        folder_id: A random id of the folder, under which the voters register this voter.
-        persistent_state: The stored state as of the opening.
-        startup_notice: A line for operators about the opening; empty for none.
+        folder_id: A random id, by which the other voters recognize the folder.
+        persistent_state: The state that was loaded from the folder on opening.
+        startup_notice: A log line about what was repaired on opening; empty if nothing was.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Opens the folder of the voter `name`, and creates it if it is missing.
+        """Opens the folder of the voter `name`; creates it if it does not exist.
 
         Raises:
-            FolderInUseError: Another process uses it.
-            StorageUnavailableError: A system call failed.
-            StorageError: It is damaged, incomplete, or the folder of another voter.
+            FolderInUseError: Another process uses the folder.
+            StorageUnavailableError: A system call on the folder failed.
+            StorageError: The folder is damaged, incomplete or belongs to another voter.
         """
         self._folder = folder
         self._log_path = folder / LOG_FILE
         self.startup_notice = ""
-        self._log_fd = CLOSED
-        self._lock_fd = CLOSED
+        self._log_fd = CLOSED_FD
+        self._lock_fd = CLOSED_FD
         try:
             folder.mkdir(parents=True, exist_ok=True)
             self._lock()
@@ -97,11 +97,11 @@
             ) from None
 
     def _load_folder_id(self, name: str) -> str:
-        """Reads the folder id; a new folder gets one.
+        """Reads the folder id; generates one for a new folder.
 
         Raises:
-            StorageError: The id is missing beside a log file or unreadable, or the folder belongs to
-                another voter.
+            StorageError: The id is unreadable or missing although there is a log file, or the folder belongs
+                to another voter.
         """
         path = self._folder / IDENTITY_FILE
         try:
@@ -109,14 +109,14 @@
         except FileNotFoundError:
             if self._log_path.exists():
                 raise StorageError(
-                    f"{path}: missing, though there is a history; restore it, or take this "
-                    f"voter out, empty the folder and add it anew"
+                    f"{path}: missing, though the folder has a log; restore the file, or remove this voter "
+                    f"from the cluster, empty the folder and add the voter again"
                 ) from None
             folder_id = secrets.token_hex(FOLDER_ID_BYTES)
             self._replace_file(path, f"{name} {folder_id}\n".encode())
             return folder_id
         except UnicodeDecodeError as error:
-            raise StorageError(f"{path}: damaged ({error}); restore it") from None
+            raise StorageError(f"{path}: damaged ({error}); restore the file") from None
         if owner != name or not folder_id:
             raise StorageError(f"{path}: the folder of {owner!r}, not of {name!r}")
         return folder_id
@@ -127,24 +127,24 @@
         Raises:
             OSError: A system call failed; the file has its old content or `data`.
         """
-        unfinished = path.with_suffix(".new")
-        file = os.open(unfinished, REPLACE_FLAGS, FILE_MODE)
+        new_path = path.with_suffix(".new")
+        fd = os.open(new_path, REPLACE_FLAGS, FILE_MODE)
         try:
-            _write_all(file, data)
-            os.fsync(file)
+            _write_all(fd, data)
+            os.fsync(fd)
         finally:
-            os.close(file)
-        if unfinished.read_bytes() != data:
+            os.close(fd)
+        if new_path.read_bytes() != data:
             raise OSError(errno.EIO, "the file read back differs from the data written")
-        os.replace(unfinished, path)
+        os.replace(new_path, path)
         self._sync_folder()
 
     def _sync_folder(self) -> None:
-        folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(folder)
+            os.fsync(folder_fd)
         finally:
-            os.close(folder)
+            os.close(folder_fd)
 
     def _load_state(self) -> PersistentState:
         state = PersistentState()
@@ -160,16 +160,16 @@
         if torn_bytes:
             self.startup_notice = f"{self._log_path.name}: truncated a torn tail of {torn_bytes} bytes"
         if data:
-            # After a failed sync the page cache may hold data that is not on the disk: a new file is synced.
+            # After a failed sync the page cache may hold data that is not on disk, so a new file is synced.
             self._replace_file(self._log_path, data[:valid_bytes])
         return state
 
     def save(self, ready: Ready) -> None:
-        """Writes hard state, snapshot and entries of `ready`, and returns once they are on stable storage.
+        """Writes hard state, snapshot and entries of `ready`; returns once they are on stable storage.
 
         Raises:
-            OSError: A system call failed. The data may or may not be stored; this object is of no
-                further use.
+            OSError: A system call failed. The data may or may not be stored; this object cannot be
+                used any more.
         """
         hard_state = HardStateRecord(ready.term, ready.vote, ready.founding_member)
         entries: list[Record] = [EntriesRecord(ready.first_index, ready.entries)] if ready.entries else []
@@ -185,16 +185,16 @@
 
     def close(self) -> None:
         """Closes the files and releases the lock."""
-        for file in (self._log_fd, self._lock_fd):
-            if file != CLOSED:
+        for fd in (self._log_fd, self._lock_fd):
+            if fd != CLOSED_FD:
                 with contextlib.suppress(OSError):
-                    os.close(file)
-        self._log_fd = CLOSED
-        self._lock_fd = CLOSED
+                    os.close(fd)
+        self._log_fd = CLOSED_FD
+        self._lock_fd = CLOSED_FD
 
 
-def _write_all(file: int, data: bytes) -> None:
-    """Writes all of `data`; a single write may be short."""
+def _write_all(fd: int, data: bytes) -> None:
+    """Writes all of `data`; one system call may write a part only."""
     unwritten = memoryview(data)
     while unwritten:
-        unwritten = unwritten[os.write(file, unwritten) :]
+        unwritten = unwritten[os.write(fd, unwritten) :]
--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -1,4 +1,4 @@
-"""The state of the cluster at one member, as an answer of the admin API, whose keys are used here."""
+"""The state of the cluster at one member, with the keys of the admin API."""
 
 from typing import NotRequired, TypedDict
 
@@ -21,9 +21,9 @@
         "name": str,
         "state": str,  # a `LeaseHolderState`
         "incarnation": int,
-        "for-s": int,  # seconds since its first contact
-        "heard-ms-ago": NotRequired[int],  # since its last contact; known to its own voter only
-        "lag": int,  # entries that it has not applied
+        "for-s": int,  # seconds since the first contact with it
+        "heard-ms-ago": NotRequired[int],  # since the last contact; only the voter in `at` knows it
+        "lag": int,  # the number of entries that it has not applied yet
         "at": str,  # the voter that granted its lease
     },
 )
@@ -33,17 +33,17 @@
     "StatusDocument",
     {
         "name": str,
-        "acts": bool,  # whether it holds a lease
-        "why-not": str,  # why it does not act on its documents; empty if it does
+        "acts": bool,  # whether the member holds a lease
+        "why-not": str,  # the reason why it does not act on its documents; empty if it does
         "applied": int,  # log index
         "lease-ms": int,  # until its lease expires
         "versions": dict[str, VersionNumbers],  # by document
-        "voter": NotRequired[str],  # of a follower: the voter that grants its lease
+        "voter": NotRequired[str],  # given by a follower: the voter that grants its lease
         "leader": NotRequired[str],  # empty if unknown
-        "term": NotRequired[int],  # this one and the following: of a voter
+        "term": NotRequired[int],  # this and the following keys are given by voters only
         "voters": NotRequired[dict[str, str]],  # addresses by name
-        "leases-ms": NotRequired[dict[str, int]],  # of the leader: until the lease expires, by voter
-        "lag": NotRequired[dict[str, int]],  # of the leader: entries that are not replicated, by voter
+        "leases-ms": NotRequired[dict[str, int]],  # given by the leader: until the lease expires, by voter
+        "lag": NotRequired[dict[str, int]],  # given by the leader: entries to replicate, by voter
         "members": NotRequired[list[MemberDocument]],
     },
 )
@@ -55,11 +55,11 @@
 def cluster_status(
     consensus: Voter | Follower, now: int, *, acts: bool, inactive_reason: str
 ) -> StatusDocument:
-    """Returns the answer of the admin API.
+    """Returns the state of the cluster in the form of the admin API.
 
     Args:
         consensus: The state machine of the member.
-        now: Ticks.
+        now: The current time, in ticks.
         acts: Whether the member holds a lease.
         inactive_reason: Why the member does not act on its documents; empty if it does.
     """
@@ -91,7 +91,7 @@
 
 
 def _granted_leases(leader: Voter, now: int) -> dict[str, int]:
-    """The milliseconds until the leases that the leader granted expire, by voter."""
+    """The milliseconds until each lease that the leader granted expires, by voter."""
     return {
         name: max(until - now, 0) // TICKS_PER_MILLISECOND
         for name, until in leader.leader_leases.granted_until.items()
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -1,8 +1,8 @@
 """Connections between cluster members.
 
-A voter connects to each other voter and sends on that connection. A follower connects to its voter, which
-sends to the follower on the same connection. The send buffer is bounded: the connection of a receiver that
-does not read is aborted, and the next message opens a new one.
+Each voter opens a connection to every other voter and sends on it. A follower opens a connection to its
+voter, and both send on it. Send buffers are bounded: a connection whose receiver does not read is aborted,
+and the next message opens a new one.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 class TransportHandler(Protocol):
-    """The member that receives the messages."""
+    """The member to which a transport delivers messages."""
 
     def admit(self, hello: Hello) -> str:
         """Admits the sender of a hello; returns the reason if it is not admitted, else an empty string."""
@@ -70,7 +70,7 @@
         self._loop = asyncio.get_running_loop()
         self._outgoing: dict[str, asyncio.StreamWriter] = {}
         self._incoming: dict[str, asyncio.StreamWriter] = {}
-        self._accepted: set[asyncio.StreamWriter] = set()  # also those whose hello is awaited
+        self._accepted: set[asyncio.StreamWriter] = set()  # including those that have not sent a hello yet
         self._closed = False
         self._active_receivers: set[str] = set()
         self._reconnect_not_before: dict[str, float] = {}
@@ -89,9 +89,9 @@
         self._acceptor = Acceptor(listening, self._run_incoming, self._metrics, LIMITS)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Sends a message, or drops it and connects where there is no connection.
+        """Sends a message; without a connection, drops it and starts to connect.
 
-        Requests are repeated by their senders, so messages are not queued for a later connection.
+        Senders repeat their requests, so messages need not be queued until the connection is open.
         """
         connections = self._outgoing if receiver in self.addresses else self._incoming
         writer = connections.get(receiver)
@@ -109,9 +109,9 @@
             logger.warning("message to %s not sent: %s", receiver, error, extra=LOG_CATEGORY)
 
     def _connect(self, receiver: str) -> None:
-        known = receiver in self.addresses
-        due = self._loop.time() >= self._reconnect_not_before.get(receiver, 0)
-        if known and due and not self._closed and receiver not in self._active_receivers:
+        has_address = receiver in self.addresses
+        backoff_is_over = self._loop.time() >= self._reconnect_not_before.get(receiver, 0)
+        if has_address and backoff_is_over and not self._closed and receiver not in self._active_receivers:
             self._active_receivers.add(receiver)
             self._spawn(self._run_outgoing(receiver))
 
@@ -132,7 +132,7 @@
         except ProtocolError as error:
             logger.warning("protocol error from %s: %s", receiver, error, extra=LOG_CATEGORY)
         except (OSError, TimeoutError):
-            pass  # the connection failed or was reset: a later message connects again
+            pass  # the connection failed or was reset: a later message opens a new one
         finally:
             self._active_receivers.discard(receiver)
             self._outgoing.pop(receiver, None)
@@ -141,7 +141,7 @@
             self._delay_reconnect(receiver)
 
     def _delay_reconnect(self, receiver: str) -> None:
-        """Exponential backoff, with jitter so that members do not reconnect at the same time."""
+        """Backs off exponentially, with jitter so that members do not reconnect at the same time."""
         previous = self._reconnect_delay.get(receiver, MIN_RECONNECT_DELAY_SECONDS)
         delay = min(RECONNECT_BACKOFF_FACTOR * previous, MAX_RECONNECT_DELAY_SECONDS)
         self._reconnect_delay[receiver] = delay
@@ -154,7 +154,7 @@
             if self._closed or len(self._incoming) >= MAX_INCOMING_CONNECTIONS:
                 return
             decoder = FrameDecoder()
-            messages = await self._read_first(reader, decoder)
+            messages = await self._read_first_messages(reader, decoder)
             if self._closed or not messages:
                 return
             name = self._admit(messages[0], writer)
@@ -163,7 +163,7 @@
         except ProtocolError as error:
             logger.warning("protocol error from %s: %s", name or "unknown", error, extra=LOG_CATEGORY)
         except (OSError, TimeoutError):
-            pass  # the sender connects again
+            pass  # the sender opens a new connection
         finally:
             self._accepted.discard(writer)
             if name and self._incoming.get(name) is writer:
@@ -172,8 +172,10 @@
                 writer.close()
 
     @staticmethod
-    async def _read_first(reader: asyncio.StreamReader, decoder: FrameDecoder) -> list[Message | Hello]:
-        """Returns the first messages of a connection; none if it ends before."""
+    async def _read_first_messages(
+        reader: asyncio.StreamReader, decoder: FrameDecoder
+    ) -> list[Message | Hello]:
+        """Returns the first messages of a connection; an empty list if it ends before any."""
         async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
             while True:
                 data = await reader.read(READ_BYTES)
@@ -212,7 +214,7 @@
         while True:
             for message in messages:
                 if isinstance(message, Hello):
-                    raise ProtocolError("a second hello")
+                    raise ProtocolError("received a second hello")
                 self._metrics.increment("cluster-messages-received")
                 self._handler.handle_message(sender, message)
             data = await reader.read(READ_BYTES)
@@ -221,10 +223,10 @@
             messages = decoder.feed(data)
 
     async def close(self) -> None:
-        """Stops listening and closes all connections, also accepted ones that have not sent a hello yet.
+        """Stops listening and closes all connections, including accepted ones that have not sent a hello yet.
 
-        If these stayed open, their senders would go on using them, and would not connect to the next voter at
-        the same address.
+        If the latter stayed open, their senders would keep using them instead of connecting to the next voter
+        at the same address.
         """
         self._closed = True
         if self._acceptor:
