--- a/crankfold/__init__.py
+++ b/crankfold/__init__.py
@@ -1,3 +1,3 @@
-"""Crankfold: a load balancer that pushes requests to backends."""
+"""Crankfold, a load balancer that pushes requests to backends."""
 
 __version__ = "0.2.0"
--- a/crankfold/__main__.py
+++ b/crankfold/__main__.py
@@ -1,9 +1,9 @@
-"""The program: `python -m crankfold`."""
+"""Runs the command line: `python -m crankfold`."""
 
 from crankfold.network.signals import catch_early_signals
 
-catch_early_signals()  # before the rest is imported: a SIGHUP that comes meanwhile would end the process
+catch_early_signals()  # before the other imports, during which a SIGHUP would end the process
 
-from crankfold.cli.main import main  # noqa: E402 - the import takes longer than a signal may wait
+from crankfold.cli.main import main  # noqa: E402 - signals are caught before this import, which takes long
 
 main(prog_name="crankfold")
--- a/crankfold/config/interning.py
+++ b/crankfold/config/interning.py
@@ -1,4 +1,4 @@
-"""Interning: names from outside are replaced by small dense indices."""
+"""Interning: replaces names from outside by small dense indices."""
 
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
@@ -11,17 +11,17 @@
     """Assigns indices to names in the order in which they first occur.
 
     Attributes:
-        names: By index.
+        names: The names, in the order of their indices.
     """
 
-    def __init__(self, known: Iterable[Key] = ()) -> None:
+    def __init__(self, names: Iterable[Key] = ()) -> None:
         self.names: list[Key] = []
         self._index_of: dict[Key, int] = {}
-        for name in known:
+        for name in names:
             self.intern(name)
 
     def intern(self, name: Key) -> int:
-        """The index of a name; a new name gets the next one."""
+        """Returns the index of a name; a new name gets the next index."""
         index = self._index_of.get(name)
         if index is None:
             index = len(self.names)
@@ -30,5 +30,5 @@
         return index
 
     def find(self, name: Key) -> int:
-        """The index of a name, NOT_FOUND for an unknown one."""
+        """Returns the index of a name; NOT_FOUND if the name is unknown."""
         return self._index_of.get(name, NOT_FOUND)
--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -1,7 +1,7 @@
-"""Reads settings into the configurations of the routing and of the service.
+"""Reads the configurations of the routing and of the service from settings.
 
-Settings are flat: texts by path, such as `allowed.connect-timeout`. The simulator passes them so, and the
-nested settings of a configuration file are flattened first. The words of the settings stay in this package.
+Settings are flat: each is a text with a path, such as `allowed.connect-timeout`. The simulator passes them in
+this form; the nested settings of a configuration file are flattened first. Only this package knows the paths.
 """
 
 from collections.abc import Mapping
@@ -12,11 +12,11 @@
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass, RoutingConfig
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
-# The settings that a reload may change; the state of backends depends on the others.
+# The settings that a reload may change; the state kept for backends depends on the others.
 RELOADABLE = ("service-grades", "allowed", "score-parts", "revenue-per", "orgs")
-# Microseconds. Long enough for one retransmission of a lost SYN after 1 s (RFC 6298).
+# Microseconds. Allows for one retransmission of a lost SYN, which takes place after 1 s (RFC 6298).
 DEFAULT_CONNECT_TIMEOUT = 1_100_000
-# Microseconds. A connection closed too early costs a handshake, one reused too late costs a request.
+# Microseconds. A connection that is closed too early costs a handshake, one reused too late a request.
 DEFAULT_IDLE_TIMEOUT = 4_000_000
 DEFAULT_TIMER_RESOLUTION = 1_000  # microseconds
 DEFAULT_MAX_PENDING = 20_000  # requests
@@ -34,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """The configuration of the service beside the routing. Times are in ticks.
+    """The configuration of the service without that of the routing. Times are in ticks.
 
     Attributes:
-        request_classes: Indices of their names.
-        zones: Indices of their names.
-        instance_types: Indices of their names.
-        report_fields: Of load reports, in the order of their values.
-        connect_timeout: For a connection to a backend.
-        idle_timeout: After which a backend may close a connection.
-        longest_deadline: Of all request classes.
-        max_pending: Open requests; more are shed.
-        slow_start_duration: From the start of a backend to its full capacity.
-        initial_capacity: Share of its capacity that a backend has at its start.
+        request_classes: The names of the request classes, with their indices.
+        zones: The names of the zones, with their indices.
+        instance_types: The names of the instance types, with their indices.
+        report_fields: The names of the fields of load reports, in the order of their values.
+        connect_timeout: The longest time that connecting to a backend may take.
+        idle_timeout: The idle time after which a backend may close a connection.
+        longest_deadline: The longest deadline of all request classes.
+        max_pending: The largest number of open requests; further ones are shed.
+        slow_start_duration: The time from the start of a backend to its full capacity.
+        initial_capacity: The share of its capacity that a backend has at its start.
     """
 
     request_classes: Interner[str]
@@ -62,7 +62,7 @@
 
 
 class _Settings:
-    """Typed reads of flat settings. A missing or empty path has the default value."""
+    """Reads typed values from flat settings. A missing or empty setting has the default value."""
 
     def __init__(self, texts: Mapping[str, str]) -> None:
         self.texts = texts
@@ -75,10 +75,10 @@
         return text == "true" if text else default
 
     def integer(self, path: str, default: int) -> int:
-        """An integer.
+        """Returns an integer setting.
 
         Raises:
-            SettingsError: The text is no integer.
+            SettingsError: The text is not an integer.
         """
         try:
             return int(self.texts.get(path) or default)
@@ -86,31 +86,34 @@
             raise SettingsError(str(error)) from error
 
     def number(self, path: str, default: float) -> float:
-        """A number.
+        """Returns a numeric setting.
 
         Raises:
-            SettingsError: The text is no number.
+            SettingsError: The text is not a number.
         """
         return _parse_number(self.texts.get(path) or default)
 
     def upper_bound(self, path: str, default: int = 0) -> int:
-        """A duration that the program must not exceed: ticks, rounded down from microseconds."""
+        """Returns a duration that the program must not exceed, rounded down from microseconds to ticks."""
         return int(self.number(path, default)) // MICROSECONDS_PER_TICK
 
     def lower_bound(self, path: str, default: int = 0) -> int:
-        """A duration that the program must wait at least: ticks, rounded up from microseconds."""
+        """Returns the shortest duration that the program must wait, rounded up from microseconds to ticks."""
         return -(-int(self.number(path, default)) // MICROSECONDS_PER_TICK)
 
     def items(self, path: str) -> list[str]:
-        """The values of a list of plain values."""
+        """Returns the texts of a list of plain values."""
         return [item for item in self.text(path).split(",") if item]
 
     def numbers(self, path: str) -> list[float]:
-        """The values of a list of numbers."""
+        """Returns the values of a list of numbers."""
         return [_parse_number(item) for item in self.items(path)]
 
     def names(self, path: str) -> Interner[str]:
-        """The names of a list of objects or of a list of plain values."""
+        """Returns the names in a list of objects or of plain values, with their indices.
+
+        An object without a name has its position as its name.
+        """
         count = self.integer(f"{path}.count", 0)
         if count:
             return Interner(self.text(f"{path}.{index}.name", str(index)) for index in range(count))
@@ -151,7 +154,7 @@
 
 
 def setting_text(value: object) -> str:
-    """A plain value as a text of flat settings, without spaces and commas."""
+    """Returns a plain value as a text of flat settings; spaces and commas become underscores."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -159,14 +162,14 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def read_service_config(given: Mapping[str, str]) -> ServiceConfig:
+def read_service_config(flat_settings: Mapping[str, str]) -> ServiceConfig:
     """Reads the configuration of the service from flat settings.
 
     Raises:
         SettingsError: A number is malformed.
     """
-    settings = _Settings(given)
-    settings.names("orgs")  # validated only: the header of a request names its tenant
+    settings = _Settings(flat_settings)
+    settings.names("orgs")  # only validated: a request names its tenant in a header
     request_classes = settings.names("service-grades")
     deadlines = (
         settings.upper_bound(f"service-grades.{index}.cut-off") for index in range(len(request_classes.names))
@@ -185,13 +188,13 @@
     )
 
 
-def read_routing_config(given: Mapping[str, str]) -> RoutingConfig:
-    """Reads the configuration of the routing from flat settings, one line for each field.
+def read_routing_config(flat_settings: Mapping[str, str]) -> RoutingConfig:
+    """Reads the configuration of the routing from flat settings.
 
     Raises:
         SettingsError: A number is malformed.
     """
-    settings = _Settings(given)
+    settings = _Settings(flat_settings)
     return RoutingConfig(
         request_classes=_read_request_classes(settings),
         instance_count=max(settings.integer("balancers", 1), 1),
@@ -235,7 +238,7 @@
     stretches = settings.numbers("specifics.class-stretch")
     request_classes = []
     for index in range(settings.integer("service-grades.count", 0)):
-        # The default factors are by position; classes beyond the list have its last one.
+        # The default factors are listed by class; classes beyond the end of the list have its last factor.
         default_stretch = stretches[min(index, len(stretches) - 1)] if stretches else 0.0
         request_classes.append(_read_request_class(settings, f"service-grades.{index}", default_stretch))
     return request_classes
@@ -256,6 +259,6 @@
 
 
 def _read_report_fields(settings: _Settings) -> list[str]:
-    """The fields of load reports, with `x0` and `x1` replaced by their meanings if the settings give them."""
+    """Returns the fields of load reports; `x0` and `x1` are replaced by their meanings if those are set."""
     meanings = {name: settings.text(f"specifics.report-{name}") for name in ("x0", "x1")}
     return [meanings.get(name) or name for name in settings.items("report.names")]
--- a/crankfold/config/schema.py
+++ b/crankfold/config/schema.py
@@ -1,7 +1,7 @@
 """The schema of a configuration file, which is validated before any of it is used.
 
-Not imported at start: `crankfold check` and reloads use it. Fields have the names of the program, and `field`
-maps the keys of the file to them.
+Only `crankfold check` and reloads import it. Fields have the names that the program uses; `field` maps them
+to the keys of the file.
 """
 
 import re
@@ -17,14 +17,14 @@
 NonNegative = Annotated[float, Meta(ge=0)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 NonEmptyText = Annotated[str, Meta(min_length=1)]
-MAX_SHOWN = 60  # characters of a value that is quoted in an error
+MAX_QUOTED_CHARACTERS = 60  # of a value in an error message
 _JsonObject = Mapping[str, Any]
 # Top-level keys that may be missing even if the running configuration has them.
-_NOT_COMPARED = ("known", "admin_addr")
+_OPTIONAL_KEYS = ("known", "admin_addr")
 
 
 class SchemaError(CrankfoldError, ValueError):
-    """A field does not match the schema: the text has its path, the value and what is allowed."""
+    """A field does not match the schema; the message has its path, its value and what is allowed."""
 
 
 class RequestClassSchema(Struct, rename="kebab"):
@@ -42,7 +42,7 @@
 
 
 class AllowedSchema(Struct, rename="kebab"):
-    """Permissions and limits of the dispatcher. Times are in microseconds."""
+    """What the dispatcher may do, and its limits. Times are in microseconds."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = field(name="most-dispatches")
     cancel: bool | None = None
@@ -74,7 +74,7 @@
 
 
 class LimitsSchema(Struct):
-    """Limits of the process; `sockets` counts descriptors."""
+    """Limits of the process. `sockets` is the number of file descriptors that it may open."""
 
     sockets: Annotated[int, Meta(ge=1)] | None = None
 
@@ -88,7 +88,7 @@
     limits: LimitsSchema | None = None
     seed: str | None = None
     admin_address: str | None = field(name="admin_addr", default=None)
-    peers: dict[str, Any] | None = None  # validated where the cluster is started
+    peers: dict[str, Any] | None = None  # validated by `read_cluster_config`
 
 
 def validate(given: _JsonObject, running: _JsonObject | None = None) -> None:
@@ -96,22 +96,22 @@
 
     Args:
         given: The decoded file.
-        running: The configuration in force. The file must have all of its keys.
+        running: The configuration in force, if any; the file must have all of its keys.
 
     Raises:
         SchemaError: The first error.
     """
     _validate_against(given, ConfigFileSchema, "")
-    first_of_name: dict[str, int] = {}
+    index_by_name: dict[str, int] = {}
     for index, request_class in enumerate(given["settings"]["service-grades"]):
         path = f"settings.service-grades[{index}]"
         _validate_against(request_class, RequestClassSchema, path + ".")
         name = request_class["name"]
-        first = first_of_name.setdefault(name, index)
-        if first != index:
-            raise SchemaError(f"{path}.name: found {name!r}, which number {first} has already")
+        first_index = index_by_name.setdefault(name, index)
+        if first_index != index:
+            raise SchemaError(f"{path}.name: found {name!r}, which number {first_index} has already")
     if running is not None:
-        _check_nothing_lost(given, running, "")
+        _check_no_key_missing(given, running, "")
 
 
 def _validate_against(given: object, schema: type, path: str) -> None:
@@ -123,41 +123,45 @@
 
 
 def _describe(given: object, text: str, path: str, location: str) -> str:
-    """The text for an error of msgspec at a location below `path`."""
+    """Returns the message for an error of msgspec at a location below `path`."""
     missing = re.search(r"missing required field `(.+?)`", text)
     if missing:
         return f"{path}{location}{'.' if location else ''}{missing[1]}: missing"
     found: Any = given
     for key, index in re.findall(r"([^.\[\]]+)|\[(\d+)\]", location):
         found = found[key or int(index)]
-    shown = repr(found)
-    if len(shown) > MAX_SHOWN:
-        shown = shown[:MAX_SHOWN] + "..."
-    return f"{path}{location}: found {shown}; {text[0].lower()}{text[1:]}"
+    quoted = repr(found)
+    if len(quoted) > MAX_QUOTED_CHARACTERS:
+        quoted = quoted[:MAX_QUOTED_CHARACTERS] + "..."
+    return f"{path}{location}: found {quoted}; {text[0].lower()}{text[1:]}"
 
 
-def _check_nothing_lost(given: object, running: object, path: str) -> None:
-    """Checks that `given` has the keys of `running`: a key deleted by mistake must not mean its default.
+def _check_no_key_missing(given: object, running: object, path: str) -> None:
+    """Checks that `given` has the keys of `running`.
+
+    Otherwise a key that was deleted by mistake would silently get its default value.
 
     Raises:
         SchemaError: A key is missing.
     """
     if isinstance(running, dict) and isinstance(given, dict):
         for key in running:
-            if key not in given and (path or key not in _NOT_COMPARED):
+            if key not in given and (path or key not in _OPTIONAL_KEYS):
                 raise SchemaError(f"{path}{key}: missing; the running configuration has it")
             if key in given and (path or key != "known"):
-                _check_nothing_lost(given[key], running[key], f"{path}{key}.")
+                _check_no_key_missing(given[key], running[key], f"{path}{key}.")
     elif isinstance(running, list) and isinstance(given, list):
         common = _common_keys(running)
         for index, item in enumerate(given):
-            lost = sorted(common - set(item)) if isinstance(item, dict) else []
-            if lost:
-                raise SchemaError(f"{path[:-1]}[{index}].{lost[0]}: missing; all of the running ones have it")
+            missing_keys = sorted(common - set(item)) if isinstance(item, dict) else []
+            if missing_keys:
+                raise SchemaError(
+                    f"{path[:-1]}[{index}].{missing_keys[0]}: missing; all of the running ones have it"
+                )
 
 
 def _common_keys(items: list[Any]) -> set[str]:
-    """The keys that all objects in a list have; none if an item is not an object."""
+    """Returns the keys that all objects in a list have; an empty set if an item is not an object."""
     if not items or not all(isinstance(item, dict) for item in items):
         return set()
     return set.intersection(*(set(item) for item in items))
--- a/crankfold/errors.py
+++ b/crankfold/errors.py
@@ -2,12 +2,12 @@
 
 
 class CrankfoldError(Exception):
-    """The common base: something given to the program, or told to it, cannot be used.
+    """The base class of the exceptions of this package: an input to the program cannot be used.
 
-    The text is one line for a log or a terminal. Subclasses name what was at fault; modules define those
-    that nobody else raises.
+    The message is one line for a log or a terminal. Subclasses say what is at fault; one that is raised in a
+    single module is defined in that module.
     """
 
 
 class ConfigError(CrankfoldError):
-    """The configuration file, or an address in it or on the command line, cannot be served from."""
+    """The configuration file, or an address in it or on the command line, cannot be used."""
--- a/crankfold/time_units.py
+++ b/crankfold/time_units.py
@@ -1,7 +1,7 @@
-"""Units of time for the whole program.
+"""Units of time of the whole program.
 
-Times and durations are whole ticks of 0.1 ms on a clock that never goes back, unless a name or docstring says
-otherwise; settings and the simulator's wire count microseconds.
+Times and durations are whole ticks of 0.1 ms on a monotonic clock, unless a name or docstring says otherwise;
+settings and the simulator's protocol are in microseconds.
 """
 
 TICKS_PER_SECOND = 10_000
