--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -1,4 +1,4 @@
-"""The `peers` part of the configuration: what is wrong is told with its field."""
+"""Errors in the `peers` part of the configuration."""
 
 from crankfold.cluster.config import ClusterConfigError, read_cluster_config
 from tests.fixtures import TraceTestCase
@@ -7,9 +7,9 @@
 
 
 class ClusterConfigTest(TraceTestCase):
-    def test_an_error_names_its_field(self) -> None:
+    def test_config_error_names_its_field(self) -> None:
         voters = {name: "127.0.0.1:1" for name in VOTERS}
-        for given in (
+        for peers in (
             {},
             {"name": "n0", "voters": voters},
             {"name": "f", "voters": {"a": "b"}},
@@ -19,6 +19,6 @@
             {"name": "f", "voters": voters, "adress": "x"},
         ):
             with self.assertRaises(ClusterConfigError) as raised:
-                read_cluster_config(given)
+                read_cluster_config(peers)
             self.record(str(raised.exception))
         self.assert_matches_trace("cluster-config")
--- a/tests/cluster/test_framing.py
+++ b/tests/cluster/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames between cluster members: cut anywhere, and bytes that are none."""
+"""Decoding of frames between cluster members from partial and from invalid bytes."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class FramingTest(unittest.TestCase):
-    def test_messages_are_decoded_wherever_their_bytes_are_cut(self) -> None:
+    def test_decoder_reassembles_messages_cut_at_any_byte(self) -> None:
         messages: list[Message | Hello] = [
             Hello(PROTOCOL_VERSION, "n", 3, ""),
             ProposalRequest("c", "k", {"a": 1}),
@@ -25,7 +25,7 @@
             decoder = FrameDecoder()
             self.assertEqual(decoder.feed(data[:cut]) + decoder.feed(data[cut:]), messages)
 
-    def test_bytes_that_are_no_messages_raise_a_protocol_error(self) -> None:
+    def test_decoder_raises_protocol_error_on_invalid_bytes(self) -> None:
         for invalid in (
             (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
             b"\0\0\0\1\xc1",
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -1,4 +1,4 @@
-"""Cluster nodes on loopback sockets and real storage: agreement, replacement, failures."""
+"""Cluster nodes on loopback sockets and real storage: publishing, replacement of voters, and failures."""
 
 import asyncio
 import errno
@@ -27,21 +27,21 @@
 
 
 class IdleDispatcher(IdleHost):
-    """A dispatcher without requests, which tells what changed."""
+    """A dispatcher without requests that reports changed documents to a callback."""
 
-    def __init__(self, changed: Callable[[set[str]], None]) -> None:
-        self.documents_changed = changed
+    def __init__(self, documents_changed: Callable[[set[str]], None]) -> None:
+        self.documents_changed = documents_changed
 
     def propose_transitions(self, now: int) -> list[dict[str, Any]]:  # noqa: ARG002 - as the base names it
         return []
 
 
 class ClusterScene(Loopback):
-    """Nodes of one cluster, each with a folder of its own."""
+    """Runs the nodes of one cluster, each with its own storage folder."""
 
     async def asyncSetUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        # A port that the system chose may, once it is closed, be given to another process, or a second time.
+        # A port chosen by the system could, once closed, be assigned to another process or a second time.
         self.ports = {name: find_free_port() for name in (*VOTERS, "n3")}
         self.nodes: dict[str, ClusterNode] = {}
 
@@ -53,31 +53,32 @@
         self,
         name: str,
         voters: tuple[str, ...] = VOTERS,
-        folder: str = "",
-        changed: Callable[[set[str]], None] = lambda _docs: None,
-        key: str = "",
+        folder_name: str = "",
+        documents_changed: Callable[[set[str]], None] = lambda _names: None,
+        successor_key: str = "",
     ) -> ClusterNode:
+        """Starts a node; with `successor_key`, as a successor that `nodes` lists under that key."""
         config = ClusterConfig(
             name,
             {voter: f"{HOST}:{self.ports[voter]}" for voter in voters},
-            storage_folder=str(self.folder / (folder or name)),
+            storage_folder=str(self.folder / (folder_name or name)),
             staleness_bound=1.0,
-            is_successor=bool(key),
+            is_successor=bool(successor_key),
         )
         node = ClusterNode(
             config,
             metrics=Metrics(),
-            dispatcher=IdleDispatcher(changed),
+            dispatcher=IdleDispatcher(documents_changed),
             initial_settings=settings_document("safe"),
         )
         await node.open()
-        self.nodes[key or name] = node
+        self.nodes[successor_key or name] = node
         return node
 
-    async def publish(self, node: ClusterNode, call: str, made_from: int, **more: Any) -> Any:
+    async def publish(self, node: ClusterNode, proposal_id: str, made_from: int, **fields: Any) -> Any:
         data = {"doc": SETTINGS, "made_from": made_from, "author": "", "reason": "", "at": 0}
         return await node.propose(
-            "publish", {**data, "text": settings_document("unsafe"), **more}, call, 30.0
+            "publish", {**data, "text": settings_document("unsafe"), **fields}, proposal_id, 30.0
         )
 
     def acts(self, *names: str) -> bool:
@@ -85,7 +86,7 @@
 
 
 class ClusterNodeTest(ClusterScene):
-    async def test_three_voters_and_a_follower_agree_and_a_voter_is_replaced(self) -> None:
+    async def test_cluster_activates_published_version_and_replaces_failed_voter(self) -> None:
         for name in VOTERS:
             await self.start(name)
         follower = await self.start("f")
@@ -100,62 +101,65 @@
                 node.consensus.documents.document(SETTINGS).active_number == 2 for node in self.nodes.values()
             )
         )
-        # A voter dies for good, and another comes in its place, one step at a time.
+        # A failed voter is replaced in two steps: one change removes it, the next one adds another.
         failed = next(name for name in VOTERS if self.nodes[name].status()["leader"] != name)
         await self.nodes.pop(failed).close()
         remaining = next(node for name, node in self.nodes.items() if name in VOTERS)
-        fewer = {name: f"{HOST}:{self.ports[name]}" for name in VOTERS if name != failed}
-        self.assertTrue((await remaining.propose("voters", {"voters": fewer}, "b", 30.0)).accepted)
-        more = {**fewer, "n3": f"{HOST}:{self.ports['n3']}"}
-        await self.until(lambda: remaining.status()["voters"] == fewer)
-        for _ in range(50):  # the change before may not be committed yet
-            response = await remaining.propose("voters", {"voters": more}, "c", 30.0)
+        voters_without_failed = {name: f"{HOST}:{self.ports[name]}" for name in VOTERS if name != failed}
+        self.assertTrue(
+            (await remaining.propose("voters", {"voters": voters_without_failed}, "b", 30.0)).accepted
+        )
+        voters_with_new = {**voters_without_failed, "n3": f"{HOST}:{self.ports['n3']}"}
+        await self.until(lambda: remaining.status()["voters"] == voters_without_failed)
+        for _ in range(50):  # rejected while the previous change is not committed yet
+            response = await remaining.propose("voters", {"voters": voters_with_new}, "c", 30.0)
             if response.accepted:
                 break
             await asyncio.sleep(0.02)
         self.assertEqual(response.reason, "")
-        await self.start("n3", tuple(more))
+        await self.start("n3", tuple(voters_with_new))
         await self.until(lambda: self.acts("n3", "f"))
         self.assertEqual(self.nodes["n3"].consensus.documents.version_numbers(), {SETTINGS: (2, 2)})
 
-    async def test_a_voter_that_lost_its_folder_has_no_vote_under_its_old_name(self) -> None:
+    async def test_voter_with_new_folder_has_no_vote_under_its_old_name(self) -> None:
         for name in VOTERS:
             await self.start(name)
         await self.until(lambda: self.acts(*VOTERS))
         await self.until(lambda: len(self.nodes["n0"].consensus.documents.replicated.voter_folder_ids) == 3)
         await self.nodes.pop("n2").close()
         await self.nodes.pop("n1").close()
-        await self.start("n1", folder="elsewhere")
+        await self.start("n1", folder_name="elsewhere")
         await asyncio.sleep(1.2)
-        self.assertFalse(self.acts("n0"))  # with the old n2 it would be a majority, with this one it is none
+        # n0 and the old n1 would be a majority; n1 with another folder has no vote.
+        self.assertFalse(self.acts("n0"))
         self.assertFalse(self.acts("n1"))
         await self.start("n2")
         await self.until(lambda: self.acts("n0", "n2"))
         self.assertFalse(self.acts("n1"))
 
-    async def test_a_successor_is_a_follower_until_the_voter_has_ended(self) -> None:
+    async def test_successor_is_follower_until_voter_has_closed(self) -> None:
         for name in VOTERS:
             await self.start(name)
         await self.until(lambda: self.acts(*VOTERS))
-        successor = await self.start("n1", key="successor")
+        successor = await self.start("n1", successor_key="successor")
         await self.until(lambda: self.acts("successor"))
         self.assertRegex(successor.consensus.name, r"n1\+")
         response = await self.publish(successor, "a", 1)
         self.assertTrue(response.accepted)
         await self.until(lambda: successor.consensus.documents.document(SETTINGS).latest_number() == 2)
         await self.nodes.pop("n1").close()
-        without_lease = 0
+        checks_without_lease = 0
         while successor.consensus.name != "n1":
-            without_lease += not successor.has_lease()
+            checks_without_lease += not successor.has_lease()
             await asyncio.sleep(0.005)
-        self.assertEqual(without_lease, 0)  # it acted all the while
+        self.assertEqual(checks_without_lease, 0)
         await self.until(lambda: self.acts("successor"))
         self.assertEqual(successor.consensus.documents.document(SETTINGS).latest_number(), 2)
 
-    # Guards against a voter that holds its folder and address after its node has closed.
-    async def test_a_node_that_closes_also_closes_the_voter_that_it_has_opened(self) -> None:
+    # Guards against an opened voter that keeps its folder and its address after its node has closed.
+    async def test_close_of_node_also_closes_voter_that_it_opened(self) -> None:
         with patch.object(ClusterNode, "_is_ready", return_value=False):
-            successor = await self.start("n1", key="successor")
+            successor = await self.start("n1", successor_key="successor")
             await self.until((self.folder / "n1" / "history").exists)
             await asyncio.sleep(0.05)
             await self.nodes.pop("successor").close()
@@ -164,7 +168,7 @@
         with socket.create_server((HOST, self.ports["n1"])):
             pass
 
-    async def test_invalid_bytes_end_their_connection_and_nothing_else(self) -> None:
+    async def test_invalid_bytes_close_only_their_own_connection(self) -> None:
         for name in VOTERS:
             await self.start(name)
         await self.until(lambda: self.acts(*VOTERS))
@@ -183,46 +187,46 @@
             writer.close()
         self.assertTrue(self.acts(*VOTERS))
 
-    async def test_a_storage_failure_disables_the_voter_alone_until_its_folder_works(self) -> None:
+    async def test_storage_failure_disables_only_that_voter_until_folder_is_usable(self) -> None:
         for name in VOTERS:
             await self.start(name)
         await self.until(lambda: self.acts(*VOTERS))
-        failing = self.nodes["n1"]
-        full = OSError(errno.ENOSPC, "No space left on device")
-        voter = failing.member
-        with patch.object(voter.storage, "save", side_effect=full):
+        failing_node = self.nodes["n1"]
+        disk_full = OSError(errno.ENOSPC, "No space left on device")
+        voter = failing_node.member
+        with patch.object(voter.storage, "save", side_effect=disk_full):
             response = await self.publish(self.nodes["n0"], "a", 1)
             await self.until(lambda: bool(voter.disabled_reason))
-        self.assertTrue(response.accepted)  # the others are a majority
+        self.assertTrue(response.accepted)  # the other voters are a majority
         self.assertFalse(voter.has_lease())
         self.assertIn("No space left", voter.inactive_reason())
-        await self.until(lambda: failing.member is not voter and failing.consensus.name == "n1")
+        await self.until(lambda: failing_node.member is not voter and failing_node.consensus.name == "n1")
         await self.until(lambda: self.acts(*VOTERS))
 
-    async def test_an_isolated_follower_acts_on_nothing_and_says_why(self) -> None:
-        changes: list[set[str]] = []
-        node = await self.start("f", changed=changes.append)
+    async def test_isolated_follower_does_not_act_and_gives_reason(self) -> None:
+        document_changes: list[set[str]] = []
+        node = await self.start("f", documents_changed=document_changes.append)
         self.assertEqual(
             (node.has_lease(), node.inactive_reason()), (False, "nothing heard of the fleet yet")
         )
         response = await node.propose("publish", {}, "x", 0.1)
         self.assertEqual((response.accepted, response.version_number), (False, 0))
-        self.assertEqual(changes, [])
+        self.assertEqual(document_changes, [])
 
 
-class ImportTest(unittest.TestCase):
-    def test_no_optional_package_is_imported_without_peers(self) -> None:
+class OptionalImportTest(unittest.TestCase):
+    def test_command_line_imports_no_optional_package_at_start(self) -> None:
         script = (
             "import crankfold.cli.main, sys; print([name for name in sys.modules "
             "if name.split('.')[-1] == 'replicated_config' "
             "or name.startswith(('crankfold.cluster', 'crankfold.consensus', 'crankfold.maintenance', "
             "'crankfold.fault_injection'))])"
         )
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", script],
             capture_output=True,
             text=True,
             check=True,
             cwd=Path(__file__).parents[2],
         )
-        self.assertEqual(done.stdout.strip(), "[]")
+        self.assertEqual(completed.stdout.strip(), "[]")
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""A voter's folder: torn, damaged, in use, and replaced by a snapshot."""
+"""The storage folder of a voter: torn and damaged files, the lock, and replacement by a snapshot."""
 
 import errno
 import random
@@ -12,10 +12,10 @@
 from crankfold.consensus.messages import LogEntry, Snapshot
 from crankfold.consensus.raft_state import Ready
 
-FRAMES = 39
+FRAME_COUNT = 39
 
 
-def entry(number: int) -> LogEntry:
+def make_entry(number: int) -> LogEntry:
     return LogEntry(1, "publish", {"n": number})
 
 
@@ -24,11 +24,12 @@
         super().setUp()
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
-    def fill(self) -> bytes:
+    def write_log(self) -> bytes:
+        """Writes three frames; returns the content of the log file."""
         storage = RaftStorage(self.folder, "n0")
-        storage.save(Ready(1, "n0", True, True, None, 1, [entry(1), entry(2)]))
+        storage.save(Ready(1, "n0", True, True, None, 1, [make_entry(1), make_entry(2)]))
         storage.save(Ready(2, "", True, True))
-        storage.save(Ready(2, "", True, False, None, 2, [entry(22), entry(3)]))
+        storage.save(Ready(2, "", True, False, None, 2, [make_entry(22), make_entry(3)]))
         storage.close()
         return (self.folder / "history").read_bytes()
 
@@ -37,49 +38,49 @@
         self.addCleanup(storage.close)
         return storage
 
-    def test_what_was_stored_is_loaded(self) -> None:
-        self.fill()
+    def test_storage_loads_what_was_saved(self) -> None:
+        self.write_log()
         state = self.open_storage().persistent_state
         self.assertEqual((state.term, state.vote, state.founding_member), (2, "", True))
-        self.assertEqual(state.entries, [entry(1), entry(22), entry(3)])
+        self.assertEqual(state.entries, [make_entry(1), make_entry(22), make_entry(3)])
 
-    def test_a_tail_torn_at_any_byte_is_cut_off_and_the_records_before_it_stay(self) -> None:
-        data = self.fill()
-        records, start = [], 0
+    def test_tail_torn_at_any_byte_is_truncated_and_earlier_frames_are_kept(self) -> None:
+        data = self.write_log()
+        frame_starts, start = [], 0
         while start < len(data):
-            records.append(start)
+            frame_starts.append(start)
             start += HEADER_BYTES + int.from_bytes(data[start : start + 4], "big")
-        for cut in range(records[-1] + 1, len(data)):
-            for tail in (b"", b"\0" * 40):  # also where room was made and never filled
+        for cut in range(frame_starts[-1] + 1, len(data)):
+            for tail in (b"", b"\0" * 40):  # also with allocated space that was never written
                 (self.folder / "history").write_bytes(data[:cut] + tail)
                 storage = RaftStorage(self.folder, "n0")
                 storage.close()
                 self.assertEqual(
-                    storage.persistent_state.entries, [entry(1), entry(2)], f"{cut}, {len(tail)}"
+                    storage.persistent_state.entries, [make_entry(1), make_entry(2)], f"{cut}, {len(tail)}"
                 )
                 self.assertIn("torn tail", storage.startup_notice)
-                self.assertEqual((self.folder / "history").read_bytes(), data[: records[-1]])
+                self.assertEqual((self.folder / "history").read_bytes(), data[: frame_starts[-1]])
 
-    def test_damage_before_the_tail_is_refused_and_the_file_left_alone(self) -> None:
-        data = bytearray(self.fill())
+    def test_damage_before_last_frame_raises_error_and_leaves_file_unchanged(self) -> None:
+        data = bytearray(self.write_log())
         data[HEADER_BYTES + 3] ^= 1
         (self.folder / "history").write_bytes(data)
         with self.assertRaisesRegex(StorageError, "damaged at byte 0 .* add the voter again"):
             RaftStorage(self.folder, "n0")
         self.assertEqual((self.folder / "history").read_bytes(), data)
 
-    def fill_many(self, last: LogEntry) -> tuple[bytes, list[int]]:
-        """Writes 39 frames; returns the file and where each frame starts."""
+    def write_long_log(self, last_entry: LogEntry) -> tuple[bytes, list[int]]:
+        """Writes `FRAME_COUNT` frames; returns the content of the log file and the offset of each frame."""
         storage = RaftStorage(self.folder, "n0")
-        log = self.folder / "history"
-        starts = []
-        for number in range(FRAMES):
-            starts.append(log.stat().st_size)
-            is_last = number == FRAMES - 1
-            entries = [last if is_last else LogEntry(1, "publish", {"n": number, "text": "x" * number})]
+        log_path = self.folder / "history"
+        frame_starts = []
+        for number in range(FRAME_COUNT):
+            frame_starts.append(log_path.stat().st_size)
+            is_last = number == FRAME_COUNT - 1
+            entries = [last_entry if is_last else LogEntry(1, "publish", {"n": number, "text": "x" * number})]
             storage.save(Ready(number, "n1", False, number % 3 == 0, None, number + 1, entries))
         storage.close()
-        return log.read_bytes(), starts
+        return log_path.read_bytes(), frame_starts
 
     def is_accepted(self, data: bytes | bytearray) -> bool:
         (self.folder / "history").write_bytes(data)
@@ -89,11 +90,12 @@
             return False
         return True
 
-    # Guards against a voter that starts with an older term and vote, as a damaged log passed for a torn one.
-    def test_no_flipped_bit_is_taken_for_a_torn_tail(self) -> None:
-        data, starts = self.fill_many(LogEntry(1, "publish", {"n": 7}))
-        bits = [8 * start + bit for start in starts for bit in range(32)]  # of each length
-        bits += range(8 * starts[-1], 8 * len(data))  # the whole last frame
+    # Guards against a voter that starts with an older term and vote because damage was truncated as a torn
+    # tail.
+    def test_flipped_bit_is_not_taken_for_torn_tail(self) -> None:
+        data, frame_starts = self.write_long_log(LogEntry(1, "publish", {"n": 7}))
+        bits = [8 * start + bit for start in frame_starts for bit in range(32)]  # of the length of each frame
+        bits += range(8 * frame_starts[-1], 8 * len(data))  # of the whole last frame
         bits += random.Random(1).sample(range(8 * len(data)), 400)
         accepted = []
         for bit in bits:
@@ -103,15 +105,15 @@
                 accepted.append(bit)
         self.assertEqual(accepted, [])
 
-    def test_each_cut_of_the_last_of_many_frames_is_taken_for_a_torn_tail(self) -> None:
-        data, starts = self.fill_many(LogEntry(1, "publish", {"n": 7, "zeros": "\0" * 20, "m": 0}))
-        for cut in range(starts[-1] + 1, len(data)):
-            for unwritten in (0, 1, 3, len(data) - cut - 1, len(data) - cut, len(data) - cut + 40):
-                with self.subTest(cut, unwritten=unwritten):
-                    self.assertTrue(self.is_accepted(data[:cut] + b"\0" * unwritten))
+    def test_each_truncation_of_last_frame_is_taken_for_torn_tail(self) -> None:
+        data, frame_starts = self.write_long_log(LogEntry(1, "publish", {"n": 7, "zeros": "\0" * 20, "m": 0}))
+        for cut in range(frame_starts[-1] + 1, len(data)):
+            for unwritten_bytes in (0, 1, 3, len(data) - cut - 1, len(data) - cut, len(data) - cut + 40):
+                with self.subTest(cut, unwritten_bytes=unwritten_bytes):
+                    self.assertTrue(self.is_accepted(data[:cut] + b"\0" * unwritten_bytes))
 
-    def test_a_folder_of_another_voter_or_in_use_or_without_its_identity_is_refused(self) -> None:
-        self.fill()
+    def test_folder_of_another_voter_in_use_or_without_identity_raises_error(self) -> None:
+        self.write_log()
         with self.assertRaisesRegex(StorageError, "the folder of 'n0', not of 'n1'"):
             RaftStorage(self.folder, "n1")
         self.open_storage()
@@ -119,18 +121,18 @@
             RaftStorage(self.folder, "n0")
         self.doCleanups()
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.fill()
+        self.write_log()
         (self.folder / "identity").unlink()
         with self.assertRaisesRegex(StorageError, "missing, though the folder has a log"):
             RaftStorage(self.folder, "n0")
 
-    # Guards against a damaged identity that ends the process in place of the voter.
-    def test_a_flipped_bit_of_the_identity_is_refused_or_names_another_folder(self) -> None:
-        self.fill()
+    # Guards against a damaged identity file that ends the whole process instead of the voter alone.
+    def test_flipped_bit_of_identity_raises_error_or_changes_folder_id(self) -> None:
+        self.write_log()
         path = self.folder / "identity"
         data = path.read_bytes()
         folder_id = data.split()[1].decode()
-        for bit in range(8 * len(data) - 8):  # all but the line feed
+        for bit in range(8 * len(data) - 8):  # all but those of the line feed
             damaged = bytearray(data)
             damaged[bit // 8] ^= 1 << bit % 8
             path.write_bytes(damaged)
@@ -141,19 +143,19 @@
             storage.close()
             self.assertNotEqual(storage.folder_id, folder_id, f"bit {bit}")
 
-    def test_a_snapshot_replaces_all_or_nothing(self) -> None:
-        before = self.fill()
+    def test_snapshot_replaces_log_file_atomically(self) -> None:
+        before = self.write_log()
         storage = self.open_storage()
-        with_snapshot = Ready(3, "n1", True, True, Snapshot(3, 2, {"n0": ""}, b"state"), 4, [entry(4)])
+        with_snapshot = Ready(3, "n1", True, True, Snapshot(3, 2, {"n0": ""}, b"state"), 4, [make_entry(4)])
         with patch("os.replace", side_effect=OSError(errno.ENOSPC, "full")), self.assertRaises(OSError):
             storage.save(with_snapshot)
         self.assertEqual((self.folder / "history").read_bytes(), before)
         storage.save(with_snapshot)
-        storage.save(Ready(3, "n1", True, False, None, 5, [entry(5)]))
+        storage.save(Ready(3, "n1", True, False, None, 5, [make_entry(5)]))
         storage.close()
         reopened = RaftStorage(self.folder, "n0")
         self.assertEqual(
             (reopened.persistent_state.snapshot.state, reopened.persistent_state.entries),
-            (b"state", [entry(4), entry(5)]),
+            (b"state", [make_entry(4), make_entry(5)]),
         )
         reopened.close()
--- a/tests/cluster/test_status.py
+++ b/tests/cluster/test_status.py
@@ -1,4 +1,4 @@
-"""The state of the cluster in answers of the admin API: its keys and their order."""
+"""The keys of the cluster status in the admin API, and their order."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class ClusterStatusTest(unittest.TestCase):
-    def leader(self) -> Voter:
+    def make_leader(self) -> Voter:
         voter = Voter(
             "v0",
             PersistentState(),
@@ -33,11 +33,11 @@
             voter.advance(now, voter.take_ready(now))
         return voter
 
-    def test_a_leader_lists_its_voters_and_all_lease_holders(self) -> None:
-        voter = self.leader()
-        voter.receive(60_000, "f", FollowerHeartbeat("f", 7, 1, 0, 0, {}))
-        voter.receive(60_000, "v1", MembershipGossip([LeaseHolderStatus("g", 8, 20_000, 1, "there", {})]))
-        status = cluster_status(voter, 60_100, acts=True, inactive_reason="")
+    def test_leader_status_lists_voters_and_all_lease_holders(self) -> None:
+        leader = self.make_leader()
+        leader.receive(60_000, "f", FollowerHeartbeat("f", 7, 1, 0, 0, {}))
+        leader.receive(60_000, "v1", MembershipGossip([LeaseHolderStatus("g", 8, 20_000, 1, "there", {})]))
+        status = cluster_status(leader, 60_100, acts=True, inactive_reason="")
         self.assertEqual(
             list(status), [*COMMON_KEYS, "leader", "term", "voters", "leases-ms", "lag", "members"]
         )
@@ -48,7 +48,7 @@
         self.assertEqual(list(remote), ["name", "state", "incarnation", "for-s", "lag", "at"])
         self.assertEqual((remote["name"], remote["for-s"], remote["at"]), ("g", 2, "v1"))
 
-    def test_a_follower_names_its_voter(self) -> None:
+    def test_follower_status_names_its_voter(self) -> None:
         follower = Follower("f", ["v0"], timing=TIMING, now=0, seed=1, incarnation=1, host=IdleHost())
         status = cluster_status(follower, 0, acts=False, inactive_reason="no lease")
         self.assertEqual(list(status), [*COMMON_KEYS, "voter", "leader"])
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -1,4 +1,4 @@
-"""A voter's folder, written by 82f8a95 (tests/data), is read and written again byte by byte."""
+"""Storage folders that revision 82f8a95 wrote (tests/data) are loaded, and written with the same bytes."""
 
 import shutil
 import tempfile
@@ -8,28 +8,25 @@
 from crankfold.consensus.messages import LogEntry, Snapshot
 from tests.data.write_fixtures import DATA
 from tests.fixtures import TraceTestCase
-from tests.stored_forms import (
-    COMPACTED,
-    GROWN,
-)
+from tests.stored_forms import COMPACTED, GROWN
 
 
 class StoredFoldersTest(TraceTestCase):
-    def opened(self, name: str) -> tuple[RaftStorage, Path]:
+    def open_copy(self, name: str) -> tuple[RaftStorage, Path]:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
         shutil.copytree(DATA / "voters" / name, folder)
-        store = RaftStorage(folder, "n0")
-        self.addCleanup(store.close)
-        return store, folder
+        storage = RaftStorage(folder, "n0")
+        self.addCleanup(storage.close)
+        return storage, folder
 
-    def test_a_stored_folder_is_loaded_with_its_entries(self) -> None:
-        store, folder = self.opened("grown")
-        stored = store.persistent_state
-        self.assertEqual((store.folder_id, store.startup_notice), ("0123456789abcdef", ""))
-        self.assertEqual((stored.term, stored.vote, stored.founding_member), (2, "n1", True))
-        self.assertEqual(stored.snapshot, Snapshot(index=0, term=0, voters={}, state=b""))
+    def test_storage_loads_entries_of_stored_folder(self) -> None:
+        storage, folder = self.open_copy("grown")
+        state = storage.persistent_state
+        self.assertEqual((storage.folder_id, storage.startup_notice), ("0123456789abcdef", ""))
+        self.assertEqual((state.term, state.vote, state.founding_member), (2, "n1", True))
+        self.assertEqual(state.snapshot, Snapshot(index=0, term=0, voters={}, state=b""))
         self.assertEqual(
-            stored.entries,
+            state.entries,
             [
                 LogEntry(term=1, kind="begin", data={"by": "n0", "folders": {"n0": "0123456789abcdef"}}),
                 LogEntry(term=2, kind="begin", data={"by": "n1"}),
@@ -38,13 +35,13 @@
         )
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/grown/history").read_bytes())
 
-    def test_a_compacted_folder_is_loaded_with_its_snapshot_and_later_entries(self) -> None:
-        store, folder = self.opened("compacted")
-        stored = store.persistent_state
-        self.assertEqual((stored.term, stored.vote, stored.founding_member), (3, "n0", True))
-        self.assertEqual(stored.snapshot, Snapshot(index=2, term=2, voters={"n0": "h0:7000"}, state=b"whole"))
+    def test_storage_loads_snapshot_and_later_entries_of_compacted_folder(self) -> None:
+        storage, folder = self.open_copy("compacted")
+        state = storage.persistent_state
+        self.assertEqual((state.term, state.vote, state.founding_member), (3, "n0", True))
+        self.assertEqual(state.snapshot, Snapshot(index=2, term=2, voters={"n0": "h0:7000"}, state=b"whole"))
         self.assertEqual(
-            stored.entries,
+            state.entries,
             [
                 LogEntry(term=2, kind="count", data={"doc": "limits", "number": 1}),
                 LogEntry(term=3, kind="begin", data={"by": "n0"}),
@@ -52,16 +49,16 @@
         )
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/compacted/history").read_bytes())
 
-    def test_the_same_batches_are_written_byte_by_byte_as_before(self) -> None:
-        for name, batches in (("grown", GROWN), ("compacted", COMPACTED)):
+    def test_storage_writes_same_bytes_as_in_stored_folders(self) -> None:
+        for name, ready_states in (("grown", GROWN), ("compacted", COMPACTED)):
             folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
             folder.mkdir()
             fixture = DATA / "voters" / name
             shutil.copy(fixture / "identity", folder)
-            store = RaftStorage(folder, "n0")
-            for batch in batches:
-                store.save(batch)
-            store.close()
+            storage = RaftStorage(folder, "n0")
+            for ready in ready_states:
+                storage.save(ready)
+            storage.close()
             for file in ("identity", "history"):
                 self.assertEqual(
                     (folder / file).read_bytes(), (fixture / file).read_bytes(), f"{name}/{file}"
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -1,4 +1,4 @@
-"""The connections of a member that closes, at each step of accepting one."""
+"""Closing a transport at each step of accepting a connection."""
 
 import asyncio
 import socket
@@ -10,11 +10,11 @@
 from crankfold.fault_injection.http_client import HOST, find_free_port
 from crankfold.network.metrics import Metrics
 
-# Iterations of the event loop between a connection and the close: from one that waits in the accept queue to
-# one whose hello is awaited.
+# Iterations of the event loop between connecting and closing: at first the connection is in the accept queue,
+# after the last of them the transport waits for its hello.
 ITERATIONS = range(8)
-# Seconds. Less than the timeout of a hello, which would close the connection by itself.
-CLOSE_TIMEOUT = 1.0
+# Less than the timeout of the hello, which would close the connection too.
+CLOSE_TIMEOUT_SECONDS = 1.0
 SENDER_HELLO = Hello(PROTOCOL_VERSION, "n1", 1, "folder")
 
 
@@ -38,13 +38,13 @@
     return Transport(hello, addresses, metrics=Metrics(), handler=handler)
 
 
-async def iterate(iterations: int) -> None:
-    """Lets the event loop run so many iterations."""
+async def run_event_loop(iterations: int) -> None:
+    """Runs the event loop for some iterations."""
     for _ in range(iterations):
         await asyncio.sleep(0)
 
 
-class ClosedTransportTest(unittest.IsolatedAsyncioTestCase):
+class TransportCloseTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.port = find_free_port()
         self.handler = RecordingHandler()
@@ -60,11 +60,11 @@
         client.setblocking(False)
         return client
 
-    async def received_until_closed(self, client: socket.socket) -> bytes:
-        """What a connection receives before it is closed or reset."""
+    async def receive_until_closed(self, client: socket.socket) -> bytes:
+        """Returns what a connection receives before it is closed or reset."""
         loop = asyncio.get_running_loop()
         received = b""
-        async with asyncio.timeout(CLOSE_TIMEOUT):
+        async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
             try:
                 while data := await loop.sock_recv(client, 1024):
                     received += data
@@ -72,8 +72,8 @@
                 pass
         return received
 
-    # Guards against a member that has left and connects once more, when another process may have its name.
-    async def test_a_message_after_the_close_opens_no_connection(self) -> None:
+    # Guards against a closed member that connects again while another process may already use its name.
+    async def test_send_after_close_opens_no_connection(self) -> None:
         receiver = await self.open_transport()
         closed = make_transport("n1", RecordingHandler(), {"n0": (HOST, self.port)})
         await closed.close()
@@ -82,38 +82,38 @@
         self.assertEqual(self.handler.admitted, [])
         await receiver.close()
 
-    async def test_a_connection_without_its_hello_is_closed_with_the_transport(self) -> None:
+    async def test_close_ends_connection_that_has_sent_no_hello(self) -> None:
         for iterations in ITERATIONS:
             with self.subTest(iterations=iterations):
                 transport = await self.open_transport()
                 client = self.connect()
-                await iterate(iterations)
+                await run_event_loop(iterations)
                 await transport.close()
-                self.assertEqual(await self.received_until_closed(client), b"")
+                self.assertEqual(await self.receive_until_closed(client), b"")
 
-    async def test_a_hello_that_comes_with_the_close_is_not_admitted(self) -> None:
+    async def test_hello_that_arrives_during_close_is_not_admitted(self) -> None:
         for iterations in ITERATIONS:
             with self.subTest(iterations=iterations):
                 transport = await self.open_transport()
                 client = self.connect()
-                await iterate(iterations)
+                await run_event_loop(iterations)
                 client.send(encode_frame(SENDER_HELLO) + encode_frame(Rejection("no")))
                 await transport.close()
-                self.assertEqual(await self.received_until_closed(client), b"")
+                self.assertEqual(await self.receive_until_closed(client), b"")
         self.assertEqual((self.handler.admitted, self.handler.messages), ([], []))
 
-    async def test_a_sender_reaches_the_transport_that_is_opened_after_one_that_closes(self) -> None:
+    async def test_sender_reaches_transport_opened_after_previous_one_closes(self) -> None:
         for iterations in ITERATIONS:
             with self.subTest(iterations=iterations):
                 sender = make_transport("n1", RecordingHandler(), {"n0": (HOST, self.port)})
                 self.addAsyncCleanup(sender.close)
                 closing = await self.open_transport()
                 sender.send("n0", Rejection("connect"))
-                await iterate(iterations)
+                await run_event_loop(iterations)
                 await closing.close()
                 handler = RecordingHandler()
                 successor = await self.open_transport(handler)
-                async with asyncio.timeout(CLOSE_TIMEOUT):
+                async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                     while not handler.messages:
                         sender.send("n0", Rejection("again"))
                         await asyncio.sleep(0.01)
