--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -8,7 +8,7 @@
 from crankfold.consensus.messages import LogEntry, Snapshot
 from tests.data.write_fixtures import DATA
 from tests.fixtures import TraceTestCase
-from tests.stored_forms import COMPACTED, GROWN
+from tests.stored_forms import COMPACTED_SAVES, GROWN_SAVES
 
 
 class StoredFoldersTest(TraceTestCase):
@@ -50,7 +50,7 @@
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/compacted/history").read_bytes())
 
     def test_storage_writes_same_bytes_as_in_stored_folders(self) -> None:
-        for name, ready_states in (("grown", GROWN), ("compacted", COMPACTED)):
+        for name, ready_states in (("grown", GROWN_SAVES), ("compacted", COMPACTED_SAVES)):
             folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
             folder.mkdir()
             fixture = DATA / "voters" / name
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -1,6 +1,7 @@
-"""Plain values of all that is stored or told between processes, for the files under tests/data.
+"""The values behind the files under tests/data: everything that processes store or send to each other.
 
-`tests/data/write_fixtures.py` wrote those files from these values; the tests of stored forms read them.
+`tests/data/write_fixtures.py` wrote the files from these values; tests read the files and expect the same
+values.
 """
 
 from typing import Any
@@ -55,7 +56,7 @@
     recent_shed=7,
 )
 
-# One or more of each message between peers, by the name of its file.
+# At least one message of each type that members send, by the name of its file.
 MESSAGES: dict[str, list[Message | Hello]] = {
     "hello": [
         Hello(protocol_version=1, name="n0", incarnation=2**47 + 5, folder_id="0123456789abcdef"),
@@ -207,8 +208,8 @@
     ],
 }
 
-# What a voter writes, in order: a folder that grew, and one that was compacted after the same.
-GROWN = [
+# What a voter saves, in order: in a folder whose log only grows, and in one that is compacted afterwards.
+GROWN_SAVES = [
     Ready(
         term=1,
         vote="n0",
@@ -233,8 +234,8 @@
         ],
     ),
 ]
-COMPACTED = [
-    *GROWN,
+COMPACTED_SAVES = [
+    *GROWN_SAVES,
     Ready(
         term=2,
         vote="n1",
@@ -272,7 +273,9 @@
     )
 
 
-def _step(uid: str, step: str, work: str, last: int | None = None, call: str = "", **more: Any) -> LogEntry:
+def _transition(
+    uid: str, step: str, work: str, last: int | None = None, call: str = "", **fields: Any
+) -> LogEntry:
     data: dict[str, Any] = {
         "uid": uid,
         "step": step,
@@ -280,7 +283,7 @@
         "by": "n0",
         "why": f"{step} {uid}",
         "at": 1_700_000_100_000,
-        **more,
+        **fields,
     }
     if last is not None:
         data["last"] = last
@@ -308,14 +311,14 @@
 WORKS_1 = {"works": {"disks": {"why": "new disks", "zones": ["north"], "at-once": 4}}}
 WORKS_2 = {"works": {**WORKS_1["works"], "bios": {"machines": ["r1"], "way": "list", "takes": 60.0}}}
 
-# A history of all kinds of entries; from index 1 on.
+# A log with entries of all kinds; its first index is 1.
 HISTORY = [
     LogEntry(term=1, kind="begin", data={"by": "n0", "folders": {"n0": "f0", "n1": "f1"}}),
     LogEntry(term=1, kind="folder", data={"voter": "n2", "folder": "f2"}),
     _publish("begin", "settings", 0, _settings("safe", 5_000_000, 4)),
     LogEntry(term=1, kind="count", data={"doc": "settings", "number": 1}),
     _publish("c1", "settings", 1, _settings("keyed", 4_000_000, 3)),
-    _publish("c2", "settings", 1, _settings("unsafe", 3_000_000, 2)),  # refused: 2 is there by now
+    _publish("c2", "settings", 1, _settings("unsafe", 3_000_000, 2)),  # rejected: version 2 is already there
     LogEntry(term=1, kind="voters", data={"voters": {"n0": "h0:7000", "n1": "h1:7000"}}),
     _publish("c3", "limits", 0, {"limits": {"all": 9, "grade:g": 4, "tenant:t": 0}}),
     LogEntry(term=1, kind="count", data={"doc": "limits", "number": 1}),
@@ -330,21 +333,21 @@
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 1}),
     _publish("c9", "works", 1, WORKS_2),
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 2}),
-    _step("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(LOCATION)),  # 21
-    _step("r1", "free", "disks", 21),
-    _step("r1", "work", "disks", 22, number=22, life=2**45),
-    _step("r1", "ended", "disks", 23, number=22),
-    _step("r1", "free", "bios", 24),  # another work's turn while it is out
-    _step("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(LOCATION)),  # 26
-    _step("r2", "back", "disks", 26),
-    _step("r2", "well", "disks", 27),
-    _step("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(LOCATION)),  # 29
-    _step("r3", "free", "disks", 29),
-    _step("r3", "unwell", "disks", 30),
-    _step("r4", "out", "disks", made_from=0, plan=2),  # 32: void, decided before the last change
-    _step("disks", "halt", "disks"),
-    _step("r3", "back", "disks", 29, call="s1"),  # 34: void, decided before its last step
-    _step("r3", "back", "disks", 31, call="s2"),
+    _transition("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(LOCATION)),  # 21
+    _transition("r1", "free", "disks", 21),
+    _transition("r1", "work", "disks", 22, number=22, life=2**45),
+    _transition("r1", "ended", "disks", 23, number=22),
+    _transition("r1", "free", "bios", 24),  # the next job uses the time while the machine is out
+    _transition("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(LOCATION)),  # 26
+    _transition("r2", "back", "disks", 26),
+    _transition("r2", "well", "disks", 27),
+    _transition("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(LOCATION)),  # 29
+    _transition("r3", "free", "disks", 29),
+    _transition("r3", "unwell", "disks", 30),
+    _transition("r4", "out", "disks", made_from=0, plan=2),  # 32: rejected, decided on an older state
+    _transition("disks", "halt", "disks"),
+    _transition("r3", "back", "disks", 29, call="s1"),  # 34: rejected, decided before transition 31
+    _transition("r3", "back", "disks", 31, call="s2"),
 ]
 
 WORKS: dict[str, JobSpecification] = {
@@ -391,7 +394,8 @@
     ),
 }
 
-# The record of bans of the dispatcher "n0": out by hand, and back with a start taken for granted.
+# The manual drains of the dispatcher "n0": two drained backends, and one that was put back, with its
+# assumed start.
 BANS: dict[str, Any] = {
     "of": "n0",
     "bans": {"a": 1234567, "gone": 2345678},
