--- a/crankfold/maintenance/coordinator.py
+++ b/crankfold/maintenance/coordinator.py
@@ -1,7 +1,7 @@
 """Proposes transitions of machines in maintenance at the leader, without I/O and without a clock.
 
 A run takes the state of the fleet and proposes transitions, which take effect when they are committed. A
-coordinator stores only times of observations and of its recent proposals, so any voter can take over.
+coordinator stores only when it observed things and what it proposed recently, so any voter can take over.
 """
 
 from collections.abc import Sequence
@@ -21,8 +21,9 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
-REPROPOSE_TICKS: Final = TICKS_PER_SECOND  # until the same transition is proposed again
-SHED_COOLDOWN_TICKS: Final = 5 * TICKS_PER_SECOND  # after excess shedding, until machines are drained again
+# A transition is not proposed again within this time, as its first proposal may not be committed yet.
+REPROPOSE_TICKS: Final = TICKS_PER_SECOND
+SHED_COOLDOWN_TICKS: Final = 5 * TICKS_PER_SECOND  # no machine is drained for this long after excess shedding
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,18 +66,18 @@
     def propose(self, view: FleetView) -> list[Transition]:
         """Returns the transitions to propose; they take effect when they are committed."""
         self._observations.observe(view.now, view.state, view.machines)
-        view = replace(view, jobs=_with_halted_stopped(view))
+        view = replace(view, jobs=_with_halted_jobs_stopped(view))
         findings = Findings(excess_shedding=view.excess_shedding())
         if findings.excess_shedding:
             self._cooldown_until = view.now + SHED_COOLDOWN_TICKS
-        transitions = self._next_of_each(view, findings)
-        transitions += self._halts(view, findings)
+        transitions = self._machine_transitions(view, findings)
+        transitions += self._halt_transitions(view, findings)
         transitions = self._record_new_proposals(view.now, transitions)
-        transitions += self._departures(view, findings)
+        transitions += self._departure_transitions(view, findings)
         self.wait_reasons = findings.wait_reasons()
         return [structs.replace(transition, at_ms=view.wall_ms) for transition in transitions]
 
-    def _next_of_each(self, view: FleetView, findings: Findings) -> list[Transition]:
+    def _machine_transitions(self, view: FleetView, findings: Findings) -> list[Transition]:
         progress = self._progress(self.member_name, view, self._observations, findings)
         transitions = [
             progress.next_transition(machine_id, record)
@@ -85,7 +86,7 @@
         return [transition for transition in transitions if transition]
 
     def _record_new_proposals(self, now: int, transitions: Sequence[Transition]) -> list[Transition]:
-        """Records and returns the transitions that were not proposed recently: others may be uncommitted."""
+        """Returns the transitions that were not proposed recently, and records them as proposed."""
         self._proposed_at = {
             key: proposed_at
             for key, proposed_at in self._proposed_at.items()
@@ -99,7 +100,7 @@
                 new.append(transition)
         return new
 
-    def _halts(self, view: FleetView, findings: Findings) -> list[Transition]:
+    def _halt_transitions(self, view: FleetView, findings: Findings) -> list[Transition]:
         reasons = {
             name: _halt_reason(view, findings, name, job)
             for name, job in view.jobs.items()
@@ -113,8 +114,8 @@
             if reason
         ]
 
-    def _departures(self, view: FleetView, findings: Findings) -> list[Transition]:
-        """The machines to drain, unless some were proposed recently on the same state."""
+    def _departure_transitions(self, view: FleetView, findings: Findings) -> list[Transition]:
+        """Returns transitions that drain machines; none if some were proposed recently on the same state."""
         in_cooldown = view.now < self._cooldown_until
         transitions = propose_departures(view, self.member_name, findings, in_cooldown=in_cooldown)
         if not transitions:
@@ -131,8 +132,8 @@
         return transitions
 
 
-def _with_halted_stopped(view: FleetView) -> dict[str, JobSpecification]:
-    """The jobs; halted ones as if an operator had stopped them."""
+def _with_halted_jobs_stopped(view: FleetView) -> dict[str, JobSpecification]:
+    """Returns the jobs, with halted ones as if an operator had stopped them."""
     return {
         name: structs.replace(job, state=JobState.STOPPED) if name in view.state.halted_jobs else job
         for name, job in view.jobs.items()
@@ -140,7 +141,7 @@
 
 
 def _halt_reason(view: FleetView, findings: Findings, name: str, job: JobSpecification) -> str:
-    """The reason why a job halts; empty if it continues."""
+    """Returns the reason why a job halts; empty if it continues."""
     streak = view.state.unhealthy_streaks.get(name, 0)
     if streak >= job.max_unhealthy_streak:
         return f"{streak} unwell in a row"
--- a/crankfold/maintenance/departures.py
+++ b/crankfold/maintenance/departures.py
@@ -1,4 +1,4 @@
-"""Decides which machines are drained next: jobs' bounds, quorum, capacity and areas."""
+"""Decides which machines are drained next, within jobs' bounds, the voters' quorum, capacity and areas."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
@@ -18,35 +18,40 @@
 
     Args:
         view: The state of the fleet.
-        member_name: The proposer.
-        findings: Has the stuck jobs; receives the reasons for waiting.
+        member_name: The name of the proposing voter.
+        findings: Holds the stuck jobs; receives the reasons for waiting.
         in_cooldown: Whether too many requests were shed recently.
     """
-    going = _jobs_that_go(view, findings, in_cooldown)
+    draining_jobs = _jobs_that_may_drain(view, findings, in_cooldown)
     transitions: list[Transition] = []
     for target in Target:
         of_target = {name: job for name, job in view.jobs.items() if job.target == target}
         jobs = [
-            view.ignoring_start_time(job.to_job(name)) for name, job in going.items() if name in of_target
+            view.ignoring_start_time(job.to_job(name))
+            for name, job in draining_jobs.items()
+            if name in of_target
         ]
-        halted = [job.to_job(name) for name, job in of_target.items() if name not in going]
+        inactive = [job.to_job(name) for name, job in of_target.items() if name not in draining_jobs]
         if jobs:
-            transitions += _Departures(view, member_name, target).propose(jobs, halted, findings)
+            transitions += _Departures(view, member_name, target).propose(jobs, inactive, findings)
     return transitions
 
 
-def _jobs_that_go(view: FleetView, findings: Findings, in_cooldown: bool) -> dict[str, JobSpecification]:
-    going: dict[str, JobSpecification] = {}
+def _jobs_that_may_drain(
+    view: FleetView, findings: Findings, in_cooldown: bool
+) -> dict[str, JobSpecification]:
+    """Returns the jobs that may drain machines now, and records why other active jobs wait."""
+    draining_jobs: dict[str, JobSpecification] = {}
     cooldown = "calm for a while first, after units were shed" if in_cooldown else ""
     for name, job in view.jobs.items():
         if job.state != JobState.GO:
             continue
         reason = findings.stuck_jobs.get(name) or view.stale_reason or findings.excess_shedding or cooldown
         if reason:
-            findings.wait("", name, reason)
+            findings.record_wait("", name, reason)
         else:
-            going[name] = job
-    return going
+            draining_jobs[name] = job
+    return draining_jobs
 
 
 class _Departures:
@@ -59,11 +64,11 @@
         present = view.dispatchers if target == Target.DISPATCHERS else view.machines
         absent = view.state.machines
         present_ids = {machine.machine_id for machine in present}
-        # Machines in maintenance count in bounds even if the endpoint list does not have them.
+        # Machines in maintenance count towards the bounds even if the endpoint list does not have them.
         self._machines = [
             *present,
             *(
-                _unlisted(machine_id, absent[machine_id].placement, absent[machine_id].started_at)
+                _unlisted_machine(machine_id, absent[machine_id].placement, absent[machine_id].started_at)
                 for machine_id in sorted(absent)
                 if machine_id not in present_ids and self._is_target(machine_id)
             ),
@@ -73,19 +78,19 @@
         return is_dispatcher_id(machine_id) == (self._target == Target.DISPATCHERS)
 
     def propose(
-        self, jobs: list[MaintenanceJob], halted: list[MaintenanceJob], findings: Findings
+        self, jobs: list[MaintenanceJob], inactive: list[MaintenanceJob], findings: Findings
     ) -> list[Transition]:
         absent = self._view.state.machines
         if self._target == Target.DISPATCHERS:
             jobs = [replace(job, last_machine_id=dispatcher_id(self._member_name)) for job in jobs]
-        result = schedule(jobs, self._scheduling_facts(halted))
+        result = schedule(jobs, self._scheduling_facts(inactive))
         for (machine_id, job_name), text in result.wait_reasons.items():
             if machine_id not in absent:
-                findings.wait(machine_id, job_name, text)
+                findings.record_wait(machine_id, job_name, text)
         by_id = {machine.machine_id: machine for machine in self._machines}
         return [self._departure(by_id[machine_id], job_name) for machine_id, job_name in result.departures]
 
-    def _scheduling_facts(self, halted: list[MaintenanceJob]) -> SchedulingFacts:
+    def _scheduling_facts(self, inactive: list[MaintenanceJob]) -> SchedulingFacts:
         view = self._view
         absent = view.state.machines
         machines = [
@@ -103,8 +108,8 @@
             out=[pair for pair in out if self._is_target(pair[0])],
             completed=view.state.completed_pairs(),
             now_ms=view.wall_time_ms(),
-            extra_check=_ReserveCheck(view, machines, self._target),
-            halted_jobs=halted,
+            extra_check=_RemainingMachinesCheck(view, machines, self._target),
+            halted_jobs=inactive,
         )
 
     def _departure(self, machine: Machine, job: str) -> Transition:
@@ -120,7 +125,7 @@
         )
 
 
-def _unlisted(machine_id: str, placement: Placement, started_at: int) -> Machine:
+def _unlisted_machine(machine_id: str, placement: Placement, started_at: int) -> Machine:
     return Machine(
         machine_id=machine_id,
         zone=placement.zone,
@@ -137,8 +142,8 @@
     return machine.zone if area == Area.ZONE else machine.cell
 
 
-class _ReserveCheck:
-    """Checks beside the jobs' bounds: a quorum of voters, capacity for the load, the machine's areas."""
+class _RemainingMachinesCheck:
+    """Checks that enough machines remain: a quorum of voters, capacity for the load, one in each area."""
 
     def __init__(self, view: FleetView, machines: Sequence[Machine], target: Target) -> None:
         self._view = view
@@ -148,10 +153,10 @@
         self._areas: Collection[Area] = (Area.ZONE,) if self._of_dispatchers else view.deduplication_scopes
 
     def __call__(self, machine: Machine, out: Collection[str]) -> str:
-        """The reason why the machine may not be drained; empty if it may.
+        """Returns the reason why the machine may not be drained; empty if it may.
 
         Args:
-            machine: The machine.
+            machine: The machine to drain.
             out: The ids of absent machines.
         """
         remaining = [
@@ -160,19 +165,19 @@
             if other.available and other.machine_id not in out and other.machine_id != machine.machine_id
         ]
         if self._of_dispatchers:
-            reason = self._majority_reason(machine, remaining)
+            reason = self._quorum_reason(machine, remaining)
         else:
-            reason = self._load_reason(remaining)
+            reason = self._capacity_reason(remaining)
         return reason or self._area_reason(machine, remaining)
 
-    def _majority_reason(self, machine: Machine, remaining: Sequence[Machine]) -> str:
+    def _quorum_reason(self, machine: Machine, remaining: Sequence[Machine]) -> str:
         voter_count = self._view.voter_count
-        voting = sum(other.instance_type == VOTER for other in remaining)
-        if machine.instance_type == VOTER and 2 * voting <= voter_count:
-            return f"{voting} of {voter_count} voters would stay"
+        remaining_voters = sum(other.instance_type == VOTER for other in remaining)
+        if machine.instance_type == VOTER and 2 * remaining_voters <= voter_count:
+            return f"{remaining_voters} of {voter_count} voters would stay"
         return ""
 
-    def _load_reason(self, remaining: Sequence[Machine]) -> str:
+    def _capacity_reason(self, remaining: Sequence[Machine]) -> str:
         if not self._requests_per_size:
             return ""
         capacity = int(sum(other.size for other in remaining) * self._requests_per_size)
@@ -184,10 +189,10 @@
     def _area_reason(self, machine: Machine, remaining: Sequence[Machine]) -> str:
         for area in self._areas:
             own_area = _area_of(machine, area)
-            shared = any(
+            has_others = any(
                 _area_of(other, area) == own_area and other.machine_id != machine.machine_id
                 for other in self._machines
             )
-            if shared and not any(_area_of(other, area) == own_area for other in remaining):
+            if has_others and not any(_area_of(other, area) == own_area for other in remaining):
                 return f"the last that is up in its {area}"
         return ""
--- a/crankfold/maintenance/forecast.py
+++ b/crankfold/maintenance/forecast.py
@@ -1,4 +1,4 @@
-"""The schedule of a job if no machine fails and each takes its longest time."""
+"""Forecasts the schedule of a job, assuming that no machine fails and each takes its longest time."""
 
 from collections.abc import Mapping, Sequence, Set
 from dataclasses import dataclass, replace
@@ -13,10 +13,10 @@
     """The forecast absence of one machine."""
 
     begin_seconds: float  # from now
-    end_seconds: float
+    end_seconds: float  # from now
     machine_id: str
     zone: str
-    waited_for: str  # the reason for waiting until then; empty for none
+    waited_for: str  # the reason for waiting until `begin_seconds`; empty for none
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """The forecast of a job."""
 
     departures: list[ForecastDeparture]
-    wait_reasons: dict[str, str]  # the bound, by machine that is never drained
+    wait_reasons: dict[str, str]  # the bound that prevents it, by machine that is never drained
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
 
 
 def forecast_job(name: str, inputs: ForecastInputs) -> Forecast:
-    """Forecasts one job beside the other active jobs."""
+    """Forecasts the departures of one job while the other active jobs run too."""
     return _ForecastRun(name, inputs).run()
 
 
 class _ForecastRun:
-    """Simulates the scheduler from one change to the next."""
+    """Simulates the scheduler, from each return of a machine or opening of a time window to the next."""
 
     def __init__(self, name: str, inputs: ForecastInputs) -> None:
         self._name = name
@@ -54,15 +54,17 @@
         self._scheduled_jobs = [
             job.to_job(other) for other, job in inputs.jobs.items() if job.state == JobState.GO
         ]
-        self._absence_seconds = {other: self._absence(job) for other, job in inputs.jobs.items()}
+        self._absence_seconds = {other: self._longest_absence(job) for other, job in inputs.jobs.items()}
         self._out_for = dict(inputs.out_for)
         self._completed = set(inputs.completed)
-        self._ends = {machine: self._absence_seconds.get(job, 0.0) for machine, job in self._out_for.items()}
+        self._return_times = {
+            machine: self._absence_seconds.get(job, 0.0) for machine, job in self._out_for.items()
+        }
         self._zones = {machine.machine_id: machine.zone for machine in inputs.machines}
         self._departures: list[ForecastDeparture] = []
         self._wait_reasons: dict[str, str] = {}
 
-    def _absence(self, job: JobSpecification) -> float:
+    def _longest_absence(self, job: JobSpecification) -> float:
         watch_seconds = max(job.watch_seconds, self._inputs.warm_up_seconds)
         return self._inputs.drain_seconds + job.work_seconds + watch_seconds
 
@@ -70,11 +72,11 @@
         seconds = 0.0
         while True:
             self._schedule_at(seconds)
-            later = self._next_changes(seconds)
-            if not later:
-                return Forecast(self._departures, self._never_out())
-            seconds = min(later)
-            self._return_machines(seconds)
+            next_changes = self._next_changes(seconds)
+            if not next_changes:
+                return Forecast(self._departures, self._never_drained())
+            seconds = min(next_changes)
+            self._record_returns(seconds)
 
     def _schedule_at(self, seconds: float) -> None:
         machines = [
@@ -91,7 +93,7 @@
         for machine_id, job in result.departures:
             end = seconds + self._absence_seconds[job]
             self._out_for[machine_id] = job
-            self._ends[machine_id] = end
+            self._return_times[machine_id] = end
             if job == self._name:
                 waited_for = self._wait_reasons.get(machine_id, "")
                 zone = self._zones[machine_id]
@@ -104,22 +106,24 @@
 
     def _next_changes(self, seconds: float) -> list[float]:
         """When machines return and when the job's time window opens; seconds from now."""
-        later = [self._ends[machine_id] for machine_id in self._out_for]
+        next_changes = [self._return_times[machine_id] for machine_id in self._out_for]
         not_before_ms = self._inputs.jobs[self._name].not_before_ms
         now_ms = self._inputs.now_ms
         if not_before_ms and now_ms + seconds * MILLISECONDS_PER_SECOND < not_before_ms:
-            later.append((not_before_ms - now_ms) / MILLISECONDS_PER_SECOND)
-        return later
-
-    def _return_machines(self, seconds: float) -> None:
-        ended = [
-            machine for machine, end in self._ends.items() if machine in self._out_for and end <= seconds
+            next_changes.append((not_before_ms - now_ms) / MILLISECONDS_PER_SECOND)
+        return next_changes
+
+    def _record_returns(self, seconds: float) -> None:
+        returned = [
+            machine
+            for machine, end in self._return_times.items()
+            if machine in self._out_for and end <= seconds
         ]
-        for machine_id in ended:
+        for machine_id in returned:
             self._completed.add((machine_id, self._out_for.pop(machine_id)))
-            del self._ends[machine_id]
+            del self._return_times[machine_id]
 
-    def _never_out(self) -> dict[str, str]:
+    def _never_drained(self) -> dict[str, str]:
         return {
             machine_id: reason
             for machine_id, reason in self._wait_reasons.items()
--- a/crankfold/maintenance/machine_progress.py
+++ b/crankfold/maintenance/machine_progress.py
@@ -15,8 +15,9 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Transition
 from crankfold.time_units import TICKS_PER_SECOND
 
-COMMAND_OUTCOME_MARGIN_TICKS: Final = 5 * TICKS_PER_SECOND  # from a command's time limit to its outcome
-MAX_WATCH_FACTOR: Final = 4  # times the watch, for a machine with too few responses
+# After the time limit of a command, its outcome may take this long to be committed.
+COMMAND_OUTCOME_MARGIN_TICKS: Final = 5 * TICKS_PER_SECOND
+MAX_WATCH_FACTOR: Final = 4  # with too few responses, the watch lasts up to this many times as long
 MAX_REQUEST_IDS_IN_REASON: Final = 5
 
 _REPLACEABLE: Final = (MaintenancePhase.DRAINED, MaintenancePhase.IN_WORK, MaintenancePhase.WORK_FAILED)
@@ -30,7 +31,7 @@
     record: MachineInMaintenance
     job: JobSpecification | None  # None for a removed job
     machine: Machine | None  # None if the endpoint list does not have it
-    known_for: int  # ticks since this voter observed its last transition
+    known_for: int  # ticks since this voter first observed its last transition
 
 
 class MachineProgress:
@@ -42,9 +43,9 @@
         """Starts one run.
 
         Args:
-            member_name: The proposer.
+            member_name: The name of the proposing voter.
             view: The state of the fleet.
-            observations: Times of first observation; readiness is recorded there.
+            observations: The observations of this voter; receives the readiness of machines.
             findings: Receives the reasons for waiting and the stuck jobs.
         """
         self._member_name = member_name
@@ -63,7 +64,7 @@
         }
 
     def next_transition(self, machine_id: str, record: MachineInMaintenance) -> Transition | None:
-        """Returns the next transition of a machine; None while it waits. Records its readiness."""
+        """Returns the next transition of a machine, None while it waits; records whether it is ready."""
         machine = self._machines.get(machine_id)
         ready = machine is not None and machine.available and machine_id not in self._view.unavailable
         self._observations.track_ready(self._view.now, machine_id, machine if ready else None)
@@ -74,7 +75,11 @@
             machine=machine,
             known_for=self._view.now - self._observations.known_since(machine_id, record.last_index),
         )
-        return self._return_early(subject) or self._replaced(subject) or self._handlers[record.phase](subject)
+        return (
+            self._return_early(subject)
+            or self._replace_if_unlisted(subject)
+            or self._handlers[record.phase](subject)
+        )
 
     def _propose(self, subject: Subject, phase: MaintenancePhase, reason: str = "") -> Transition:
         return Transition(
@@ -86,30 +91,32 @@
             last_index=subject.record.last_index,
         )
 
-    def _wait(self, subject: Subject, text: str) -> None:
-        self._findings.wait(subject.machine_id, subject.record.job, text)
+    def _record_wait(self, subject: Subject, text: str) -> None:
+        self._findings.record_wait(subject.machine_id, subject.record.job, text)
 
-    def _overdue(self, subject: Subject, text: str) -> None:
-        """Records an overdue machine, which makes its job stuck unless the job continues by policy."""
-        self._wait(subject, text)
+    def _record_overdue(self, subject: Subject, text: str) -> None:
+        """Records why a machine is overdue, which makes its job stuck unless its policy is to continue."""
+        self._record_wait(subject, text)
         if subject.job and subject.job.overdue_policy != OverduePolicy.CONTINUE:
             self._findings.stuck_jobs.setdefault(subject.record.job, f"{subject.machine_id}: {text}")
 
     def _return_early(self, subject: Subject) -> Transition | None:
-        """Returns a machine before work on it begins, if its job stopped or the fleet sheds too much."""
+        """Returns a machine on which no work has begun, if its job stopped or shedding is excessive."""
         phase = subject.record.phase
         if phase not in (MaintenancePhase.DRAINING, MaintenancePhase.DRAINED):
             return None
         job = subject.job
-        stopping = "its work is over" if job is None or job.state == JobState.STOPPED else ""
-        reason = stopping or self._findings.excess_shedding
-        # Another system that works by the endpoint list does not report the start of its work.
-        untouched = not subject.record.unhealthy and (job is None or job.method != WorkMethod.ENDPOINT_LIST)
-        if reason and (phase == MaintenancePhase.DRAINING or untouched):
+        job_over = "its work is over" if job is None or job.state == JobState.STOPPED else ""
+        reason = job_over or self._findings.excess_shedding
+        # With the method ENDPOINT_LIST, another system does the work and does not report its start.
+        work_not_begun = not subject.record.unhealthy and (
+            job is None or job.method != WorkMethod.ENDPOINT_LIST
+        )
+        if reason and (phase == MaintenancePhase.DRAINING or work_not_begun):
             return self._propose(subject, MaintenancePhase.RETURNING, reason)
         return None
 
-    def _replaced(self, subject: Subject) -> Transition | None:
+    def _replace_if_unlisted(self, subject: Subject) -> Transition | None:
         discovered = subject.machine is not None and subject.machine.discovered
         if discovered or subject.record.phase not in _REPLACEABLE:
             return None
@@ -119,7 +126,7 @@
         return self._propose(subject, MaintenancePhase.REPLACED, f"{replacement} came in its place")
 
     def _find_replacement(self, subject: Subject) -> str:
-        """A machine that was first listed after the draining of an unlisted one and replaces no other."""
+        """Returns a machine first listed after the draining, which replaces no other; empty for none."""
         observations = self._observations
         out_since = observations.out_since(subject.machine_id, subject.record.out_index)
         if out_since == observations.first_observed_at:
@@ -143,7 +150,7 @@
     def _finish_drain(self, subject: Subject) -> Transition | None:
         holders = self._view.blocking_holders(subject.machine_id, subject.record.out_index)
         if holders:
-            self._wait(subject, holders)
+            self._record_wait(subject, holders)
             return None
         unresolved = self._view.unresolved_requests.get(subject.machine_id, [])
         request_ids = ", ".join(unresolved[:MAX_REQUEST_IDS_IN_REASON])
@@ -158,17 +165,17 @@
             return None
         if record.unhealthy:
             text = f"unwell, free under {record.drain_number}: waits for an operator's call"
-            self._wait(subject, text)
+            self._record_wait(subject, text)
             return None
         if job.method == WorkMethod.COMMAND:
             return self._start_command(subject)
-        by_list = job.method == WorkMethod.ENDPOINT_LIST
-        if by_list and subject.machine and subject.machine.started_at > record.started_at:
+        by_endpoint_list = job.method == WorkMethod.ENDPOINT_LIST
+        if by_endpoint_list and subject.machine and subject.machine.started_at > record.started_at:
             return self._propose(subject, MaintenancePhase.WORK_DONE, "a new start on the list")
         if subject.known_for > job.work_seconds * TICKS_PER_SECOND:
-            self._overdue(subject, f"free for over {job.work_seconds:g} s")
-        awaited = "a new start on the list" if by_list else "an operator's call"
-        self._wait(
+            self._record_overdue(subject, f"free for over {job.work_seconds:g} s")
+        awaited = "a new start on the list" if by_endpoint_list else "an operator's call"
+        self._record_wait(
             subject, f"free under {record.drain_number}, by {record.executor or 'hand'}: waits for {awaited}"
         )
         return None
@@ -176,7 +183,7 @@
     def _start_command(self, subject: Subject) -> Transition | None:
         executor = self._choose_executor(subject.machine_id)
         if not executor:
-            self._wait(subject, "nobody there to run its command")
+            self._record_wait(subject, "nobody there to run its command")
             return None
         return structs.replace(
             self._propose(subject, MaintenancePhase.IN_WORK),
@@ -185,7 +192,7 @@
         )
 
     def _choose_executor(self, machine_id: str) -> str:
-        """The proposer, or another voter, that is not in maintenance; empty for none."""
+        """Returns the proposer or another voter that is not in maintenance; empty for none."""
         present = [
             name
             for name in self._view.executors
@@ -201,22 +208,22 @@
         work_ticks = job.work_seconds * TICKS_PER_SECOND
         if job.method != WorkMethod.COMMAND:
             if subject.known_for > work_ticks:
-                self._overdue(subject, f"in work for over {job.work_seconds:g} s")
-            self._wait(subject, f"in work under {record.drain_number}: waits for an operator's call")
+                self._record_overdue(subject, f"in work for over {job.work_seconds:g} s")
+            self._record_wait(subject, f"in work under {record.drain_number}: waits for an operator's call")
             return None
         incarnation = self._view.incarnations.get(record.executor, record.executor_incarnation)
-        died = incarnation != record.executor_incarnation
-        if died:
-            lost = f"{record.executor} died over its command"
+        executor_restarted = incarnation != record.executor_incarnation
+        if executor_restarted:
+            cause = f"{record.executor} died over its command"
         elif subject.known_for > work_ticks + COMMAND_OUTCOME_MARGIN_TICKS:
-            lost = f"nothing heard of its command from {record.executor}"
+            cause = f"nothing heard of its command from {record.executor}"
         else:
-            self._wait(subject, f"its command runs at {record.executor}")
+            self._record_wait(subject, f"its command runs at {record.executor}")
             return None
-        if job.command_repeatable and died:
-            return self._propose(subject, MaintenancePhase.DRAINED, f"{lost}; it may be run again")
+        if job.command_repeatable and executor_restarted:
+            return self._propose(subject, MaintenancePhase.DRAINED, f"{cause}; it may be run again")
         return self._propose(
-            subject, MaintenancePhase.WORK_FAILED, f"{lost}; nobody knows whether it has run"
+            subject, MaintenancePhase.WORK_FAILED, f"{cause}; nobody knows whether it has run"
         )
 
     def _finish_work(self, subject: Subject) -> Transition | None:
@@ -256,7 +263,7 @@
         )
 
     def _await_operator(self, subject: Subject) -> Transition | None:
-        self._overdue(subject, f"failed: {subject.record.reason}")
+        self._record_overdue(subject, f"failed: {subject.record.reason}")
         return None
 
     def _verify_return(self, subject: Subject) -> Transition | None:
@@ -266,8 +273,8 @@
         machine = subject.machine
         if machine is None or not machine.available or subject.machine_id in self._view.unavailable:
             if subject.known_for > job.work_seconds * TICKS_PER_SECOND:
-                self._overdue(replace(subject, job=job), f"not back after {job.work_seconds:g} s")
-            self._wait(subject, "not listed as ready yet")
+                self._record_overdue(replace(subject, job=job), f"not back after {job.work_seconds:g} s")
+            self._record_wait(subject, "not listed as ready yet")
             return None
         if is_dispatcher_id(subject.machine_id):
             return self._verify_dispatcher_return(subject, job, machine)
@@ -275,38 +282,40 @@
 
     def _verify_backend_return(self, subject: Subject, job: JobSpecification) -> Transition | None:
         watch_ticks = max(int(job.watch_seconds * TICKS_PER_SECOND), self._view.warm_up_ticks)
-        responses, bad = self._view.response_counts.get(subject.machine_id, (0, 0))
-        good = responses - bad
-        if responses >= max(job.min_responses, 1) and good < job.min_good_share * responses:
+        responses, bad_count = self._view.response_counts.get(subject.machine_id, (0, 0))
+        good_count = responses - bad_count
+        if responses >= max(job.min_responses, 1) and good_count < job.min_good_share * responses:
             return self._propose(
-                subject, MaintenancePhase.UNHEALTHY, f"{bad} of {responses} answers were bad"
+                subject, MaintenancePhase.UNHEALTHY, f"{bad_count} of {responses} answers were bad"
             )
         # A restart during the watch begins a new slow start.
         ready_for = self._view.now - self._observations.ready_since(subject.machine_id)
         watched_for = min(subject.known_for, ready_for)
         if watched_for < watch_ticks:
-            self._wait(subject, f"watched and warming for {watch_ticks / TICKS_PER_SECOND:g} s")
+            self._record_wait(subject, f"watched and warming for {watch_ticks / TICKS_PER_SECOND:g} s")
             return None
         if responses < job.min_responses and watched_for < MAX_WATCH_FACTOR * watch_ticks:
-            self._wait(subject, f"{responses} of {job.min_responses} answers seen")
+            self._record_wait(subject, f"{responses} of {job.min_responses} answers seen")
             return None
-        seen = f"{good} of {responses} answers were good" if responses else "no answer of it was seen"
-        return self._propose(subject, MaintenancePhase.HEALTHY, seen)
+        evidence = (
+            f"{good_count} of {responses} answers were good" if responses else "no answer of it was seen"
+        )
+        return self._propose(subject, MaintenancePhase.HEALTHY, evidence)
 
     def _verify_dispatcher_return(
         self, subject: Subject, job: JobSpecification, machine: Machine
     ) -> Transition | None:
         if job.method != WorkMethod.OPERATOR and machine.started_at == subject.record.started_at:
-            self._wait(subject, "still the process that it was")
+            self._record_wait(subject, "still the process that it was")
             return None
         if subject.known_for < job.watch_seconds * TICKS_PER_SECOND:
-            self._wait(subject, f"watched for {job.watch_seconds:g} s")
+            self._record_wait(subject, f"watched for {job.watch_seconds:g} s")
             return None
         return self._propose(subject, MaintenancePhase.HEALTHY, "back and caught up")
 
     def _drain_unhealthy(self, subject: Subject) -> Transition | None:
         holders = self._view.blocking_holders(subject.machine_id, subject.record.out_index)
         if holders:
-            self._wait(subject, holders)
+            self._record_wait(subject, holders)
             return None
         return self._propose(subject, MaintenancePhase.DRAINED, f"unwell: {subject.record.reason}")
--- a/crankfold/maintenance/observations.py
+++ b/crankfold/maintenance/observations.py
@@ -1,4 +1,4 @@
-"""The times at which a voter first observed machines, transitions and starts."""
+"""Records when a voter first observed machines, transitions and starts."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -16,12 +16,15 @@
 
 
 class Observations:
-    """Recorded at every voter, so that each can continue as the leader. Times are ticks of its clock."""
+    """The observations of one voter. Every voter records its own, so that each can take over as the leader.
+
+    Times are ticks of the voter's clock.
+    """
 
     def __init__(self) -> None:
         """Starts without observations."""
         self.first_observed_at: int | None = None
-        self._first_seen: dict[str, int] = {}  # by machine: when an endpoint list first had it
+        self._first_seen: dict[str, int] = {}  # by machine: when an endpoint list first contained it
         self._known_since: dict[tuple[str, int], int] = {}  # by machine and index of its last transition
         self._out_since: dict[tuple[str, int], int] = {}  # by machine and index of its draining
         self._ready: dict[str, ReadyStart] = {}
@@ -41,7 +44,7 @@
         }
 
     def track_ready(self, now: int, machine_id: str, machine: Machine | None) -> None:
-        """Records whether a machine in maintenance is ready; `machine` is None for one that is not."""
+        """Records whether a machine in maintenance is ready; `machine` is None if it is not."""
         if machine is None:
             self._ready.pop(machine_id, None)
             return
@@ -50,17 +53,17 @@
             self._ready[machine_id] = ReadyStart(machine.started_at, now)
 
     def known_since(self, machine_id: str, last_index: int) -> int:
-        """When this voter first observed the machine's last transition."""
+        """Returns when this voter first observed the machine's last transition."""
         return self._known_since[machine_id, last_index]
 
     def out_since(self, machine_id: str, out_index: int) -> int:
-        """When this voter first observed the draining of the machine."""
+        """Returns when this voter first observed the draining of the machine."""
         return self._out_since[machine_id, out_index]
 
     def first_seen(self, machine_id: str) -> int:
-        """When this voter first observed the machine on an endpoint list."""
+        """Returns when this voter first observed the machine on an endpoint list."""
         return self._first_seen[machine_id]
 
     def ready_since(self, machine_id: str) -> int:
-        """When this voter first observed the present start of a machine as ready."""
+        """Returns since when this voter has observed the current start of the machine as ready."""
         return self._ready[machine_id].since
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -1,11 +1,11 @@
-"""Decides which machines may be drained next, and why the others wait: a function of its inputs."""
+"""Decides which machines may be drained next, and why the others wait, from its arguments alone."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass, field, replace
 from typing import Final, NamedTuple
 
-SHARE_TOLERANCE: Final = 1e-9  # covers the rounding of sums of sizes
+SHARE_TOLERANCE: Final = 1e-9  # allows for rounding in sums of sizes
 # The instance types of dispatchers.
 VOTER: Final = "voter"
 FOLLOWER: Final = "follower"
@@ -39,12 +39,12 @@
     max_out_per_zone: int = 0
     max_out_per_instance_type: int = 0
     max_out_per_cell: int = 0
-    min_remaining_share: float = 0.0  # of the listed sizes, to remain available
+    min_remaining_share: float = 0.0  # share of the listed sizes that has to remain available
     min_remaining_zone_share: float = 0.0  # the same in each zone
     not_before_ms: int = 0  # since the epoch
     not_after_ms: int = 0
-    exclusive_with: frozenset[str] = frozenset()  # jobs that may not be active at the same time
-    after: frozenset[str] = frozenset()  # jobs to be completed before
+    exclusive_with: frozenset[str] = frozenset()  # jobs that may not have machines out at the same time
+    after: frozenset[str] = frozenset()  # jobs that have to be completed first
     last_machine_id: str = ""  # drained after all others
 
     def covers(self, machine: Machine) -> bool:
@@ -67,14 +67,14 @@
 
 @dataclass(slots=True)
 class Schedule:
-    """The result of scheduling."""
+    """The machines to drain now, and why the others wait."""
 
-    departures: list[MachineJob] = field(default_factory=list)  # machines to drain, in order
-    wait_reasons: dict[MachineJob, str] = field(default_factory=dict)  # why each other machine waits
+    departures: list[MachineJob] = field(default_factory=list)  # in the order in which they were chosen
+    wait_reasons: dict[MachineJob, str] = field(default_factory=dict)  # by machine and job that waits
 
 
 def no_extra_check(_machine: Machine, _out: Collection[str]) -> str:
-    """Permits every machine."""
+    """Returns no reason: every machine may be drained."""
     return ""
 
 
@@ -88,12 +88,12 @@
     now_ms: int  # since the epoch
     # Given a machine and the ids of absent ones: why it may not be drained; empty if it may.
     extra_check: Callable[[Machine, Collection[str]], str] = no_extra_check
-    # Jobs that drain no more machines; their bounds apply while machines are absent for them.
+    # Jobs that drain no more machines; their bounds still apply while machines are absent for them.
     halted_jobs: Sequence[MaintenanceJob] = ()
 
 
 def infeasibility_reason(job: MaintenanceJob, machines: Sequence[Machine]) -> str:
-    """The bound that never permits the job to drain one of its machines; empty for none."""
+    """Returns why the job could never drain one of its machines; empty if it could drain each."""
     covered = [machine for machine in machines if job.covers(machine)]
     if not covered:
         return "no machine is meant"
@@ -108,7 +108,7 @@
 
 
 def outside_time_window(job: MaintenanceJob, now_ms: int) -> str:
-    """The reason why the job may not drain machines at `now_ms`; empty if it may."""
+    """Returns why the job may not drain machines at `now_ms`; empty if it may."""
     if now_ms < job.not_before_ms:
         return "not before its time"
     return "after its time" if job.not_after_ms and now_ms >= job.not_after_ms else ""
@@ -118,13 +118,13 @@
     """Decides which machines to drain now.
 
     The job with the smallest completed share of its machines is served first, so that a small job does not
-    wait for a large one. A machine of two jobs is drained for the first of them; the second job waits.
+    wait for a large one. A machine of two jobs is drained for the one served first; the other waits.
     """
     return _SchedulingRun(jobs, facts).run()
 
 
 class _Group(NamedTuple):
-    """Machines with a common attribute; the kind is part of texts for operators."""
+    """Machines with a common attribute; `kind` appears in the reasons that operators read."""
 
     kind: str
     name: str
@@ -135,7 +135,7 @@
 
 
 def _zone_area(zone: str) -> str:
-    """The area of a zone, as a key of sizes."""
+    """Returns the area of a zone, a key of the sizes by area."""
     return f"zone {zone}"
 
 
@@ -163,7 +163,7 @@
 
     @staticmethod
     def _areas(machine: Machine) -> tuple[str, str]:
-        """The areas of a machine: the fleet and its zone."""
+        """Returns the areas of a machine: the fleet and its zone."""
         return _FLEET_AREA, _zone_area(machine.zone)
 
     def _count_out(self, machine: Machine) -> None:
@@ -186,16 +186,16 @@
             self._count_out(machine)
 
     def available_share(self, zone: str) -> float:
-        """The available share of the listed sizes of a zone."""
+        """Returns the share of the listed sizes of a zone that is available."""
         area = _zone_area(zone)
         return self.available_size[area] / (self.total_size[area] or 1.0)
 
     def exceeded_bound(self, job: MaintenanceJob, machine: Machine) -> str:
-        """The bound of the job that draining the machine would exceed; empty for none."""
-        # Machines that failed or are absent for other jobs count as well.
+        """Returns the bound of the job that draining the machine would exceed; empty for none."""
+        # Machines that failed or are absent for other jobs count too, but not the machine itself.
         counts = self.out_counts[job.name]
-        own = 0 if machine.available else 1
-        out = counts[_ALL_MACHINES] - own
+        already_out = 0 if machine.available else 1
+        out = counts[_ALL_MACHINES] - already_out
         if out >= job.max_out:
             return f"{out} of {job.max_out} at once"
         for group, max_out in (
@@ -203,19 +203,19 @@
             (_Group("kind", machine.instance_type), job.max_out_per_instance_type),
             (_Group("cell", machine.cell), job.max_out_per_cell),
         ):
-            out = counts[group] - own
+            out = counts[group] - already_out
             if max_out and out >= max_out:
                 return f"{out} of {max_out} in its {group.kind}"
         return self.exceeded_capacity(job, machine)
 
     def exceeded_capacity(self, job: MaintenanceJob, machine: Machine) -> str:
-        """The least available share that draining the machine would violate; empty for none."""
-        leaves = machine.available and machine.machine_id not in self.out_for
+        """Returns the minimum available share that draining the machine would violate; empty for none."""
+        reduces_capacity = machine.available and machine.machine_id not in self.out_for
         for label, area, min_share in (
             ("all", _FLEET_AREA, job.min_remaining_share),
             (machine.zone, _zone_area(machine.zone), job.min_remaining_zone_share),
         ):
-            remaining = self.available_size[area] - (machine.size if leaves else 0)
+            remaining = self.available_size[area] - (machine.size if reduces_capacity else 0)
             share = remaining / (self.total_size[area] or 1.0)
             if min_share and share < min_share - SHARE_TOLERANCE:
                 return f"{share:.2f} of {label} would stay, {min_share:.2f} has to"
@@ -230,10 +230,10 @@
         self._facts = facts
         self._all_jobs = [*jobs, *facts.halted_jobs]
         self._occupancy = _Occupancy(self._all_jobs, facts.machines, dict(facts.out))
-        self._remaining = {job.name: self._remaining_of(job) for job in jobs}
+        self._remaining = {job.name: self._remaining_machines(job) for job in jobs}
         self._under_way = set(self._occupancy.out_for.values())
 
-    def _remaining_of(self, job: MaintenanceJob) -> list[Machine]:
+    def _remaining_machines(self, job: MaintenanceJob) -> list[Machine]:
         return [
             machine
             for machine in self._occupancy.covered[job.name]
@@ -241,13 +241,13 @@
             and machine.machine_id not in self._occupancy.out_for
         ]
 
-    def _completed_part(self, job: MaintenanceJob) -> float:
+    def _completed_share(self, job: MaintenanceJob) -> float:
         return 1.0 - len(self._remaining[job.name]) / max(len(self._occupancy.covered[job.name]), 1)
 
     def run(self) -> Schedule:
         result = Schedule()
-        for job in sorted(self._jobs, key=lambda job: (self._completed_part(job), job.name)):
-            for machine in self._in_order(job):
+        for job in sorted(self._jobs, key=lambda job: (self._completed_share(job), job.name)):
+            for machine in self._in_drain_order(job):
                 pair = MachineJob(machine.machine_id, job.name)
                 reason = self._wait_reason(job, machine)
                 if reason:
@@ -258,8 +258,8 @@
                     self._under_way.add(job.name)
         return result
 
-    def _in_order(self, job: MaintenanceJob) -> list[Machine]:
-        """The remaining machines, from the zone with the largest available share first, then by id."""
+    def _in_drain_order(self, job: MaintenanceJob) -> list[Machine]:
+        """Returns the remaining machines, by falling available share of their zone, then by id."""
         remaining = self._remaining[job.name]
         availability = {machine.zone: self._occupancy.available_share(machine.zone) for machine in remaining}
         return sorted(
@@ -274,7 +274,7 @@
     def _wait_reason(self, job: MaintenanceJob, machine: Machine) -> str:
         return (
             self._own_wait_reason(job, machine)
-            or self._wait_reason_of_others(job, machine)
+            or self._bound_of_other_jobs(job, machine)
             or self._facts.extra_check(machine, self._occupancy.out_for)
         )
 
@@ -296,8 +296,8 @@
             return "last, as it leads"
         return self._occupancy.exceeded_bound(job, machine)
 
-    def _wait_reason_of_others(self, job: MaintenanceJob, machine: Machine) -> str:
-        """The bounds of another active job also apply to machines that this job drains."""
+    def _bound_of_other_jobs(self, job: MaintenanceJob, machine: Machine) -> str:
+        """Returns the bound of another job under way that the draining would exceed; empty for none."""
         for other in self._all_jobs:
             if other.name != job.name and other.name in self._under_way and other.covers(machine):
                 reason = self._occupancy.exceeded_bound(other, machine)
--- a/crankfold/maintenance/specification.py
+++ b/crankfold/maintenance/specification.py
@@ -1,6 +1,6 @@
 """Maintenance jobs as operators submit them: decoding and validation.
 
-`docs/maintenance.md` explains each key; the keys and their values are those of the users' pages.
+`docs/maintenance.md` documents the keys and values, which operators write in job files.
 """
 
 from collections.abc import Sequence
@@ -16,13 +16,13 @@
 
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=0)]
-Seconds = Annotated[float, Meta(ge=0)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
 
 MAX_JOBS: Final = 100
 
 
 class JobState(StrEnum):
-    """The state of a job that operators requested last."""
+    """The state of a job, as operators last requested it."""
 
     GO = "go"
     HOLD = "hold"  # drains no more machines
@@ -30,22 +30,22 @@
 
 
 class WorkMethod(StrEnum):
-    """How the work on a machine is done."""
+    """Who does the work on a machine, and how its end is known."""
 
-    OPERATOR = "hand"  # by operators, who report its start and end
-    COMMAND = "command"  # by a command that a dispatcher runs
-    ENDPOINT_LIST = "list"  # by another system; a new start on the endpoint list ends it
+    OPERATOR = "hand"  # operators do it and report its start and end
+    COMMAND = "command"  # a dispatcher runs a command
+    ENDPOINT_LIST = "list"  # another system does it; it ends with a new start on the endpoint list
 
 
 class Target(StrEnum):
-    """The kind of machines of a job."""
+    """The kind of machines that a job covers."""
 
     BACKENDS = "runners"
     DISPATCHERS = "dispatchers"
 
 
 class OverduePolicy(StrEnum):
-    """The reaction of a job to a machine that is not back in time."""
+    """What a job does when a machine is not back in time."""
 
     HOLD = "hold"  # drains no more machines until it is back
     CONTINUE = "go-on"
@@ -53,7 +53,7 @@
 
 
 class JobSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A maintenance job as submitted; the field names are the users' keys."""
+    """A maintenance job as submitted; the outer names of the fields are the keys in job files."""
 
     reason: Annotated[str, Meta(max_length=500)] = field(name="why", default="")
     target: Target = field(name="of", default=Target.BACKENDS)
@@ -72,25 +72,25 @@
     not_after_ms: Count = field(name="not-after", default=0)
     after: list[str] = field(default_factory=list)
     exclusive_with: list[str] = field(name="alone", default_factory=list)
-    joint_absence_allowed: bool = field(
-        name="shares", default=True
-    )  # another job may work on a machine while out
+    # Whether another job may work on a machine during its absence for this job.
+    joint_absence_allowed: bool = field(name="shares", default=True)
     method: WorkMethod = field(name="way", default=WorkMethod.OPERATOR)
     command: list[str] = field(default_factory=list)
-    # The command may be run again if its executor died during it.
+    # Whether the command may be run again if its executor restarted while it ran.
     command_repeatable: bool = field(name="again", default=False)
-    work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # at most
+    work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # the longest time
     overdue_policy: OverduePolicy = field(name="not-back", default=OverduePolicy.HOLD)
-    watch_seconds: Seconds = field(name="watch", default=5.0)  # after a return
+    # How long a returned machine is watched.
+    watch_seconds: NonNegativeFloat = field(name="watch", default=5.0)
     min_responses: Count = field(name="least-answers", default=5)
     min_good_share: Fraction = field(name="well", default=0.9)  # of the responses of a healthy machine
     # The number of consecutive unhealthy machines at which the job halts.
     max_unhealthy_streak: Annotated[int, Meta(ge=1)] = field(name="most-unwell", default=2)
     max_shed_share: Fraction = field(name="shed-over", default=0.05)
     # The number of concurrent requests for a listed size of 1; 0 if unknown.
-    requests_per_size: Seconds = field(name="carries", default=0.0)
+    requests_per_size: NonNegativeFloat = field(name="carries", default=0.0)
     state: JobState = JobState.GO
-    control_count: Count = field(name="called", default=0)  # counts requests for a state by operators
+    control_count: Count = field(name="called", default=0)  # how often operators requested a state
 
     def to_job(self, name: str) -> MaintenanceJob:
         """Returns the job in the scheduler's form."""
@@ -119,34 +119,34 @@
 
 
 class JobsDocument(Struct, forbid_unknown_fields=True):
-    """The document that operators publish: jobs by name."""
+    """The document that operators publish, with all jobs by name."""
 
     jobs: dict[Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,60}$")], JobSpecification] = field(
         name="works", default_factory=dict
     )
 
 
-def parse_jobs(text: dict[str, Any]) -> dict[str, JobSpecification]:
+def parse_jobs(document: dict[str, Any]) -> dict[str, JobSpecification]:
     """Decodes the jobs of a document, by name.
 
     Raises:
         msgspec.ValidationError: The document is invalid; the message has the path, the value found and the
             values allowed.
     """
-    return msgspec.convert(text, JobsDocument).jobs
+    return msgspec.convert(document, JobsDocument).jobs
 
 
-def validation_error(text: dict[str, Any], before: dict[str, Any], machines: Sequence[Machine]) -> str:
-    """The first error in a jobs document: path, value found and values allowed; empty for none.
+def validation_error(document: dict[str, Any], previous: dict[str, Any], machines: Sequence[Machine]) -> str:
+    """Returns the first error in a jobs document: path, value found and values allowed; empty for none.
 
     Args:
-        text: The document.
-        before: The previous version.
+        document: The new version.
+        previous: The previous version.
         machines: The backends on the endpoint list; empty without a list.
     """
     try:
-        jobs = parse_jobs(text)
-        known = parse_jobs(before)
+        jobs = parse_jobs(document)
+        previous_jobs = parse_jobs(previous)
     except ValueError as error:
         return str(error)
     if len(jobs) > MAX_JOBS:
@@ -155,7 +155,7 @@
         error_text = (
             _reference_error(jobs, name)
             or _command_error(name, job)
-            or _infeasibility_error(name, job, known.get(name), machines)
+            or _infeasibility_error(name, job, previous_jobs.get(name), machines)
         )
         if error_text:
             return error_text
@@ -180,10 +180,13 @@
 
 
 def _infeasibility_error(
-    name: str, job: JobSpecification, known: JobSpecification | None, machines: Sequence[Machine]
+    name: str, job: JobSpecification, previous: JobSpecification | None, machines: Sequence[Machine]
 ) -> str:
-    # An unchanged job was validated before; its machines may have been removed since.
-    if known and msgspec.structs.replace(known, state=job.state, control_count=job.control_count) == job:
+    # An unchanged job passed the check when it was submitted; its machines may have been removed since.
+    if (
+        previous
+        and msgspec.structs.replace(previous, state=job.state, control_count=job.control_count) == job
+    ):
         return ""
     if job.target != Target.BACKENDS or not machines:
         return ""
@@ -192,7 +195,7 @@
 
 
 def _find_cycle(jobs: dict[str, JobSpecification], name: str, before: list[str]) -> list[str]:
-    """A cycle of `after` through the named job; empty for none."""
+    """Returns a cycle of `after` through the named job; empty for none."""
     if name in before:
         return [*before, name] if name == before[0] else []
     for other in jobs[name].after:
--- a/crankfold/maintenance/state.py
+++ b/crankfold/maintenance/state.py
@@ -18,16 +18,17 @@
     is_known_step,
 )
 
-IN_ROTATION: Final = (MaintenancePhase.RETURNING,)  # phases in which a machine gets requests
-MAX_TRANSITIONS: Final = 2000  # retained records
+# The phases of a machine in maintenance in which it gets requests.
+IN_ROTATION: Final = (MaintenancePhase.RETURNING,)
+MAX_TRANSITIONS: Final = 2000  # retained records, the latest ones
 
-_ENDS: Final = (MaintenancePhase.HEALTHY, MaintenancePhase.REPLACED, MaintenancePhase.CANCELLED)
-# Transitions that change which machines are absent, and with that the bounds of jobs.
-_CHANGES_ABSENCE: Final = (
+_FINAL_PHASES: Final = (MaintenancePhase.HEALTHY, MaintenancePhase.REPLACED, MaintenancePhase.CANCELLED)
+# Transitions that change which machines are absent, and so how many more the bounds of jobs permit.
+_ABSENCE_CHANGES: Final = (
     MaintenancePhase.DRAINING,
     MaintenancePhase.RETURNING,
     MaintenancePhase.UNHEALTHY,
-    *_ENDS,
+    *_FINAL_PHASES,
 )
 
 
@@ -45,7 +46,7 @@
 
 
 class TransitionRecord(Struct, array_like=True, frozen=True):
-    """A committed transition."""
+    """A committed transition, as history shows it."""
 
     index: int  # in the replicated log
     machine_id: str
@@ -82,7 +83,7 @@
     earlier_jobs: list[str] = field(default_factory=list)  # finished during the same absence
     started_at: int = 0  # the listed start as of its draining, in ticks
     placement: Placement = Placement()
-    unhealthy: bool = False  # was unhealthy after its return: the next transition is an operator's
+    unhealthy: bool = False  # was unhealthy after its return, so an operator decides what follows
     reason: str = ""
 
     def to_document(self) -> dict[str, Any]:
@@ -105,15 +106,16 @@
 
 
 class MaintenanceState(Struct, array_like=True):
-    """The replicated state of maintenance, in the form of a snapshot."""
+    """The replicated state of maintenance, also its form in snapshots."""
 
     machines: dict[str, MachineInMaintenance] = field(default_factory=dict)
-    # The final phase, by job and machine.
+    # The final phase of completed maintenance, by job and machine.
     completed: dict[str, dict[str, MaintenancePhase]] = field(default_factory=dict)
-    unhealthy_streaks: dict[str, int] = field(default_factory=dict)  # consecutive unhealthy machines, by job
-    halted_jobs: dict[str, str] = field(default_factory=dict)  # the reason, by job that halted by itself
+    # The number of consecutive unhealthy machines, by job.
+    unhealthy_streaks: dict[str, int] = field(default_factory=dict)
+    halted_jobs: dict[str, str] = field(default_factory=dict)  # the reason, by job that halted
     begun_jobs: list[str] = field(default_factory=list)  # jobs that have drained a machine
-    change_count: int = 0  # counts transitions that change which machines are absent
+    change_count: int = 0  # number of transitions that changed which machines are absent
     latest_wall_ms: int = 0  # the latest wall time of any transition
     transitions: list[TransitionRecord] = field(default_factory=list)
 
@@ -126,13 +128,13 @@
             jobs_version: The newest version of the jobs document.
 
         Returns:
-            The reason why the first void transition is void; empty for none.
+            Why the first void transition is void; empty if all take effect.
 
         Raises:
             msgspec.ValidationError: A step with a defined name is not a stored transition.
         """
         change_count = self.change_count
-        first_void = ""
+        first_reason = ""
         for document in data["steps"]:
             if is_known_step(document["step"]):
                 transition = decode_transition(document)
@@ -140,22 +142,22 @@
                 if not reason:
                     self._apply_transition(index, transition)
             else:
-                reason = self._does_not_follow(document["uid"], document["step"])
+                reason = self._order_error(document["uid"], document["step"])
             if reason:
-                first_void = first_void or f"{document['uid']}: {reason}"
-        return first_void
+                first_reason = first_reason or f"{document['uid']}: {reason}"
+        return first_reason
 
-    def _does_not_follow(self, machine_id: str, step: str) -> str:
+    def _order_error(self, machine_id: str, step: str) -> str:
         machine = self.machines.get(machine_id)
         phase = machine.phase if machine else MaintenancePhase.IN_SERVICE
         return f"{step} does not follow {phase or 'carrying work'}"
 
     def _void_reason(self, transition: Transition, change_count: int, jobs_version: int) -> str:
-        """The reason why a transition is void; empty if it takes effect.
+        """Returns why a transition is void; empty if it takes effect.
 
         Args:
             transition: The proposed transition.
-            change_count: The count before the entry: its transitions were decided together.
+            change_count: The count before the log entry, as all transitions of an entry are decided together.
             jobs_version: The newest version of the jobs document.
         """
         if transition.phase == MaintenancePhase.HALTED:
@@ -163,9 +165,9 @@
         machine = self.machines.get(transition.machine_id)
         phase = machine.phase if machine else MaintenancePhase.IN_SERVICE
         if phase not in ALLOWED_FROM.get(transition.phase, ()):
-            return self._does_not_follow(transition.machine_id, transition.phase)
-        made_from = transition.change_count, transition.jobs_version
-        if transition.phase == MaintenancePhase.DRAINING and made_from != (change_count, jobs_version):
+            return self._order_error(transition.machine_id, transition.phase)
+        decided_on = transition.change_count, transition.jobs_version
+        if transition.phase == MaintenancePhase.DRAINING and decided_on != (change_count, jobs_version):
             # The bounds of jobs were checked against an earlier state.
             return "decided before the last change"
         if machine is None:
@@ -189,7 +191,7 @@
         machine.last_index = index
         machine.reason = transition.reason
         if transition.phase == MaintenancePhase.DRAINED:
-            _drained(machine, index, transition.job)
+            _record_drained(machine, index, transition.job)
         elif transition.phase == MaintenancePhase.IN_WORK:
             machine.executor = transition.by
             machine.executor_incarnation = transition.incarnation or 0
@@ -200,9 +202,9 @@
             machine.out_index = index
             machine.unhealthy = True
             machine.worked = False
-        elif transition.phase in _ENDS:
+        elif transition.phase in _FINAL_PHASES:
             self._end_maintenance(transition.machine_id, machine)
-        if transition.phase in _CHANGES_ABSENCE:
+        if transition.phase in _ABSENCE_CHANGES:
             self.change_count += 1
         self._record(index, transition, machine.job)
 
@@ -241,28 +243,28 @@
         del self.transitions[:-MAX_TRANSITIONS]
 
     def out_of_rotation(self) -> set[str]:
-        """The ids of machines to which no requests are sent."""
+        """Returns the ids of the machines to which no requests are sent."""
         return {
             machine_id for machine_id, machine in self.machines.items() if machine.phase not in IN_ROTATION
         }
 
     def completed_pairs(self) -> set[tuple[str, str]]:
-        """Machines with completed maintenance, each with the job."""
+        """Returns the machines with completed maintenance, each with the job."""
         return {(machine_id, job) for job, ended in self.completed.items() for machine_id in ended}
 
-    def jobs_changed(self, before: dict[str, Any], jobs: dict[str, Any]) -> None:
+    def jobs_changed(self, previous: dict[str, Any], jobs: dict[str, Any]) -> None:
         """Handles a new version of the jobs document.
 
-        A removed job is forgotten, so that a later job of that name is new. A changed job that had halted
-        continues.
+        The results of a removed job are deleted, so that a later job of that name starts anew. A changed job
+        that had halted continues.
 
         Args:
-            before: The stored jobs of the previous version, by name.
+            previous: The stored jobs of the previous version, by name.
             jobs: The stored jobs of the new version, by name.
         """
         self._forget(name for name in self._remembered_jobs() if name not in jobs)
         self.begun_jobs = [name for name in self.begun_jobs if name in jobs]
-        for name in [name for name in jobs if jobs[name] != before.get(name)]:
+        for name in [name for name in jobs if jobs[name] != previous.get(name)]:
             self.halted_jobs.pop(name, None)
             self.unhealthy_streaks.pop(name, None)
 
@@ -276,7 +278,7 @@
             self.halted_jobs.pop(name, None)
 
 
-def _drained(machine: MachineInMaintenance, index: int, job: str) -> None:
+def _record_drained(machine: MachineInMaintenance, index: int, job: str) -> None:
     machine.drain_number = index
     if job != machine.job:  # the machine stays out for a further job
         machine.earlier_jobs.append(machine.job)
--- a/crankfold/maintenance/transitions.py
+++ b/crankfold/maintenance/transitions.py
@@ -1,7 +1,7 @@
 """The transitions of a machine through maintenance, and their stored form in the replicated log.
 
 `docs/maintenance.md` has the table of transitions. Stored names and the order of stored keys are a file
-format: each version of the program writes the same bytes for the same log entry.
+format: every version of the program writes the same bytes for the same log entry.
 """
 
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class MaintenancePhase(StrEnum):
-    """The phase of a machine in maintenance, and the transition into it; values are stored."""
+    """The phase of a machine in maintenance, also the transition into that phase. Values are stored."""
 
     IN_SERVICE = ""  # not in maintenance; never stored
     DRAINING = "out"  # gets no new requests
@@ -23,9 +23,9 @@
     IN_WORK = "work"
     WORK_DONE = "ended"
     WORK_FAILED = "failed"
-    RETURNING = "back"  # gets requests again, under observation while it warms up
+    RETURNING = "back"  # gets requests again, and is watched while it warms up
     HEALTHY = "well"  # final: in service again after the work
-    UNHEALTHY = "unwell"  # gave bad responses after its return, so it is drained again
+    UNHEALTHY = "unwell"  # responded badly after its return, so it is drained again
     REPLACED = "gone"  # final: another machine replaces it
     CANCELLED = "undone"  # final: in service again without work
     HALTED = "halt"  # a transition of a job, not of a machine: the job drains no more machines
@@ -66,11 +66,11 @@
     MaintenancePhase.REPLACED: (MaintenancePhase.IN_WORK, MaintenancePhase.RETURNING, *_IDLE_PHASES),
 }
 
-_STEP_NAMES: Final = frozenset(phase.value for phase in MaintenancePhase)
+_PHASE_NAMES: Final = frozenset(phase.value for phase in MaintenancePhase)
 
 
 class Placement(NamedTuple):
-    """The listed attributes of a machine as of its draining; stored as an array of four."""
+    """The listed attributes of a machine when it was drained; stored as an array of four."""
 
     zone: str = ""
     instance_type: str = ""
@@ -88,7 +88,7 @@
     machine_id: str = field(name="uid")  # empty for a halt, "@name" for a dispatcher
     job: str = field(name="work")
     phase: MaintenancePhase = field(name="step")
-    by: str  # the dispatcher that leads or runs the command, or an operator
+    by: str  # the leading or executing dispatcher, or an operator
     reason: str = field(name="why", default="")
     at_ms: int = field(name="at", default=0)  # wall time of the proposer; shown, never compared
     last_index: int | None = field(name="last", default=None)  # of the machine's last transition
@@ -96,7 +96,7 @@
     incarnation: int | None = field(name="life", default=None)  # of the process that runs the command
     change_count: int | None = field(name="made_from", default=None)
     jobs_version: int | None = field(name="plan", default=None)
-    started_at: int | None = field(name="start", default=None)  # as listed, tenths of a millisecond
+    started_at: int | None = field(name="start", default=None)  # as listed, in ticks
     placement: Placement | None = field(name="place", default=None)
 
 
@@ -133,8 +133,8 @@
 
 
 def is_known_step(name: object) -> bool:
-    """Whether this version of the program defines a stored step name."""
-    return name in _STEP_NAMES
+    """Whether this version of the program defines the stored name of a phase."""
+    return name in _PHASE_NAMES
 
 
 def decode_transition(document: TransitionDocument) -> Transition:
