--- a/crankfold/cli/admin_client.py
+++ b/crankfold/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the admin server of a dispatcher, and the errors with which a command exits if they fail."""
+"""Calls the admin server of a dispatcher, and has the errors with which commands exit when a call fails."""
 
 import http.client
 import json
@@ -17,8 +17,8 @@
 EXIT_NOT_APPLIED = 4  # published, but not active at each dispatcher yet
 
 HTTP_OK = HTTPStatus.OK.value
-HTTP_NO_OUTCOME = HTTPStatus.GATEWAY_TIMEOUT.value  # the wait is over, but the operation may still complete
-RESPONSE_MARGIN = 15.0  # seconds to wait for a response, beyond the wait that the call requests
+HTTP_NO_OUTCOME = HTTPStatus.GATEWAY_TIMEOUT.value  # the wait has ended; the operation may still complete
+RESPONSE_MARGIN_SECONDS = 15.0  # how long to wait for a response beyond the wait that the call requests
 CALL_ID_BYTES = 8
 JSON_INDENT = 2  # spaces
 
@@ -59,11 +59,11 @@
 
     @property
     def reason(self) -> str:
-        """Why the server did not execute the call."""
+        """The reason that the server gives for not executing the call; the whole content if it gives none."""
         return str(self.content.get("text", self.content))
 
     def require_ok(self) -> JsonObject:
-        """The content of a successful response.
+        """Returns the content of a successful response.
 
         Raises:
             UnreachableError: The status is not HTTP_OK.
@@ -80,15 +80,15 @@
 
     Args:
         address: HOST:PORT of the admin server.
-        path: Below `/control/`.
-        body: Sent as JSON.
-        wait_seconds: How long the server may wait before it answers.
+        path: The path below `/control/`.
+        body: The content of a POST, sent as JSON.
+        wait_seconds: How long the server may wait before it responds.
 
     Raises:
         UnreachableError: There is no response, or it is not a JSON object.
     """
     try:
-        status, text = _send_request(address, path, body, wait_seconds + RESPONSE_MARGIN)
+        status, text = _send_request(address, path, body, wait_seconds + RESPONSE_MARGIN_SECONDS)
     except (OSError, ValueError, http.client.HTTPException) as error:
         raise UnreachableError(f"{address}: {error or type(error).__name__}") from None
     try:
@@ -116,10 +116,10 @@
 
 
 def new_call_id() -> str:
-    """A random identifier under which a call can be repeated with one effect."""
+    """Returns a random call identifier. The server executes calls with the same identifier once."""
     return secrets.token_hex(CALL_ID_BYTES)
 
 
 def format_json(value: object) -> str:
-    """The JSON text that commands print: indented, with sorted keys."""
+    """Returns the JSON text that commands print, indented and with sorted keys."""
     return json.dumps(value, indent=JSON_INDENT, sort_keys=True)
--- a/crankfold/cli/check.py
+++ b/crankfold/cli/check.py
@@ -12,7 +12,7 @@
 from crankfold.service.config_file import parse_address, read_config
 from crankfold.time_units import TICKS_PER_MILLISECOND
 
-# The output has the words of the configuration guide.
+# The output uses the terms of the configuration guide.
 IDEMPOTENCY_LABELS = {
     Idempotency.IDEMPOTENT: "repeatable",
     Idempotency.IDEMPOTENT_WITH_KEY: "tagged",
@@ -23,7 +23,7 @@
 @click.command()
 @config_option
 def check(config: str) -> None:
-    """Read a configuration and print what follows from it, without serving."""
+    """Validate a configuration and print a summary of it, without serving."""
     try:
         document = read_config(config)
         schema.validate(document)
--- a/crankfold/cli/fleet.py
+++ b/crankfold/cli/fleet.py
@@ -18,11 +18,11 @@
 from crankfold.cli.options import admin_option, json_option
 from crankfold.time_units import MILLISECONDS_PER_SECOND
 
-QUIET_STATES = ("there", "left")  # of a follower, without a report of its last message
+QUIET_STATES = ("there", "left")  # states of a follower that are shown without the time of its last heartbeat
 
 
 class DocumentVersions(Struct):
-    """The version of a document that is active, and the newest one."""
+    """The numbers of the active and the newest version of a document."""
 
     active: int = field(name="counts")
     newest: int
@@ -50,8 +50,8 @@
     leader: str
     versions: dict[str, DocumentVersions]
     term: int | None = None
-    voters: dict[str, str] = {}  # name to address
-    lag: dict[str, int] = {}  # of voters, in log entries; known to the leader
+    voters: dict[str, str] = {}  # address by name
+    lag: dict[str, int] = {}  # by voter, in log entries; only the leader knows it
     voter_lease_ms: dict[str, int] = field(name="leases-ms", default_factory=dict)
     members: list[FollowerView] = []
 
@@ -61,7 +61,7 @@
 @json_option
 @click.pass_context
 def fleet(context: click.Context, address: str, as_json: bool) -> None:
-    """Members, versions, leader, lagging and isolated members, as one dispatcher sees them.
+    """Show leader, document versions, voters, followers and their lag, as one dispatcher knows them.
 
     Exit: 0 if that dispatcher is active, 3 if it is inactive or can't be reached.
     """
@@ -75,7 +75,7 @@
 @click.option("--remove", default="", metavar="NAME")
 @click.pass_obj
 def change_voters(address: str, add: str, remove: str) -> None:
-    """Add a voter or remove one, one at a time. Exit: 0 done, 1 rejected, 3 no response."""
+    """Add or remove one voter. Exit: 0 done, 1 rejected, 3 no response."""
     content = _request_voter_change(address, _voter_change(add, remove))
     click.echo(f"voters: {', '.join(sorted(content['voters']))}")
 
--- a/crankfold/cli/main.py
+++ b/crankfold/cli/main.py
@@ -18,7 +18,7 @@
 from crankfold.service.application import Application
 from crankfold.service.config_file import read_config
 
-# Command to its module below `crankfold.cli` and its name there.
+# For each command, its module below `crankfold.cli` and its name there.
 LAZY_COMMANDS = {
     "check": ("check", "check"),
     "emulate": ("simulation", "emulate"),
@@ -29,18 +29,18 @@
     "trial": ("trial", "trial"),
     "works": ("maintenance", "maintenance"),
 }
-FORMER_NAMES = frozenset({"works"})  # still accepted, but not listed by help
+FORMER_NAMES = frozenset({"works"})  # still accepted, but not listed in the help text
 
 
 class LazyGroup(click.Group):
-    """A group with the commands of `LAZY_COMMANDS` too, each imported on its first use."""
+    """A group that also has the commands of `LAZY_COMMANDS`, each imported on its first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names that help lists."""
+        """Returns the names that the help text lists."""
         return sorted({*super().list_commands(ctx), *LAZY_COMMANDS} - FORMER_NAMES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name, if there is one."""
+        """Returns the command of that name; None if there is none."""
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
         module, attribute = LAZY_COMMANDS[cmd_name]
@@ -55,8 +55,15 @@
 
 @main.command()
 @config_option
-@click.option("--listen", envvar="GW_LISTEN", show_envvar=True, help="HOST:PORT, not the file's.")
-@click.option("--discovery", envvar="GW_DISCOVERY", show_envvar=True, help="HOST:PORT, not the file's.")
+@click.option(
+    "--listen", envvar="GW_LISTEN", show_envvar=True, help="HOST:PORT to listen on; overrides the file."
+)
+@click.option(
+    "--discovery",
+    envvar="GW_DISCOVERY",
+    show_envvar=True,
+    help="HOST:PORT of the discovery service; overrides the file.",
+)
 @click.option("--admin", envvar="GW_ADMIN_ADDR", show_envvar=True, help="HOST:PORT of the admin server.")
 @click.option(
     "--hand-over",
@@ -64,15 +71,15 @@
     envvar="TMPDIR",
     show_envvar=True,
     default="",
-    help="Directory in which a successor finds this process; only with --admin.",
+    help="Directory in which a successor finds this process; needs --admin.",
 )
 def serve(
     config: str, listen: str | None, discovery: str | None, admin: str | None, handover_directory: str
 ) -> None:
     """Serve until SIGTERM or SIGINT, then drain.
 
-    SIGHUP reloads the file, as a whole or not at all: request classes, bounds, limits and the address of
-    discovery take effect at once, in place of options given here; other changes need a restart. SIGUSR1
+    SIGHUP reloads the file, as a whole or not at all. Request classes, bounds, limits and the address of
+    discovery take effect at once and override the options given here; other changes need a restart. SIGUSR1
     prints the counters.
     """
     catch_early_signals()
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -25,14 +25,14 @@
 from crankfold.cli.settings import Publication, fetch_document, publish
 from crankfold.document_names import MAINTENANCE
 
-FORECAST_WAIT = 10.0  # seconds in which the server has to compute a forecast
-REPLACED = "gone"  # the outcome of a machine that was replaced by another one
+FORECAST_WAIT_SECONDS = 10.0  # the time that the server may take for a forecast
+REPLACED = "gone"  # the outcome for a machine that another one has replaced
 
 file_argument = click.argument("file", type=click.File("rb"))
 
 
 class DepartureView(Struct):
-    """The forecast time out of service of one machine, in seconds from now."""
+    """The forecast absence of one machine, in seconds from now."""
 
     begin: float
     end: float
@@ -42,24 +42,24 @@
 
 
 class ForecastView(Struct):
-    """The forecast for a job that is submitted now."""
+    """The forecast for a job, assuming that it is submitted now."""
 
     departures: list[DepartureView] = field(name="turns")
-    never: dict[str, str] = field(name="waits")  # machines that would never be taken out, and why
+    never: dict[str, str] = field(name="waits")  # the reason, by machine that would never be taken out
 
 
 class JobView(Struct):
     """The progress of a job."""
 
     state: str
-    halted: str  # why the job halted, or nothing
-    wanted: int  # machines
-    done: dict[str, str]  # machine to its outcome
+    halted: str  # why the job halted; empty if it did not
+    wanted: int  # the number of machines
+    done: dict[str, str]  # the outcome, by machine
     reason: str = field(name="why")
 
 
 class JobsView(Struct):
-    """All jobs, the machines that are out of service for them, and what these wait for."""
+    """All jobs, the machines out of service for them, and why machines wait."""
 
     jobs: dict[str, JobView] = field(name="works")
     machines: dict[str, MachineView]
@@ -74,11 +74,11 @@
     """A change of one job.
 
     Attributes:
-        name: Of the job.
-        fields: That change; None to remove the job.
-        reason: For the history.
-        author: For the history.
-        is_new: Whether the job is submitted by this change.
+        name: The name of the job.
+        fields: The changed fields; None to remove the job.
+        reason: The reason for the change, kept in the history.
+        author: Who makes the change, kept in the history.
+        is_new: Whether this change submits the job.
     """
 
     name: str
@@ -90,7 +90,7 @@
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out of service for maintenance, in an order of the dispatchers (docs/maintenance.md).
+    """Take machines out of service for maintenance, scheduled by the dispatchers (docs/maintenance.md).
 
     Exit: 0 done; 1 rejected; 2 unusable call; 3 no outcome or no response.
     """
@@ -101,7 +101,7 @@
 @json_option
 @file_argument
 def show_forecast(address: str, as_json: bool, file: BinaryIO) -> None:
-    """Forecast when the machines of FILE's job would be taken out, and why they wait; changes nothing."""
+    """Forecast when the machines of the job in FILE would be taken out, and why they wait; change nothing."""
     name, job = parse_job_file(file.read())
     content = _fetch_forecast(address, name, job)
     if as_json:
@@ -112,7 +112,9 @@
 
 
 def _fetch_forecast(address: str, name: str, job: JsonObject) -> JsonObject:
-    response = call_admin(address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT)
+    response = call_admin(
+        address, "agreed/plan", {"name": name, "work": job}, wait_seconds=FORECAST_WAIT_SECONDS
+    )
     if response.status != HTTP_OK:
         raise CallRejectedError(f"rejected: {response.content['text']}")
     return response.content
@@ -136,7 +138,7 @@
 @reason_option
 @author_option
 def start_job(address: str, as_json: bool, file: BinaryIO, reason: str, author: str) -> None:
-    """Submit the job of FILE."""
+    """Submit the job in FILE."""
     name, job = parse_job_file(file.read())
     change = JobChange(name, job, reason or job.get("why", ""), author, is_new=True)
     _publish_change(address, change, as_json)
@@ -167,7 +169,7 @@
 @json_option
 @click.argument("name")
 def show_job(address: str, as_json: bool, name: str) -> None:
-    """Show each machine of a job, and the wait reasons."""
+    """Show the machines of a job, and why machines wait."""
     content = fetch_maintenance(address)
     job = _require_job(content["works"], name)
     if as_json:
@@ -201,15 +203,15 @@
 
 
 def parse_job_file(text: bytes) -> tuple[str, JsonObject]:
-    """Parses a TOML file into the name and the specification of a job.
+    """Parses a TOML file; returns the name and the fields of the job.
 
     Raises:
-        click.UsageError: It is not TOML, or has no name.
+        click.UsageError: The file is not TOML, or has no name.
     """
     try:
         job = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise click.UsageError(f"no TOML: {error}") from None
+        raise click.UsageError(f"invalid TOML: {error}") from None
     name = job.pop("name", "")
     if not isinstance(name, str) or not name:
         raise click.UsageError("name: missing; the name of the job")
@@ -237,7 +239,10 @@
 
 
 def _publish_change(address: str, change: JobChange, as_json: bool) -> None:
-    """Publishes all jobs with the change; rejected if another version was published since they were read."""
+    """Publishes all jobs with the change.
+
+    The publish is rejected if another version was published after the jobs were read.
+    """
     view = fetch_document(address, MAINTENANCE)
     newest = view.find(view.newest)
     jobs: dict[str, JsonObject] = newest.content["works"] if newest else {}
@@ -250,7 +255,7 @@
     else:
         job = {**jobs.get(change.name, {}), **change.fields}
         if not change.is_new:
-            # A job that halted goes on once it differs, so requesting the same state again must change it.
+            # A halted job resumes only if its fields change, so a repeated request has to change one.
             job["called"] = job.get("called", 0) + 1
         jobs[change.name] = job
     publication = Publication(
@@ -274,7 +279,7 @@
         _publish_change(address, JobChange(name, {"state": state}, reason, author), as_json)
 
 
-_add_state_command("hold", "No further machine of the job goes out; those that are out are finished.")
-_add_state_command("go", "The job is resumed, also after it has halted.")
-_add_state_command("stop", "As hold, and machines on which nothing was begun come back.")
+_add_state_command("hold", "Drain no more machines of the job; finish those that are out.")
+_add_state_command("go", "Resume the job, also after it has halted.")
+_add_state_command("stop", "Like hold, and return the machines on which no work has begun.")
 add_machine_commands(maintenance)
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -1,4 +1,4 @@
-"""The commands of `crankfold maintenance` on one machine: its history, and steps that operators report."""
+"""The commands of `crankfold maintenance` on one machine: history, and the steps that operators report."""
 
 import sys
 import time
@@ -23,16 +23,16 @@
 from crankfold.time_units import MILLISECONDS_PER_SECOND
 
 MACHINES_PATH = "agreed/machines"
-STEP_WAIT = 10.0  # seconds in which a step is committed in the cluster
-FINAL_STEPS = ("well", "gone", "undone")  # the machine is no longer out of service
+STEP_WAIT_SECONDS = 10.0  # the time that the server may wait until the step is committed
+FINAL_STEPS = ("well", "gone", "undone")  # with these, the maintenance of a machine ends
 OPERATOR_STEPS = {
-    "begin": "Maintenance of a free machine begins: it is not restored until a further step.",
-    "done": "Maintenance of a machine is done: it is restored and observed.",
-    "unwell": "A restored machine is unhealthy, or its maintenance was not possible: it is taken out.",
-    "back": "A machine is restored without maintenance.",
+    "begin": "Report that work on a drained machine begins; the machine stays out until a further step.",
+    "done": "Report that the work on a machine is done; the machine returns and is watched.",
+    "unwell": "Report that a returned machine is unhealthy, or that work was not possible; it is drained.",
+    "back": "Return a machine without work on it.",
     "here": (
-        "A machine is restored at this dispatcher alone, which is isolated from the cluster. Its "
-        "maintenance may be in progress."
+        "Send requests to a machine again from this dispatcher alone, while it is isolated from the "
+        "cluster. Work on the machine may be in progress."
     ),
 }
 
@@ -42,12 +42,12 @@
 
     job: str = field(name="work")
     state: str
-    number: int  # of the notice that the machine is free; 0 before it
+    number: int  # its drain number; 0 before it is drained
     reason: str = field(name="why")
 
 
 class WaitView(Struct):
-    """Why a machine of a job waits; without a machine, why all its other machines wait."""
+    """Why a machine of a job waits; with an empty `machine`, why the other machines of the job wait."""
 
     machine: str
     job: str = field(name="work")
@@ -61,13 +61,13 @@
     job: str = field(name="work")
     step: str
     by: str
-    index: int  # of the log entry
+    index: int  # the index of its log entry
     reason: str = field(name="why")
     time_ms: int = field(name="at")  # since the epoch
 
 
 def fetch_maintenance(address: str) -> JsonObject:
-    """Reads the state of all jobs and machines from the dispatcher at `address`.
+    """Reads the state of all jobs and machines from the dispatcher at `address`, as JSON.
 
     Raises:
         UnreachableError: The state can't be read there.
@@ -87,7 +87,7 @@
 @json_option
 @click.argument("machine")
 def show_machine_history(address: str, as_json: bool, machine: str) -> None:
-    """Show when a machine was out, for which job, and the author and duration of each step."""
+    """Show when a machine was out and for which job, with the author and duration of each step."""
     raw = [step for step in fetch_maintenance(address)["steps"] if step["uid"] == machine]
     if as_json:
         click.echo(format_json(raw))
@@ -102,12 +102,12 @@
     lines = []
     previous_ms = 0
     for step in steps:
-        moment = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / MILLISECONDS_PER_SECOND))
+        time_text = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(step.time_ms / MILLISECONDS_PER_SECOND))
         elapsed = (step.time_ms - previous_ms) / MILLISECONDS_PER_SECOND
         since = f" after {elapsed:.1f} s" if previous_ms else ""
         previous_ms = 0 if step.step in FINAL_STEPS else step.time_ms
         cause = f": {step.reason}" if step.reason else ""
-        lines.append(f"{moment} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
+        lines.append(f"{time_text} {step.step:6} {step.job} by {step.by}, entry {step.index}{since}{cause}")
     return lines
 
 
@@ -117,9 +117,11 @@
     @json_option
     @click.argument("machine")
     @click.option(
-        "--number", default=0, help="The drain number of the machine; with another one the call is rejected."
+        "--number",
+        default=0,
+        help="Drain number of the machine; the call is rejected if the machine has another one.",
     )
-    @click.option("--why", default="", help="For the machine's history.")
+    @click.option("--why", default="", help="Reason, kept in the history of the machine.")
     @author_option
     @call_option
     def report_step(address: str, as_json: bool, call_id: str, **request: Any) -> None:
@@ -129,7 +131,7 @@
 def _report_step(address: str, request: JsonObject, as_json: bool) -> None:
     call_id = request["call"]
     try:
-        response = call_admin(address, MACHINES_PATH, request, wait_seconds=STEP_WAIT)
+        response = call_admin(address, MACHINES_PATH, request, wait_seconds=STEP_WAIT_SECONDS)
     except UnreachableError as error:
         raise UnreachableError(
             f"{error}; outcome unknown: repeat the command with --call {call_id} to learn it"
--- a/crankfold/cli/options.py
+++ b/crankfold/cli/options.py
@@ -21,7 +21,7 @@
     required=True,
     help="HOST:PORT of a dispatcher's admin server.",
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON in place of text.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 document_option = click.option(
     "--doc",
     "document",
@@ -30,7 +30,7 @@
     type=click.Choice(DOCUMENTS),
 )
 author_option = click.option("--author", envvar="USER", default="", show_envvar=True)
-reason_option = click.option("--reason", default="", help="For the history.")
+reason_option = click.option("--reason", default="", help="Reason, kept in the history.")
 required_reason_option = click.option("--reason", required=True)
 wait_option = click.option(
     "--wait",
@@ -43,5 +43,5 @@
     "--call",
     "call_id",
     default="",
-    help="Identifier: a repeated call with the same one has one effect. Random if not given.",
+    help="Identifier of the call; repeated calls with the same one take effect once. Random if not given.",
 )
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -42,25 +42,25 @@
 
 
 class DocumentView(Struct):
-    """A document with the versions that the dispatcher keeps."""
+    """A document with the versions that the dispatcher stores."""
 
     active: int = field(name="counts")
     newest: int
     versions: list[VersionView]
 
     def find(self, number: int) -> VersionView | None:
-        """The version of that number, if the dispatcher keeps it."""
+        """Returns the version of that number; None if the dispatcher does not store it."""
         return next((version for version in self.versions if version.number == number), None)
 
 
 class PublishResponse(Struct):
-    """The response of a dispatcher to a publish."""
+    """The response of a dispatcher to the publication of a version."""
 
     accepted: bool = field(name="well", default=False)
     reason: str = field(name="text", default="")
     number: int = 0
     active: bool = field(name="counts", default=True)
-    lag: list[str] = []  # the members where the version is not active yet, and why
+    lag: list[str] = []  # the members at which the version is not active yet, each with the reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,13 +68,13 @@
     """A new version of a document.
 
     Attributes:
-        document: Its name.
-        content: Of the new version.
-        made_from: The version that the operator changed; the publish is rejected if it is not the newest.
-        reason: For the history.
-        author: For the history.
+        document: The name of the document.
+        content: The content of the new version.
+        made_from: The version that the operator changed; if it is not the newest, the publish is rejected.
+        reason: The reason for the change, kept in the history.
+        author: Who made the change, kept in the history.
         wait_seconds: How long to wait until the version is active at each dispatcher.
-        call_id: A repeated call under the same identifier has one effect; random if empty.
+        call_id: The identifier under which a repeated call takes effect once; random if empty.
     """
 
     document: str
@@ -86,7 +86,7 @@
     call_id: str = ""
 
     def to_request(self, call_id: str) -> JsonObject:
-        """The body of the call to the admin server."""
+        """Returns the body of the call to the admin server."""
         return {
             "call": call_id,
             "made-from": self.made_from,
@@ -99,7 +99,7 @@
 
 @click.group()
 def settings() -> None:
-    """Show and publish the documents that are replicated among the dispatchers.
+    """Show and publish the documents that the dispatchers replicate.
 
     Exit: 0 done; 1 rejected; 2 unusable call; 3 no outcome or no response; 4 published, but not active at
     each dispatcher yet.
@@ -127,7 +127,7 @@
     view = msgspec.convert(raw, DocumentView)
     version = _find_shown_version(view, document, number)
     if as_json:
-        click.echo(format_json(next(one for one in raw["versions"] if one["number"] == version.number)))
+        click.echo(format_json(next(item for item in raw["versions"] if item["number"] == version.number)))
         return
     click.echo(format_json(version.content))
     if version.number == view.active:
@@ -138,7 +138,7 @@
 
 
 def _find_shown_version(view: DocumentView, document: str, number: int) -> VersionView:
-    """The version of that number, or the newest one for 0."""
+    """Returns the version of that number, or the newest one for 0."""
     version = view.find(number or view.newest)
     if version is None:
         raise UnreachableError(
@@ -192,7 +192,9 @@
 @json_option
 @document_option
 @click.argument("file", type=click.File("rb"))
-@click.option("--from", "made_from", type=int, required=True, help="The version that it was made from.")
+@click.option(
+    "--from", "made_from", type=int, required=True, help="Number of the version that FILE was made from."
+)
 @required_reason_option
 @author_option
 @wait_option
@@ -208,7 +210,7 @@
     except ValueError as error:
         raise click.UsageError(f"no JSON: {error}") from None
     if not isinstance(content, dict):
-        raise click.UsageError("no JSON object")
+        raise click.UsageError("not a JSON object")
     return content
 
 
@@ -272,7 +274,7 @@
 
 
 def _exit_rejected(address: str, publication: Publication, outcome: PublishResponse, as_json: bool) -> None:
-    """Exits as rejected; if another version was published first, prints the differences to it."""
+    """Exits with EXIT_REJECTED; if another version was published first, prints the differences to it."""
     if not as_json:
         click.echo(f"crankfold: rejected: {outcome.reason}", err=True)
         if outcome.number:
@@ -305,7 +307,7 @@
 
 
 def _fetch_raw(address: str, document: str, minimum: int = 0) -> JsonObject:
-    """The JSON of a document at version `minimum` or a newer one."""
+    """Returns the JSON of a document at version `minimum` or a newer one."""
     return call_admin(address, f"agreed/{document}?least={minimum}").require_ok()
 
 
--- a/crankfold/cli/simulation.py
+++ b/crankfold/cli/simulation.py
@@ -13,7 +13,7 @@
 from crankfold.simulation.traffic.scenario import Scenario
 from crankfold.time_units import TICKS_PER_SECOND
 
-SLOTS = 4  # of a backend
+SLOTS_PER_BACKEND = 4
 DEFAULT_SEEDS = 10
 
 DISPATCHERS = click.IntRange(1, 2000)
@@ -31,12 +31,12 @@
     """A simulated day as the options of `emulate` describe it.
 
     Attributes:
-        dispatchers: How many.
-        backends: How many.
-        load: Mean share of all slots in use.
-        work: Mean running time of a request, in seconds.
-        report_every: Seconds between the load reports of a backend.
-        seconds: Length of the day.
+        dispatchers: The number of dispatchers.
+        backends: The number of backends.
+        load: The mean share of all slots that are in use.
+        work: The mean running time of a request, in seconds.
+        report_every: The seconds between the load reports of a backend.
+        seconds: The length of the day.
     """
 
     dispatchers: int = 40
@@ -47,13 +47,13 @@
     seconds: int = 10
 
     def to_scenario(self) -> Scenario:
-        """The scenario of the simulation, with times in ticks."""
+        """Returns the scenario of the simulation, with times in ticks."""
         return Scenario(
             dispatcher_count=self.dispatchers,
             backend_count=self.backends,
             mean_service_time=int(self.work * TICKS_PER_SECOND),
             seconds=self.seconds,
-            arrival_rate=self.load * self.backends * SLOTS / self.work / self.dispatchers,
+            arrival_rate=self.load * self.backends * SLOTS_PER_BACKEND / self.work / self.dispatchers,
             report_interval=int(self.report_every * TICKS_PER_SECOND),
         )
 
@@ -64,13 +64,19 @@
 @click.command()
 @click.option("--dispatchers", default=DEFAULT_DAY.dispatchers, show_default=True, type=DISPATCHERS)
 @click.option("--runners", "backends", default=DEFAULT_DAY.backends, show_default=True, type=BACKENDS)
-@click.option("--load", default=DEFAULT_DAY.load, show_default=True, type=LOAD_SHARE, help="Of all slots.")
+@click.option(
+    "--load",
+    default=DEFAULT_DAY.load,
+    show_default=True,
+    type=LOAD_SHARE,
+    help="Mean share of all slots in use.",
+)
 @click.option(
     "--work",
     default=DEFAULT_DAY.work,
     show_default=True,
     type=WORK_SECONDS,
-    help="Mean running time, seconds.",
+    help="Mean running time of a request, in seconds.",
 )
 @click.option(
     "--report-every",
@@ -81,8 +87,12 @@
 )
 @click.option("--seconds", default=DEFAULT_DAY.seconds, show_default=True, type=DAY_SECONDS)
 @click.option("--seeds", default=DEFAULT_SEEDS, show_default=True, type=SEEDS)
-@click.option("--policy", "policies", multiple=True, help="Against crankfold; again for more; all if none.")
-@click.option("--csv", "table", type=click.File("w", lazy=False), help="Where a row for each day goes.")
+@click.option(
+    "--policy", "policies", multiple=True, help="Policy to compare with; may be repeated. All if not given."
+)
+@click.option(
+    "--csv", "table", type=click.File("w", lazy=False), help="File for a table with a row for each day."
+)
 def emulate(seeds: int, policies: tuple[str, ...], table: TextIO | None, **options: float) -> None:
     """Simulate days and compare policies on the same seeds.
 
@@ -132,9 +142,11 @@
     help="Folder for the table, the summary and the chart.",
 )
 @click.option("--workers", default=1, show_default=True, type=WORKERS, help="Processes.")
-@click.option("--no-chart", is_flag=True, help="Charts want matplotlib, which the extra `charts` brings.")
+@click.option(
+    "--no-chart", is_flag=True, help="Write no chart; a chart needs matplotlib, from the extra `charts`."
+)
 def run_experiment(file: Path, folder: Path, workers: int, no_chart: bool) -> None:
-    """Run the experiment that FILE describes (docs/emulator.md), and keep its results."""
+    """Run the experiment that FILE describes (docs/emulator.md), and write its results."""
     plan, scenarios = _load_plan(file, folder)
     rows = experiment.run_experiment(plan, scenarios, workers)
     for line in _write_results(plan, rows, folder, with_chart=not no_chart):
@@ -142,7 +154,7 @@
 
 
 def _load_plan(file: Path, folder: Path) -> tuple[ExperimentPlan, dict[str, Scenario]]:
-    """Loads the plan, and checks that the table can be written before hours of simulation."""
+    """Loads the plan, and checks before hours of simulation that the table can be written."""
     try:
         plan, scenarios = experiment.load_plan(file)
         folder.mkdir(parents=True, exist_ok=True)
