--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -29,7 +29,7 @@
     "begin": "Report that work on a drained machine begins; the machine stays out until a further step.",
     "done": "Report that the work on a machine is done; the machine returns and is watched.",
     "unwell": "Report that a returned machine is unhealthy, or that work was not possible; it is drained.",
-    "back": "Return a machine without work on it.",
+    "back": "Return a machine to service without work on it.",
     "here": (
         "Send requests to a machine again from this dispatcher alone, while it is isolated from the "
         "cluster. Work on the machine may be in progress."
--- a/tests/maintenance/test_coordinator.py
+++ b/tests/maintenance/test_coordinator.py
@@ -1,4 +1,4 @@
-"""What the coordinator proposes next, and why machines and jobs wait."""
+"""The transitions that the coordinator proposes, and the reasons why machines and jobs wait."""
 
 from typing import Any
 
@@ -13,27 +13,30 @@
 from tests.maintenance.machines import MACHINES
 
 
-class CoordinatorDecisions(TraceTestCase):
-    """A coordinator at the leader, told what is known by hand."""
+class CoordinatorTest(TraceTestCase):
+    """Runs a coordinator on views of the fleet that the test sets up, and records what it proposes."""
 
-    def look(self, view: FleetView, coordinator: Coordinator) -> None:
-        at = f"{view.now // 10_000} s:"
+    def propose_and_apply(self, view: FleetView, coordinator: Coordinator) -> None:
+        time_text = f"{view.now // 10_000} s:"
         transitions = coordinator.propose(view)
-        for one in transitions:
-            self.record(f"{at} {one.phase} {one.machine_id or one.job} {one.reason}".rstrip())
-        documents = [coordinator_document(one) for one in transitions]
+        for transition in transitions:
+            self.record(
+                f"{time_text} {transition.phase} {transition.machine_id or transition.job} "
+                f"{transition.reason}".rstrip()
+            )
+        documents = [coordinator_document(transition) for transition in transitions]
         view.state.apply(view.now, {"steps": documents}, view.jobs_version)
         for wait in coordinator.wait_reasons[:2]:
-            self.record(f"{at} {wait.machine_id or wait.job} waits: {wait.text}")
+            self.record(f"{time_text} {wait.machine_id or wait.job} waits: {wait.text}")
 
-    def view(self, **more: Any) -> FleetView:
+    def make_view(self, **job_fields: Any) -> FleetView:
         job = JobSpecification(
             machines=["m00", "m01"],
             method=WorkMethod.COMMAND,
             command=["x"],
             work_seconds=5.0,
             watch_seconds=1.0,
-            **more,
+            **job_fields,
         )
         return FleetView(
             now=0,
@@ -46,72 +49,76 @@
             incarnations={"n0": 1},
         )
 
-    def test_too_much_shedding_holds_a_job_and_brings_back_what_is_out(self) -> None:
-        view, coordinator = self.view(max_out=2, requests_per_size=2.0), Coordinator("n0")
-        view.requests_in_flight, view.blocking_holders = 37, lambda _uid, _index: "3 units there"
-        self.look(view, coordinator)  # what would stay carries not as much as is in hand
+    def test_excess_shedding_blocks_drains_and_returns_absent_machines(self) -> None:
+        view, coordinator = self.make_view(max_out=2, requests_per_size=2.0), Coordinator("n0")
+        view.requests_in_flight, view.blocking_holders = 37, lambda _machine_id, _index: "3 units there"
+        # Without m00, the capacity of the remaining machines would not suffice for the requests in flight.
+        self.propose_and_apply(view, coordinator)
         view.now, view.requests_in_flight = 20_000, 20
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now, view.admitted_count, view.shed_count = 40_000, 80, 20
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now, view.shed_count = 60_000, 0
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now = 120_000
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         self.assert_matches_trace("works-load")
 
-    def test_a_command_whose_dispatcher_died_and_a_machine_that_does_not_come_back(self) -> None:
+    def test_executor_restart_repeats_command_or_halts_job(self) -> None:
         for repeatable in (True, False):
             view, coordinator = (
-                self.view(command_repeatable=repeatable, overdue_policy=OverduePolicy.GIVE_UP),
+                self.make_view(command_repeatable=repeatable, overdue_policy=OverduePolicy.GIVE_UP),
                 Coordinator("n0"),
             )
             for second in range(4):
                 view.now = 10_000 * second
-                self.look(view, coordinator)
+                self.propose_and_apply(view, coordinator)
             view.incarnations = view.executors = {"n0": 2}
             for second in range(4, 8):
                 view.now = 10_000 * second
-                self.look(view, coordinator)
+                self.propose_and_apply(view, coordinator)
         self.assert_matches_trace("works-died")
 
-    def test_a_clock_that_is_set_back_undoes_nothing_and_a_stale_list_lets_nothing_out(self) -> None:
-        view, coordinator = self.view(not_before_ms=5000, max_out=1), Coordinator("n0")
+    def test_time_window_stays_open_after_clock_step_back_and_stale_list_blocks_drains(self) -> None:
+        view, coordinator = self.make_view(not_before_ms=5000, max_out=1), Coordinator("n0")
         view.wall_ms = 4000
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now, view.wall_ms, view.stale_reason = 10_000, 6000, "the list was not heard of for 20 s"
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now, view.stale_reason = 20_000, ""
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.now, view.wall_ms = 30_000, 1000
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         view.state.machines.clear()
         view.now = 50_000
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         self.assert_matches_trace("works-clock")
 
-    def test_a_job_stopped_halfway_brings_back_what_is_not_begun_and_finishes_the_rest(self) -> None:
-        view, coordinator = self.view(max_out=2), Coordinator("n0")
-        on_hold = {"m01"}
-        view.blocking_holders = lambda uid, _index: "1 units there" if uid in on_hold else ""
+    def test_stopped_job_returns_machines_without_begun_work_and_finishes_the_others(self) -> None:
+        view, coordinator = self.make_view(max_out=2), Coordinator("n0")
+        held_machines = {"m01"}
+        view.blocking_holders = lambda machine_id, _index: (
+            "1 units there" if machine_id in held_machines else ""
+        )
         for second in range(3):
             view.now = 10_000 * second
-            self.look(view, coordinator)
+            self.propose_and_apply(view, coordinator)
         view.jobs = {"w": structs.replace(view.jobs["w"], state=JobState.STOPPED)}
         for second in range(3, 6):
             view.now = 10_000 * second
-            self.look(view, coordinator)
-        ended = {"uid": "m00", "work": "w", "step": "ended", "by": "n0", "why": "exit 0"}
-        view.state.apply(55_000, {"steps": [ended]}, 1)
+            self.propose_and_apply(view, coordinator)
+        work_done = {"uid": "m00", "work": "w", "step": "ended", "by": "n0", "why": "exit 0"}
+        view.state.apply(55_000, {"steps": [work_done]}, 1)
         for second in range(6, 12):
             view.now = 10_000 * second
-            self.look(view, coordinator)
+            self.propose_and_apply(view, coordinator)
         self.record(f"{to_builtins(view.state.completed)} {to_builtins(view.state.machines)}")
         self.assert_matches_trace("works-stopped")
 
-    def test_retries_of_keyed_requests_keep_a_machine_in_their_deduplication_scope(self) -> None:
-        view, coordinator = self.view(max_out=2, min_remaining_share=0.0), Coordinator("n0")
-        view.jobs = {"w": structs.replace(view.jobs["w"], machines=["m00", "m06"])}  # a cell of two
+    def test_drain_leaves_one_machine_in_deduplication_scope_of_keyed_requests(self) -> None:
+        view, coordinator = self.make_view(max_out=2, min_remaining_share=0.0), Coordinator("n0")
+        # m00 and m06 are all machines of their cell.
+        view.jobs = {"w": structs.replace(view.jobs["w"], machines=["m00", "m06"])}
         view.deduplication_scopes = [Area.CELL]
-        self.look(view, coordinator)
+        self.propose_and_apply(view, coordinator)
         self.assert_matches_trace("works-group")
--- a/tests/maintenance/test_forecast.py
+++ b/tests/maintenance/test_forecast.py
@@ -1,4 +1,4 @@
-"""Who goes when, if nothing fails."""
+"""The forecast of a job: when each machine is drained, and which ones never are."""
 
 from crankfold.maintenance.forecast import ForecastInputs, forecast_job
 from crankfold.maintenance.specification import JobSpecification
@@ -7,7 +7,7 @@
 
 
 class ForecastTest(TraceTestCase):
-    def test_turns_are_forecast_with_times_and_reasons(self) -> None:
+    def test_forecast_has_departure_times_and_wait_reasons(self) -> None:
         jobs = {
             "disks": JobSpecification(
                 max_out=2,
@@ -22,7 +22,7 @@
             ),
         }
         for name in jobs:
-            result = forecast_job(
+            forecast = forecast_job(
                 name,
                 ForecastInputs(
                     jobs=jobs,
@@ -34,10 +34,10 @@
                     warm_up_seconds=10.0,
                 ),
             )
-            for departure in result.departures:
+            for departure in forecast.departures:
                 times = f"{departure.begin_seconds:.0f} to {departure.end_seconds:.0f} s"
                 self.record(
                     f"{name}: {times} {departure.machine_id} {departure.zone} {departure.waited_for}".rstrip()
                 )
-            self.record(f"{name} never: {result.wait_reasons}")
+            self.record(f"{name} never: {forecast.wait_reasons}")
         self.assert_matches_trace("works-plan")
--- a/tests/maintenance/test_scheduler.py
+++ b/tests/maintenance/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The schedule keeps every bound at every moment, is the same for all, and starves nobody."""
+"""The scheduler keeps all bounds, gives equal results for equal inputs, and starves no job."""
 
 from dataclasses import replace
 from random import Random
@@ -15,36 +15,36 @@
 
 
 class SchedulerTest(TraceTestCase):
-    def show(
+    def record_schedule(
         self,
         jobs: list[MaintenanceJob],
         machines: list[Machine] = MACHINES,
         out: tuple[tuple[str, str], ...] = (),
-        now: int = 0,
+        time_ms: int = 0,
     ) -> None:
-        result = schedule(jobs, SchedulingFacts(machines, out, completed=(), now_ms=now))
+        result = schedule(jobs, SchedulingFacts(machines, out, completed=(), now_ms=time_ms))
         self.record(f"go {[tuple(pair) for pair in result.departures]}")
-        for (uid, job), why in sorted(result.wait_reasons.items())[:3]:
-            self.record(f"  {uid} for {job} waits: {why}")
+        for (machine_id, job), reason in sorted(result.wait_reasons.items())[:3]:
+            self.record(f"  {machine_id} for {job} waits: {reason}")
 
-    def test_machines_go_out_within_the_bounds_and_others_wait_with_the_reason(self) -> None:
+    def test_schedule_drains_machines_within_bounds_and_gives_wait_reasons(self) -> None:
         job = MaintenanceJob("disks", max_out=3, max_out_per_zone=1)
-        self.show([job])
-        self.show([replace(job, min_remaining_zone_share=0.9)])
-        self.show([replace(job, not_before_ms=10)])
-        self.show([job], out=(("m01", "disks"),))
-        # An unplanned loss takes the last free place of its zone.
-        self.show([job], [replace(m, available=m.machine_id != "m00") for m in MACHINES])
-        # A zone is lost while a tenth of another is out.
-        lost = [replace(m, available=m.zone != "z0") for m in MACHINES]
-        self.show([replace(job, min_remaining_share=0.6)], lost, (("m01", "disks"),))
+        self.record_schedule([job])
+        self.record_schedule([replace(job, min_remaining_zone_share=0.9)])
+        self.record_schedule([replace(job, not_before_ms=10)])
+        self.record_schedule([job], out=(("m01", "disks"),))
+        # The failure of m00 uses up the bound of its zone, so no other machine of the zone is drained.
+        self.record_schedule([job], [replace(m, available=m.machine_id != "m00") for m in MACHINES])
+        # All machines of zone z0 fail while a machine of another zone is out.
+        failed = [replace(m, available=m.zone != "z0") for m in MACHINES]
+        self.record_schedule([replace(job, min_remaining_share=0.6)], failed, (("m01", "disks"),))
         racks = MaintenanceJob("racks", cells=frozenset({"c1"}), max_out=2)
-        self.show([job, replace(racks, exclusive_with=frozenset({"disks"}))])
-        self.show([job, replace(racks, after=frozenset({"disks"}))])
-        self.show([replace(job, max_out=2), racks], out=(("m00", "disks"), ("m05", "disks")))
+        self.record_schedule([job, replace(racks, exclusive_with=frozenset({"disks"}))])
+        self.record_schedule([job, replace(racks, after=frozenset({"disks"}))])
+        self.record_schedule([replace(job, max_out=2), racks], out=(("m00", "disks"), ("m05", "disks")))
         self.assert_matches_trace("works-order")
 
-    def test_a_job_that_could_never_go_on_is_refused_with_its_bound(self) -> None:
+    def test_infeasible_job_is_rejected_with_its_bound(self) -> None:
         for job in (
             MaintenanceJob("w", machine_ids=frozenset({"nobody"})),
             MaintenanceJob("w", min_remaining_share=1.0),
@@ -55,7 +55,7 @@
             self.record(infeasibility_reason(job, MACHINES) or "can be done")
         self.assert_matches_trace("works-impossible")
 
-    def test_bounds_hold_at_every_moment_through_losses_and_every_machine_is_done(self) -> None:
+    def test_schedule_keeps_bounds_despite_failures_and_completes_every_machine(self) -> None:
         for seed in range(30):
             rng = Random(seed)
             jobs = [
@@ -70,28 +70,40 @@
                 ),
             ]
             out: dict[str, str] = {}
-            done: set[tuple[str, str]] = set()
-            lost: set[str] = set()
-            small = 0
+            completed: set[tuple[str, str]] = set()
+            failed: set[str] = set()
+            small_job_completed_at = 0
             for step in range(300):
-                machines = [replace(m, available=m.machine_id not in lost) for m in MACHINES]
-                result = schedule(jobs, SchedulingFacts(machines, out.items(), done, 0))
-                repeated = schedule(jobs, SchedulingFacts(machines, sorted(out.items()), set(done), 0))
+                machines = [replace(m, available=m.machine_id not in failed) for m in MACHINES]
+                result = schedule(jobs, SchedulingFacts(machines, out.items(), completed, 0))
+                repeated = schedule(jobs, SchedulingFacts(machines, sorted(out.items()), set(completed), 0))
                 self.assertEqual(result, repeated)
                 out.update(result.departures)
                 for job in jobs if result.departures else ():
-                    gone = [m for m in machines if job.covers(m) and (m.machine_id in out or not m.available)]
-                    departed = [uid for uid, _ in result.departures if any(m.machine_id == uid for m in gone)]
+                    unavailable = [
+                        m for m in machines if job.covers(m) and (m.machine_id in out or not m.available)
+                    ]
+                    departed = [
+                        machine_id
+                        for machine_id, _ in result.departures
+                        if any(m.machine_id == machine_id for m in unavailable)
+                    ]
                     if job.name in out.values() and departed:
-                        self.assertLessEqual(len(gone), job.max_out, (seed, step))
-                        up = sum(m.size for m in machines if m.available and m.machine_id not in out)
-                        self.assertGreaterEqual(up / sum(m.size for m in machines), job.min_remaining_share)
-                for uid in [uid for uid in out if rng.random() < 0.3]:
-                    done.add((uid, out.pop(uid)))
-                small = small or (step if {("m03", "small"), ("m07", "small")} <= done else 0)
+                        self.assertLessEqual(len(unavailable), job.max_out, (seed, step))
+                        available_size = sum(
+                            m.size for m in machines if m.available and m.machine_id not in out
+                        )
+                        self.assertGreaterEqual(
+                            available_size / sum(m.size for m in machines), job.min_remaining_share
+                        )
+                for machine_id in [machine_id for machine_id in out if rng.random() < 0.3]:
+                    completed.add((machine_id, out.pop(machine_id)))
+                small_job_completed_at = small_job_completed_at or (
+                    step if {("m03", "small"), ("m07", "small")} <= completed else 0
+                )
                 if step < 200 and rng.random() < 0.1:
-                    lost ^= {rng.choice(MACHINES).machine_id}
+                    failed ^= {rng.choice(MACHINES).machine_id}
                 elif step >= 200:
-                    lost.clear()
-            self.assertEqual(len(done), len(MACHINES) + 2, f"seed {seed}")
-            self.assertLess(small, 250)
+                    failed.clear()
+            self.assertEqual(len(completed), len(MACHINES) + 2, f"seed {seed}")
+            self.assertLess(small_job_completed_at, 250)
--- a/tests/maintenance/test_specification.py
+++ b/tests/maintenance/test_specification.py
@@ -1,4 +1,4 @@
-"""Jobs are checked as a whole when they are handed in."""
+"""Validation of a submitted jobs document."""
 
 from crankfold.maintenance.specification import validation_error
 from tests.fixtures import TraceTestCase
@@ -6,22 +6,22 @@
 
 
 class SpecificationTest(TraceTestCase):
-    def test_jobs_that_can_not_be_carried_out_are_refused_with_path_found_and_allowed(self) -> None:
-        fine: dict[str, object] = {"way": "hand", "stays": 0.5}
+    def test_invalid_jobs_are_rejected_with_path_value_and_allowed_values(self) -> None:
+        valid_job: dict[str, object] = {"way": "hand", "stays": 0.5}
         for jobs in (
-            {"w": fine},
-            {"w": {**fine, "at-once": 0}},
-            {"w": {**fine, "speed": 1}},
-            {"w w": fine},
-            {"w": {**fine, "way": "command"}},
-            {"w": {**fine, "after": ["v"]}},
-            {"w": {**fine, "after": ["v"]}, "v": {**fine, "after": ["w"]}},
-            {"w": {**fine, "stays": 1.0}},
-            {"w": {**fine, "machines": ["m99"]}},
+            {"w": valid_job},
+            {"w": {**valid_job, "at-once": 0}},
+            {"w": {**valid_job, "speed": 1}},
+            {"w w": valid_job},
+            {"w": {**valid_job, "way": "command"}},
+            {"w": {**valid_job, "after": ["v"]}},
+            {"w": {**valid_job, "after": ["v"]}, "v": {**valid_job, "after": ["w"]}},
+            {"w": {**valid_job, "stays": 1.0}},
+            {"w": {**valid_job, "machines": ["m99"]}},
         ):
             self.record(validation_error({"works": jobs}, {}, MACHINES) or "fits")
-        # Handed in once, a job may be held though its machines are gone by now.
-        gone = {"works": {"w": {**fine, "machines": ["m99"]}}}
-        on_hold = {"works": {"w": {**fine, "machines": ["m99"], "state": "hold", "called": 1}}}
-        self.record(validation_error(on_hold, gone, MACHINES) or "fits")
+        # A job that was submitted before can be put on hold although its machines are no longer listed.
+        previous = {"works": {"w": {**valid_job, "machines": ["m99"]}}}
+        held = {"works": {"w": {**valid_job, "machines": ["m99"], "state": "hold", "called": 1}}}
+        self.record(validation_error(held, previous, MACHINES) or "fits")
         self.assert_matches_trace("works-forms")
--- a/tests/maintenance/test_transitions.py
+++ b/tests/maintenance/test_transitions.py
@@ -1,4 +1,4 @@
-"""The stored form of a transition: its keys, their order, and what is left out."""
+"""The stored form of a transition: its keys, their order, and the omitted fields."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class TransitionDocumentsTest(unittest.TestCase):
-    def test_a_departure_keeps_its_keys_and_their_order(self) -> None:
+    def test_departure_document_keeps_its_keys_and_their_order(self) -> None:
         departure = Transition(
             machine_id="a",
             job="w",
@@ -44,8 +44,8 @@
         )
         self.assertEqual(decode_transition(document), departure)
 
-    def test_other_proposals_keep_their_keys_and_leave_out_what_does_not_apply(self) -> None:
-        step = Transition(
+    def test_other_coordinator_documents_keep_their_keys_and_omit_unset_fields(self) -> None:
+        work_start = Transition(
             machine_id="a",
             job="w",
             phase=MaintenancePhase.IN_WORK,
@@ -55,19 +55,21 @@
             incarnation=8,
         )
         self.assertEqual(
-            list(coordinator_document(step)), ["uid", "work", "last", "by", "why", "step", "life", "at"]
+            list(coordinator_document(work_start)), ["uid", "work", "last", "by", "why", "step", "life", "at"]
         )
-        back = Transition(
+        machine_return = Transition(
             machine_id="a", job="w", phase=MaintenancePhase.RETURNING, by="n1", at_ms=9, last_index=5
         )
-        self.assertEqual(list(coordinator_document(back)), ["uid", "work", "last", "by", "why", "step", "at"])
-        halt = Transition(
+        self.assertEqual(
+            list(coordinator_document(machine_return)), ["uid", "work", "last", "by", "why", "step", "at"]
+        )
+        job_halt = Transition(
             machine_id="", job="w", phase=MaintenancePhase.HALTED, by="n1", reason="bad", at_ms=9
         )
-        self.assertEqual(list(coordinator_document(halt)), ["uid", "work", "step", "by", "why", "at"])
+        self.assertEqual(list(coordinator_document(job_halt)), ["uid", "work", "step", "by", "why", "at"])
 
-    def test_calls_of_operators_and_outcomes_of_commands_keep_their_keys(self) -> None:
-        done = Transition(
+    def test_operator_and_outcome_documents_keep_their_keys(self) -> None:
+        work_done = Transition(
             machine_id="a",
             job="w",
             phase=MaintenancePhase.WORK_DONE,
@@ -77,6 +79,8 @@
             incarnation=0,
         )
         self.assertEqual(
-            list(operator_document(done)), ["uid", "work", "step", "by", "life", "why", "at", "number"]
+            list(operator_document(work_done)), ["uid", "work", "step", "by", "life", "why", "at", "number"]
+        )
+        self.assertEqual(
+            list(outcome_document(work_done)), ["uid", "work", "step", "number", "by", "why", "at"]
         )
-        self.assertEqual(list(outcome_document(done)), ["uid", "work", "step", "number", "by", "why", "at"])
