--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -12,7 +12,7 @@
 
 from crankfold.service.application import Application
 from tests.fixtures import read_message
-from tests.loopback import OK, REQUEST, DispatcherTestCase
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
@@ -29,7 +29,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 if head.startswith("DELETE"):
                     continue
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
@@ -179,7 +179,7 @@
             await reader.read()
 
         discovery_address = self.config["discovery"]
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(silent_discovery)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.start_fake_server(silent_discovery)}"
         self.config_file.write_bytes(orjson.dumps(self.config))
         self.config["discovery"] = discovery_address
         waiting_successor = await asyncio.create_subprocess_exec(
