--- a/crankfold/cluster/cluster_member.py
+++ b/crankfold/cluster/cluster_member.py
@@ -37,7 +37,7 @@
         """Handles a change of the effective contents of the named documents at the member."""
 
     def applied(self) -> None:
-        """Handles progress of the applied index."""
+        """Handles an advance of the applied index."""
 
     def storage_failed(self, member: "ClusterMember") -> None:
         """Replaces a member that is disabled because its folder failed."""
--- a/crankfold/cluster/status.py
+++ b/crankfold/cluster/status.py
@@ -43,7 +43,7 @@
         "term": NotRequired[int],  # this and the following keys are given by voters only
         "voters": NotRequired[dict[str, str]],  # addresses by name
         "leases-ms": NotRequired[dict[str, int]],  # given by the leader: until the lease expires, by voter
-        "lag": NotRequired[dict[str, int]],  # given by the leader: entries to replicate, by voter
+        "lag": NotRequired[dict[str, int]],  # given by the leader: entries not replicated yet, by voter
         "members": NotRequired[list[MemberDocument]],
     },
 )
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -85,8 +85,8 @@
         Raises:
             OSError: The address cannot be bound.
         """
-        listening = open_listening_socket(host, port, LIMITS)
-        self._acceptor = Acceptor(listening, self._run_incoming, self._metrics, LIMITS)
+        listening_socket = open_listening_socket(host, port, LIMITS)
+        self._acceptor = Acceptor(listening_socket, self._run_incoming, self._metrics, LIMITS)
 
     def send(self, receiver: str, message: Message) -> None:
         """Sends a message; without a connection, drops it and starts to connect.
--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -235,23 +235,23 @@
 
 
 def _read_request_classes(settings: _Settings) -> list[RequestClass]:
-    stretches = settings.numbers("specifics.class-stretch")
+    default_factors = settings.numbers("specifics.class-stretch")
     request_classes = []
     for index in range(settings.integer("service-grades.count", 0)):
-        # The default factors are listed by class; classes beyond the end of the list have its last factor.
-        default_stretch = stretches[min(index, len(stretches) - 1)] if stretches else 0.0
-        request_classes.append(_read_request_class(settings, f"service-grades.{index}", default_stretch))
+        # The list has a default factor for each class; classes beyond its end have its last factor.
+        default_factor = default_factors[min(index, len(default_factors) - 1)] if default_factors else 0.0
+        request_classes.append(_read_request_class(settings, f"service-grades.{index}", default_factor))
     return request_classes
 
 
-def _read_request_class(settings: _Settings, path: str, default_stretch: float) -> RequestClass:
+def _read_request_class(settings: _Settings, path: str, default_factor: float) -> RequestClass:
     # An unknown idempotency or scope is read as the strictest one.
     return RequestClass(
         idempotency=_IDEMPOTENCY.get(settings.text(f"{path}.effect"), Idempotency.NON_IDEMPOTENT),
         deduplication_scope=_SCOPES.get(settings.text(f"{path}.group"), DeduplicationScope.CELL),
         deduplication_window=settings.upper_bound(f"{path}.repeat-window"),
         latency_objective=settings.upper_bound(f"{path}.expected-time"),
-        objective_per_work=settings.number(f"{path}.aim-stretch", default_stretch),
+        objective_per_work=settings.number(f"{path}.aim-stretch", default_factor),
         deadline=settings.upper_bound(f"{path}.cut-off"),
         priority_weight=settings.number(f"{path}.revenue", 1.0),
         late_value=settings.number(f"{path}.tardy-revenue", 0.0),
