--- a/tests/consensus/test_stored_documents.py
+++ b/tests/consensus/test_stored_documents.py
@@ -15,7 +15,7 @@
 from crankfold.maintenance.transitions import MaintenancePhase, Placement
 from tests.data.write_fixtures import DATA
 from tests.fixtures import TraceTestCase
-from tests.stored_forms import HISTORY, LOCATION, WORKS, WORKS_1, WORKS_2
+from tests.stored_forms import HISTORY, JOBS, JOBS_DOCUMENT_1, JOBS_DOCUMENT_2, PLACEMENT
 
 DOCUMENTS_DIRECTORY = DATA / "documents"
 
@@ -77,7 +77,8 @@
             active_number=1, versions=[make_version(1, 15, "c7", {"runners": {"r7": "stolen"}})]
         ),
         "works": Document(
-            active_number=2, versions=[make_version(1, 17, "c8", WORKS_1), make_version(2, 19, "c9", WORKS_2)]
+            active_number=2,
+            versions=[make_version(1, 17, "c8", JOBS_DOCUMENT_1), make_version(2, 19, "c9", JOBS_DOCUMENT_2)],
         ),
     },
     outcomes={
@@ -112,7 +113,7 @@
                 worked=False,
                 earlier_jobs=["disks"],
                 started_at=77,
-                placement=Placement(*LOCATION),
+                placement=Placement(*PLACEMENT),
                 unhealthy=False,
                 reason="free r1",
             ),
@@ -127,7 +128,7 @@
                 worked=False,
                 earlier_jobs=[],
                 started_at=79,
-                placement=Placement(*LOCATION),
+                placement=Placement(*PLACEMENT),
                 unhealthy=True,
                 reason="back r3",
             ),
@@ -200,7 +201,7 @@
         self.assertEqual(
             documents.effective_content("runners-out"), {"runners": {"r9": "smells", "r8": "noise"}}
         )
-        self.assertEqual(documents.effective_content("works"), WORKS_2)
+        self.assertEqual(documents.effective_content("works"), JOBS_DOCUMENT_2)
         self.assertEqual(
             [(name, version.number) for name, version in documents.pending_versions()],
             [("settings", 2), ("runners-out", 2)],
@@ -245,10 +246,10 @@
     def test_stored_maintenance_jobs_are_decoded_and_encoded_unchanged(self) -> None:
         data = (DOCUMENTS_DIRECTORY / "works.json").read_bytes()
         jobs = parse_jobs(msgspec.json.decode(data))
-        self.assertEqual(jobs, WORKS)
+        self.assertEqual(jobs, JOBS)
         self.assertEqual(msgspec.json.encode({"works": jobs}), data)
         self.assertEqual(
-            parse_jobs(WORKS_2),
+            parse_jobs(JOBS_DOCUMENT_2),
             {
                 "disks": JobSpecification(reason="new disks", zones=["north"], max_out=4),
                 "bios": JobSpecification(machines=["r1"], method=WorkMethod.ENDPOINT_LIST, work_seconds=60.0),
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -49,7 +49,7 @@
         documents.apply(index, entry)
     (folder / "history.msgpack").write_bytes(msgspec.msgpack.encode(stored_forms.HISTORY))
     (folder / "state.msgpack").write_bytes(documents.encode())
-    (folder / "works.json").write_bytes(msgspec.json.encode({"works": stored_forms.WORKS}))
+    (folder / "works.json").write_bytes(msgspec.json.encode({"works": stored_forms.JOBS}))
 
 
 class HandoverFiles(handover_scene.HandoverScene):
@@ -58,7 +58,7 @@
 
     async def test_manual_drain_file(self) -> None:
         folder = self.make_folder()
-        await self.prepare(folder, msgspec.json.encode(stored_forms.BANS))
+        await self.prepare(folder, msgspec.json.encode(stored_forms.MANUAL_DRAINS))
         await self.serve()
         await self.serving()
         drain_file = folder / handover_scene.drains_file(self.listen)
@@ -67,7 +67,7 @@
         (DATA / "handover" / "bans.json").write_bytes(drain_file.read_bytes())
 
     async def test_predecessor(self) -> None:
-        await self.prepare(self.make_folder(), msgspec.json.encode(stored_forms.BANS))
+        await self.prepare(self.make_folder(), msgspec.json.encode(stored_forms.MANUAL_DRAINS))
         received = await self.as_predecessor(
             [handover_scene.HELLO, handover_scene.TAKEOVER_REQUEST, *handover_scene.QUERIES]
         )
--- a/tests/service/handover/test_stored_lines.py
+++ b/tests/service/handover/test_stored_lines.py
@@ -18,7 +18,7 @@
     drains_file,
 )
 from tests.stored_forms import (
-    BANS,
+    MANUAL_DRAINS,
 )
 
 HANDOVER = DATA / "handover"
@@ -100,7 +100,7 @@
             (manual_drains.drained_since, manual_drains.assumed_starts),
             ({"a": 1234567, "gone": 2345678}, {"b": (3456789, 4567890)}),
         )
-        self.assertEqual(orjson.loads(data), BANS)
+        self.assertEqual(orjson.loads(data), MANUAL_DRAINS)
         file = folder / drains_file(self.listen)
         file.unlink()
         # `a` is drained already; the call makes the dispatcher write the file again.
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -307,11 +307,13 @@
     }
 
 
-LOCATION = ("north", "big", "c1", 2.0)
-WORKS_1 = {"works": {"disks": {"why": "new disks", "zones": ["north"], "at-once": 4}}}
-WORKS_2 = {"works": {**WORKS_1["works"], "bios": {"machines": ["r1"], "way": "list", "takes": 60.0}}}
+PLACEMENT = ("north", "big", "c1", 2.0)
+JOBS_DOCUMENT_1 = {"works": {"disks": {"why": "new disks", "zones": ["north"], "at-once": 4}}}
+JOBS_DOCUMENT_2 = {
+    "works": {**JOBS_DOCUMENT_1["works"], "bios": {"machines": ["r1"], "way": "list", "takes": 60.0}}
+}
 
-# A log with entries of all kinds; its first index is 1.
+# A log with entries of all kinds, from index 1 on; the comments give the indices of some entries.
 HISTORY = [
     LogEntry(term=1, kind="begin", data={"by": "n0", "folders": {"n0": "f0", "n1": "f1"}}),
     LogEntry(term=1, kind="folder", data={"voter": "n2", "folder": "f2"}),
@@ -329,19 +331,19 @@
     _publish("c6", "runners-out", 1, {"runners": {"r8": "noise"}}),
     _publish("c7", "runners-never", 0, {"runners": {"r7": "stolen"}}),
     LogEntry(term=1, kind="count", data={"doc": "runners-never", "number": 1}),
-    _publish("c8", "works", 0, WORKS_1),
+    _publish("c8", "works", 0, JOBS_DOCUMENT_1),
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 1}),
-    _publish("c9", "works", 1, WORKS_2),
+    _publish("c9", "works", 1, JOBS_DOCUMENT_2),
     LogEntry(term=1, kind="count", data={"doc": "works", "number": 2}),
-    _transition("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(LOCATION)),  # 21
+    _transition("r1", "out", "disks", made_from=0, plan=2, start=77, place=list(PLACEMENT)),  # 21
     _transition("r1", "free", "disks", 21),
     _transition("r1", "work", "disks", 22, number=22, life=2**45),
     _transition("r1", "ended", "disks", 23, number=22),
     _transition("r1", "free", "bios", 24),  # the next job uses the time while the machine is out
-    _transition("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(LOCATION)),  # 26
+    _transition("r2", "out", "disks", made_from=1, plan=2, start=78, place=list(PLACEMENT)),  # 26
     _transition("r2", "back", "disks", 26),
     _transition("r2", "well", "disks", 27),
-    _transition("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(LOCATION)),  # 29
+    _transition("r3", "out", "disks", made_from=4, plan=2, start=79, place=list(PLACEMENT)),  # 29
     _transition("r3", "free", "disks", 29),
     _transition("r3", "unwell", "disks", 30),
     _transition("r4", "out", "disks", made_from=0, plan=2),  # 32: rejected, decided on an older state
@@ -350,7 +352,7 @@
     _transition("r3", "back", "disks", 31, call="s2"),
 ]
 
-WORKS: dict[str, JobSpecification] = {
+JOBS: dict[str, JobSpecification] = {
     "least": JobSpecification(),
     "disks": JobSpecification(
         reason="new disks",
@@ -396,7 +398,7 @@
 
 # The manual drains of the dispatcher "n0": two drained backends, and one that was put back, with its
 # assumed start.
-BANS: dict[str, Any] = {
+MANUAL_DRAINS: dict[str, Any] = {
     "of": "n0",
     "bans": {"a": 1234567, "gone": 2345678},
     "assumed": {"b": [3456789, 4567890]},
