--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -36,7 +36,7 @@
         return []
 
 
-class ClusterScene(Loopback):
+class ClusterTestCase(Loopback):
     """Runs the nodes of one cluster, each with its own storage folder."""
 
     async def asyncSetUp(self) -> None:
@@ -81,16 +81,16 @@
             "publish", {**data, "text": settings_document("unsafe"), **fields}, proposal_id, 30.0
         )
 
-    def acts(self, *names: str) -> bool:
+    def are_active(self, *names: str) -> bool:
         return all(not self.nodes[name].inactive_reason() for name in names)
 
 
-class ClusterNodeTest(ClusterScene):
+class ClusterNodeTest(ClusterTestCase):
     async def test_cluster_activates_published_version_and_replaces_failed_voter(self) -> None:
         for name in VOTERS:
             await self.start(name)
         follower = await self.start("f")
-        await self.until(lambda: self.acts(*VOTERS, "f"))
+        await self.until(lambda: self.are_active(*VOTERS, "f"))
         response = await self.publish(follower, "a", 1)
         self.assertEqual((response.accepted, response.version_number), (True, 2))
         self.assertEqual(await self.publish(follower, "a", 1), response)
@@ -118,31 +118,31 @@
             await asyncio.sleep(0.02)
         self.assertEqual(response.reason, "")
         await self.start("n3", tuple(voters_with_new))
-        await self.until(lambda: self.acts("n3", "f"))
+        await self.until(lambda: self.are_active("n3", "f"))
         self.assertEqual(self.nodes["n3"].consensus.documents.version_numbers(), {SETTINGS: (2, 2)})
 
     async def test_voter_with_new_folder_has_no_vote_under_its_old_name(self) -> None:
         for name in VOTERS:
             await self.start(name)
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         await self.until(lambda: len(self.nodes["n0"].consensus.documents.replicated.voter_folder_ids) == 3)
         await self.nodes.pop("n2").close()
         await self.nodes.pop("n1").close()
         await self.start("n1", folder_name="elsewhere")
         await asyncio.sleep(1.2)
         # n0 and the old n1 would be a majority; n1 with another folder has no vote.
-        self.assertFalse(self.acts("n0"))
-        self.assertFalse(self.acts("n1"))
+        self.assertFalse(self.are_active("n0"))
+        self.assertFalse(self.are_active("n1"))
         await self.start("n2")
-        await self.until(lambda: self.acts("n0", "n2"))
-        self.assertFalse(self.acts("n1"))
+        await self.until(lambda: self.are_active("n0", "n2"))
+        self.assertFalse(self.are_active("n1"))
 
     async def test_successor_is_follower_until_voter_has_closed(self) -> None:
         for name in VOTERS:
             await self.start(name)
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         successor = await self.start("n1", successor_key="successor")
-        await self.until(lambda: self.acts("successor"))
+        await self.until(lambda: self.are_active("successor"))
         self.assertRegex(successor.consensus.name, r"n1\+")
         response = await self.publish(successor, "a", 1)
         self.assertTrue(response.accepted)
@@ -153,7 +153,7 @@
             checks_without_lease += not successor.has_lease()
             await asyncio.sleep(0.005)
         self.assertEqual(checks_without_lease, 0)
-        await self.until(lambda: self.acts("successor"))
+        await self.until(lambda: self.are_active("successor"))
         self.assertEqual(successor.consensus.documents.document(SETTINGS).latest_number(), 2)
 
     # Guards against an opened voter that keeps its folder and its address after its node has closed.
@@ -171,7 +171,7 @@
     async def test_invalid_bytes_close_only_their_own_connection(self) -> None:
         for name in VOTERS:
             await self.start(name)
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         for invalid in (
             b"GET / HTTP/1.1\r\n\r\n",
             encode_frame(Hello(PROTOCOL_VERSION + 1, "x", 1, "")),
@@ -185,12 +185,12 @@
                 while await reader.read(1000):
                     pass
             writer.close()
-        self.assertTrue(self.acts(*VOTERS))
+        self.assertTrue(self.are_active(*VOTERS))
 
     async def test_storage_failure_disables_only_that_voter_until_folder_is_usable(self) -> None:
         for name in VOTERS:
             await self.start(name)
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         failing_node = self.nodes["n1"]
         disk_full = OSError(errno.ENOSPC, "No space left on device")
         voter = failing_node.member
@@ -201,7 +201,7 @@
         self.assertFalse(voter.has_lease())
         self.assertIn("No space left", voter.inactive_reason())
         await self.until(lambda: failing_node.member is not voter and failing_node.consensus.name == "n1")
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
 
     async def test_isolated_follower_does_not_act_and_gives_reason(self) -> None:
         document_changes: list[set[str]] = []
--- a/tests/terms/test_storage_faults.py
+++ b/tests/terms/test_storage_faults.py
@@ -18,7 +18,7 @@
 from crankfold.document_names import SETTINGS
 from crankfold.service.cluster.event_log import EventLog
 from crankfold.service.requests.collaborators import RecordedEvent
-from tests.cluster.test_node import VOTERS, ClusterScene
+from tests.cluster.test_node import VOTERS, ClusterTestCase
 
 STORAGE_CALLS = ("open", "write", "fsync", "fdatasync", "replace", "ftruncate", "close")
 
@@ -31,7 +31,7 @@
     return LogEntry(1, "publish", {"n": number})
 
 
-class FailingStorageTest(ClusterScene):
+class FailingStorageTest(ClusterTestCase):
     """Voters whose folders fail while they serve."""
 
     @contextmanager
@@ -42,7 +42,7 @@
     async def start_voters(self) -> None:
         for name in VOTERS:
             await self.start(name)
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
 
     async def check_recovery(self, *calls: str, number: int) -> None:
         await self.start_voters()
@@ -53,7 +53,7 @@
             response = await self.nodes["n0"].propose("publish", data, "lost", 1.0)
             self.assertFalse(response.accepted)  # nothing is answered for meanwhile
             await self.until(lambda: not any(node.has_lease() for node in self.nodes.values()))
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         await self.until(lambda: all(node.consensus.name in VOTERS for node in self.nodes.values()))
         # What was proposed meanwhile may have been stored: its outcome was not told, so either is right.
         latest = self.nodes["n0"].consensus.documents.document(SETTINGS).latest_number()
@@ -73,7 +73,7 @@
             self.assertFalse(node.has_lease())
         await self.start("n1")
         await self.start("n2")
-        await self.until(lambda: self.acts(*VOTERS))
+        await self.until(lambda: self.are_active(*VOTERS))
         await self.until(lambda: node.consensus.name == "n0")
 
 
