--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -66,7 +66,7 @@
     except msgspec.ValidationError as error:
         raise ProposalError(str(error)) from None
     if request.kind != EntryKind.PUBLISH:
-        raise ProposalError(f"unknown kind of proposal: {request.kind!r}")
+        raise ProposalError(f"no way to agree on {request.kind!r}")
     return proposal
 
 
@@ -78,7 +78,7 @@
     """
     voters = request.data.get("voters")
     if not isinstance(voters, dict):
-        raise ProposalError("the proposal has no voters")
+        raise ProposalError("no voters")
     return voters
 
 
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -258,9 +258,7 @@
                 the log does not permit the change.
         """
         if self.role != Role.LEADER or self.commit_index < self.term_start_index:
-            raise MembershipChangeError(
-                "this voter is not the leader or has not committed an entry of its term"
-            )
+            raise MembershipChangeError("no leader with a majority here")
         self.log.check_voter_change(voters, self.commit_index)
         for added in voters.keys() - self.voters.keys():
             self.progress.next_index[added] = self.log.last_index() + 1
--- a/crankfold/protocol/client_request.py
+++ b/crankfold/protocol/client_request.py
@@ -107,5 +107,5 @@
             if name.strip() == b"slots":
                 slots = number
         elif name.strip():
-            raise HeaderError("an attribute has no value")
+            raise HeaderError("an attribute without a value")
     return slots
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -63,12 +63,10 @@
         if name == MACHINES:
             return encode_answer(HTTPStatus.OK, self.maintenance().describe())
         if name not in DOCUMENTS:
-            return encode_answer(
-                HTTPStatus.NOT_FOUND, ErrorAnswer(f"no such document; documents are {', '.join(DOCUMENTS)}")
-            )
+            return encode_answer(HTTPStatus.NOT_FOUND, ErrorAnswer(f"there are {', '.join(DOCUMENTS)}"))
         if not await self.cluster_node.wait_until_known(name, minimum_version, READ_TIMEOUT):
-            reason = self.cluster_node.inactive_reason() or "this member lags behind"
-            text = f"version {minimum_version} of {name} is not known to this member yet: {reason}"
+            reason = self.cluster_node.inactive_reason() or "it lags behind"
+            text = f"version {minimum_version} of {name} is not known here yet: {reason}"
             return encode_answer(HTTPStatus.GATEWAY_TIMEOUT, ErrorAnswer(text))
         document = self.cluster_node.consensus.documents.document(name)
         return encode_answer(
@@ -109,7 +107,8 @@
             return _rejection(HTTPStatus.BAD_REQUEST, str(error))
         member = self.cluster_node.consensus
         if not isinstance(member, Voter):
-            return _rejection(HTTPStatus.BAD_REQUEST, "this member is not a voter; call a voter instead")
+            # Tells the caller to send this call to a voter.
+            return _rejection(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
         response = await self.cluster_node.propose(
@@ -180,7 +179,8 @@
             if member["lag"] and member["state"] != "left"
         ]
         lagging += [f"voter {name}: {lag} behind" for name, lag in status.get("lag", {}).items() if lag]
-        return lagging or ["a member that is not known to this one; ask the leader"]
+        # If no lag is visible here, the caller is referred to the leader, which sees the lag of each voter.
+        return lagging or ["somebody, who is not known here; ask at the leader's door"]
 
     async def _request_transition(self, body: bytes) -> AdminAnswer:
         result = await self.maintenance().request_transition(body)
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -74,7 +74,8 @@
             return _maintenance_error(content, previous, list_machines)
     except ValueError as error:
         return str(error)
-    return f"{document}: only the leader publishes this document; operators cannot"
+    # The only document left is the one of quotas, which the leader publishes.
+    return f"{document}: dealt by whoever leads, not by operators"
 
 
 def _maintenance_error(
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -126,7 +126,8 @@
         if target == Target.DISPATCHERS:
             member = agent.cluster_node.consensus
             if not isinstance(member, Voter):
-                return CallOutcome(False, "this member is not a voter; call a voter instead")
+                # Tells the caller to send this call to a voter.
+                return CallOutcome(False, "ask at the door of a voter")
             machines = agent.dispatchers(member, boottime_ticks())
         jobs_of_target = {name: job for name, job in jobs.items() if job.target == target}
         return _forecast_answer(forecast_job(request.name, self._forecast_inputs(jobs_of_target, machines)))
@@ -184,7 +185,8 @@
             and job
             and job.method == WorkMethod.COMMAND
         ):
-            return f"{machine_id} is reserved for the command of job {machine.job}"
+            # The job runs a command at this point, so operators may not request these phases.
+            return f"{machine_id} is for {machine.job}'s command"
         if phase == MaintenancePhase.RETURNING and machine.phase not in MAY_RETURN:
             return f"{machine_id} is in state {machine.phase}"
         return ""
@@ -194,9 +196,8 @@
         if machine_id not in self.agent.state.out_of_rotation():
             return _not_out(machine_id)
         if self.agent.cluster_node.has_lease():
-            return TransitionResult(
-                False, "this dispatcher is not isolated; request the step `back`, for the whole cluster"
-            )
+            # This dispatcher is not isolated; the step `back` restores the machine in the whole cluster.
+            return TransitionResult(False, "the fleet is heard here; hand it in as a step of all: back")
         self.agent.restore_locally(machine_id)
         return TransitionResult(True)
 
@@ -215,7 +216,7 @@
 
 
 def _not_out(machine_id: str) -> TransitionResult:
-    return TransitionResult(False, f"{machine_id} is not out for any job that is known to this dispatcher")
+    return TransitionResult(False, f"{machine_id} is not out for any work, as far as is known here")
 
 
 def _forecast_answer(forecast: Forecast) -> ForecastAnswer:
--- a/crankfold/service/maintenance/agent.py
+++ b/crankfold/service/maintenance/agent.py
@@ -239,7 +239,7 @@
         age = self.endpoint_list_age()
         if age <= MAX_ENDPOINT_LIST_AGE:
             return ""
-        return f"no answer of discovery for {age // TICKS_PER_SECOND} s"
+        return f"the list was not heard of for {age // TICKS_PER_SECOND} s"
 
     def _deduplication_areas(self) -> list[Area]:
         """Returns the areas that retries of requests with an idempotency key must not leave."""
@@ -276,4 +276,4 @@
     name = machine_id.removeprefix(DISPATCHER_PREFIX)
     is_running = name == own_name or machine_id in available_dispatchers
     has_requests = name not in cluster_report.combined.idle_dispatchers
-    return "it has open requests" if is_running and has_requests else ""
+    return "it has units in hand" if is_running and has_requests else ""
--- a/crankfold/service/maintenance/commands.py
+++ b/crankfold/service/maintenance/commands.py
@@ -134,7 +134,7 @@
         except TimeoutError:
             _kill_process_group(process)
             return CommandOutcome(
-                MaintenancePhase.WORK_FAILED, f"killed after {command.job.work_seconds:g} s"
+                MaintenancePhase.WORK_FAILED, f"was ended after {command.job.work_seconds:g} s"
             )
         if process.returncode == 0:
             return CommandOutcome(MaintenancePhase.WORK_DONE, "exit 0")
