--- a/crankfold/service/handover/takeover.py
+++ b/crankfold/service/handover/takeover.py
@@ -101,7 +101,7 @@
                 self._replace_listening_socket(listening_socket)
                 self.state_machine.predecessor_connected(process)
                 return self._adopt_state(state)
-            self._warn("has another format version, address or name; starting alone")
+            self._warn("has another format version, address or name; starting without a predecessor")
             self.channel.disconnect(process)
             if listening_socket:
                 listening_socket.close()
