--- a/tests/planted_maintenance.py
+++ b/tests/planted_maintenance.py
@@ -1,4 +1,4 @@
-"""Members, coordinators and states with one fault each, which the checks of the simulated fleet must find."""
+"""Members, coordinators and states with one fault each, which the simulated fleet must detect."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -22,59 +22,59 @@
 from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 
 
-class FreeTooEarly(Voter):
-    """As soon as the leader itself holds nothing there."""
+class OwnSubtreeVoter(Voter):
+    """As the leader, reports only its own subtree, not the requests that other members have in flight."""
 
     def cluster_report(self, now: int) -> ClusterReport:
         report = super().cluster_report(now)
-        of_itself = ClusterReport([self.subtree_report(now)], earlier_leases_may_run=False)
-        of_itself.combined = report.combined
-        return of_itself
+        own_report = ClusterReport([self.subtree_report(now)], earlier_leases_may_run=False)
+        own_report.combined = report.combined
+        return own_report
 
 
-class SilenceIsConsent(Voter):
-    """Whoever is not heard any more is asked no longer, whatever lease he has and whatever he sent."""
+class SilentMemberIgnoringVoter(Voter):
+    """Ignores members that have become silent, although their leases and their requests may still run."""
 
     def cluster_report(self, now: int) -> ClusterReport:
         granted_until = self.leader_leases.granted_until
-        silent = [
+        silent_names = [
             name
             for name, report in self.leader_leases.reports.items()
             if now - report.received_at > self.timing.contact_timeout
         ]
-        before = {name: granted_until.pop(name) for name in silent if name in granted_until}
+        removed_leases = {name: granted_until.pop(name) for name in silent_names if name in granted_until}
         leader_since = self.raft.leader_since
         self.raft.leader_since = -10 * self.timing.lease_expiry_wait
         report = super().cluster_report(now)
-        granted_until |= before
+        granted_until |= removed_leases
         self.raft.leader_since = leader_since
         return report
 
     def subtree_report(self, now: int) -> SubtreeReport:
-        silent = [
+        silent_holders = [
             holder
             for holder in self.leases.holders.values()
             if now - holder.last_contact_at > self.timing.contact_timeout
         ]
-        until = [holder.expires_at for holder in silent]
-        for holder in silent:
+        expiry_times = [holder.expires_at for holder in silent_holders]
+        for holder in silent_holders:
             holder.expires_at = -10 * self.timing.lease_expiry_wait
         report = super().subtree_report(now)
-        for holder, expires_at in zip(silent, until, strict=True):
+        for holder, expires_at in zip(silent_holders, expiry_times, strict=True):
             holder.expires_at = expires_at
         return report
 
 
-class ImpatientCoordinator(Coordinator):
-    """Does not wait for what it proposed: bounds were kept by what was known before."""
+class ReproposingCoordinator(Coordinator):
+    """Proposes departures again before earlier ones are committed, with bounds checked on the old state."""
 
     def propose(self, view: FleetView) -> list[Transition]:
         self.last_departures = None
         return super().propose(view)
 
 
-class RestartingProgress(MachineProgress):
-    """A new leader begins anew what another had begun."""
+class CommandRestartingProgress(MachineProgress):
+    """As a new leader, starts a command again that another executor has already started."""
 
     def _supervise_work(self, subject: Subject) -> Transition | None:
         record, view = subject.record, self._view
@@ -90,33 +90,35 @@
         return super()._supervise_work(subject)
 
 
-def restarting_coordinator(name: str) -> Coordinator:
-    return Coordinator(name, RestartingProgress)
+def command_restarting_coordinator(name: str) -> Coordinator:
+    return Coordinator(name, CommandRestartingProgress)
 
 
 @contextmanager
-def bounds_unchecked_at_commit() -> Iterator[None]:
-    """Bounds are checked by whoever proposes, and not again by what was agreed meanwhile."""
-    check = MaintenanceState._void_reason
+def bounds_not_checked_at_commit() -> Iterator[None]:
+    """Accepts departures at commit without a check that they were decided on the current state."""
+    void_reason = MaintenanceState._void_reason
 
-    def unchecked(self: MaintenanceState, transition: Transition, changes: int, jobs_version: int) -> str:
-        as_if_new = structs.replace(transition, change_count=changes, jobs_version=jobs_version)
-        return check(self, as_if_new, changes, jobs_version)
+    def unchecked_void_reason(
+        self: MaintenanceState, transition: Transition, current_count: int, jobs_version: int
+    ) -> str:
+        current = structs.replace(transition, change_count=current_count, jobs_version=jobs_version)
+        return void_reason(self, current, current_count, jobs_version)
 
-    with mock.patch.object(MaintenanceState, "_void_reason", unchecked):
+    with mock.patch.object(MaintenanceState, "_void_reason", unchecked_void_reason):
         yield
 
 
 @contextmanager
-def work_may_begin_twice() -> Iterator[None]:
-    """A command may be begun again from anywhere."""
+def work_start_allowed_twice() -> Iterator[None]:
+    """Allows the work on a machine to start again while it is in progress."""
     in_work = MaintenancePhase.IN_WORK
     with mock.patch.dict(ALLOWED_FROM, {in_work: (*ALLOWED_FROM[in_work], in_work)}):
         yield
 
 
 @contextmanager
-def unchanged() -> Iterator[None]:
+def unchanged_product() -> Iterator[None]:
     yield
 
 
@@ -135,13 +137,14 @@
 
 
 def isolated_members(seed: int) -> MaintenanceCase:
-    """One after another is cut off for as long as a lease, and goes on for as long as it has one."""
+    """Isolates a random member every 2.5 s, for as long as a lease; it acts while its lease is valid."""
     rng = Random(f"cut off {seed}")
     faults: list[ClusterFault] = []
     for begin in range(30_000, 200_000, 25_000):
-        at = rng.choice(("v0", "v1", "v2", "f0", "f1"))
+        member = rng.choice(("v0", "v1", "v2", "f0", "f1"))
         faults += [
-            ClusterFault(ClusterFaultKind.LOSS, begin, begin + 20_000, *ends) for ends in ((at, ""), ("", at))
+            ClusterFault(ClusterFaultKind.LOSS, begin, begin + 20_000, *ends)
+            for ends in ((member, ""), ("", member))
         ]
     case = ClusterCase(seed=seed, seconds=22.0, publish_every=9.0, faults=tuple(faults))
     return MaintenanceCase(case, ALL_MACHINES_JOBS, work_duration=2000)
@@ -151,8 +154,8 @@
     return replace(isolated_members(seed), work_duration=40_000)
 
 
-def flapping_machines(seed: int) -> MaintenanceCase:
-    """Machines come and go, and what is agreed takes its time."""
+def machine_losses_with_slow_disks(seed: int) -> MaintenanceCase:
+    """Loses machines for short times, while slow disks of the voters delay commits."""
     rng = Random(f"flutter {seed}")
     losses = tuple(MachineLoss(at, at + 3000, f"m{rng.randrange(9)}") for at in range(20_000, 180_000, 4000))
     jobs = {"disks": {**ALL_MACHINES_JOBS["disks"], "at-once": 3}}
@@ -166,37 +169,38 @@
     )
 
 
+# A factory of the faulty fleet, a patch of the product, the case by seed, and the pattern of the violation.
 PlantedFault = tuple[
     Callable[[MaintenanceCase], MaintenanceFleet], Callable[[], Any], Callable[[int], MaintenanceCase], str
 ]
 PLANTED_FAULTS: dict[str, PlantedFault] = {
     "free told before the last has answered": (
-        lambda case: MaintenanceFleet(case, FreeTooEarly),
-        unchanged,
+        lambda case: MaintenanceFleet(case, OwnSubtreeVoter),
+        unchanged_product,
         draw_case,
         "free while",
     ),
     "silence taken for consent": (
-        lambda case: MaintenanceFleet(case, SilenceIsConsent),
-        unchanged,
+        lambda case: MaintenanceFleet(case, SilentMemberIgnoringVoter),
+        unchanged_product,
         isolated_members,
         "free while|is free since",
     ),
     "a bound checked before the agreement": (
-        lambda case: MaintenanceFleet(case, make_coordinator=ImpatientCoordinator),
-        bounds_unchecked_at_commit,
-        flapping_machines,
+        lambda case: MaintenanceFleet(case, make_coordinator=ReproposingCoordinator),
+        bounds_not_checked_at_commit,
+        machine_losses_with_slow_disks,
         "goes out",
     ),
     "a step taken twice after a change of leader": (
-        lambda case: MaintenanceFleet(case, make_coordinator=restarting_coordinator),
-        work_may_begin_twice,
+        lambda case: MaintenanceFleet(case, make_coordinator=command_restarting_coordinator),
+        work_start_allowed_twice,
         long_commands,
         "ran again|two commands",
     ),
     "cold taken for warm": (
         lambda case: MaintenanceFleet(case, warm_up_ticks=0),
-        unchanged,
+        unchanged_product,
         draw_case,
         "called well",
     ),
