--- a/tests/planted_maintenance.py
+++ b/tests/maintenance_faults.py
@@ -174,31 +174,31 @@
     Callable[[MaintenanceCase], MaintenanceFleet], Callable[[], Any], Callable[[int], MaintenanceCase], str
 ]
 PLANTED_FAULTS: dict[str, PlantedFault] = {
-    "free told before the last has answered": (
+    "machine reported drained before all members have answered": (
         lambda case: MaintenanceFleet(case, OwnSubtreeVoter),
         unchanged_product,
         draw_case,
         "free while",
     ),
-    "silence taken for consent": (
+    "silent members ignored in reports": (
         lambda case: MaintenanceFleet(case, SilentMemberIgnoringVoter),
         unchanged_product,
         isolated_members,
         "free while|is free since",
     ),
-    "a bound checked before the agreement": (
+    "bounds not checked at commit": (
         lambda case: MaintenanceFleet(case, make_coordinator=ReproposingCoordinator),
         bounds_not_checked_at_commit,
         machine_losses_with_slow_disks,
         "goes out",
     ),
-    "a step taken twice after a change of leader": (
+    "command started twice after a leader change": (
         lambda case: MaintenanceFleet(case, make_coordinator=command_restarting_coordinator),
         work_start_allowed_twice,
         long_commands,
         "ran again|two commands",
     ),
-    "cold taken for warm": (
+    "returned machine not watched while it warms up": (
         lambda case: MaintenanceFleet(case, warm_up_ticks=0),
         unchanged_product,
         draw_case,
--- a/tests/simulation/maintenance/test_fleet.py
+++ b/tests/simulation/maintenance/test_fleet.py
@@ -6,14 +6,14 @@
 from crankfold.simulation.maintenance.cases import MaintenanceCase, draw_case
 from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 from tests.fixtures import TraceTestCase
-from tests.planted_maintenance import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
+from tests.maintenance_faults import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
 
 CAUGHT_AT = {
-    "free told before the last has answered": 0,
-    "silence taken for consent": 0,
-    "a bound checked before the agreement": 3,
-    "a step taken twice after a change of leader": 2,
-    "cold taken for warm": 0,
+    "machine reported drained before all members have answered": 0,
+    "silent members ignored in reports": 0,
+    "bounds not checked at commit": 3,
+    "command started twice after a leader change": 2,
+    "returned machine not watched while it warms up": 0,
 }
 
 
