--- a/crankfold/simulation/__init__.py
+++ b/crankfold/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation in virtual time: the program's routing and consensus with simulated peers and faults."""
+"""Simulations in virtual time: run the product's routing and consensus with simulated peers and faults."""
--- a/crankfold/simulation/event_queue.py
+++ b/crankfold/simulation/event_queue.py
@@ -1,11 +1,11 @@
-"""The clock of a simulation: calls run in the order of their times; equal times keep scheduling order."""
+"""The event queue of a simulation: runs calls in order of time, equal times in order of scheduling."""
 
 import heapq
 from collections.abc import Callable
 
 
 class EventQueue:
-    """A clock that jumps from one scheduled call to the next."""
+    """Runs scheduled calls in virtual time: `now` advances from one call to the next."""
 
     def __init__(self) -> None:
         self.now = 0  # ticks
@@ -23,7 +23,7 @@
         self._sequence_number += 1
 
     def run(self, end: int) -> None:
-        """Runs all calls due up to `end` (ticks, inclusive), also those scheduled while it runs."""
+        """Runs all calls due up to `end` (ticks, inclusive), including those scheduled while it runs."""
         while self._heap and self._heap[0][0] <= end:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/crankfold/simulation/traffic/backend.py
+++ b/crankfold/simulation/traffic/backend.py
@@ -10,7 +10,7 @@
 from crankfold.routing.interface import EndpointState, Outcome
 from crankfold.simulation.traffic.scenario import FleetContext
 
-ERROR_DELAY_TICKS = 200  # from the arrival of a request until its error response
+ERROR_DELAY_TICKS = 200  # from the arrival of a request to its error response
 
 
 class AttemptOwner(Protocol):
@@ -19,12 +19,12 @@
     index: int
 
     def backend_started(self, attempt: "SimulatedAttempt", backend: int) -> None:
-        """Receives the start of the execution at a backend."""
+        """Called when a backend starts to execute the attempt."""
 
     def backend_answered(
         self, attempt: "SimulatedAttempt", backend: int, outcome: Outcome, report: Sequence[float]
     ) -> None:
-        """Receives the outcome of the attempt and the load report of the backend."""
+        """Called when a backend has answered; `report` is its load report, empty if it did not respond."""
 
 
 @dataclass(slots=True, eq=False)
@@ -50,19 +50,19 @@
         self.queue = deque[SimulatedAttempt]()
         self.running: dict[SimulatedAttempt, None] = {}  # in the order of their starts
         self.rng = Random(f"{context.scenario.seed} runner {index}")
-        # The reported queue length and free slots.
+        # Load report: queue length and free slots.
         self.report: tuple[float, ...] = (0.0, float(context.scenario.slots_per_backend))
         self.queue_times: list[int] = []  # ticks that each attempt spent in the queue
         # Injected faults.
         self.slowdown = 1.0  # factor on service times
-        self.error_rate = 0.0  # share of the requests
-        self.generation = 0  # raised by each restart; attempts of earlier generations never complete
+        self.error_rate = 0.0  # share of the requests that fail
+        self.generation = 0  # incremented by each restart; attempts of earlier generations never complete
         self.unresponsive = False
         self.dead = False
         self.reports_frozen = False
 
     def slow_start_factor(self) -> float:
-        """Returns the current speed as a share of that of a warm backend."""
+        """Returns the current speed relative to a warm backend, in (0, 1]."""
         config = self.context.config
         age = self.context.events.now - self.ready_since
         if not self.ready_since or age >= config.warm_up_time:
@@ -70,7 +70,7 @@
         return config.initial_capacity + (1.0 - config.initial_capacity) * age / config.warm_up_time
 
     def refresh_report(self) -> None:
-        """Sets the load report to the current load and schedules the next refresh."""
+        """Updates the load report, unless a fault freezes it, and schedules the next refresh."""
         scenario = self.context.scenario
         if not self.reports_frozen:
             free_slots = scenario.slots_per_backend - self.busy_slots
@@ -82,7 +82,7 @@
         return not self.dead and not self.unresponsive and self.state != EndpointState.REMOVED
 
     def receive(self, attempt: SimulatedAttempt) -> None:
-        """Queues an attempt, or answers it at once according to the state and the faults."""
+        """Queues an attempt, or answers it at once if the state, a fault or a full queue demands it."""
         events = self.context.events
         self._check_slow_start(attempt)
         if self.state == EndpointState.REMOVED or self.dead:
--- a/crankfold/simulation/traffic/baselines.py
+++ b/crankfold/simulation/traffic/baselines.py
@@ -1,4 +1,4 @@
-"""Simple routing policies for comparison; dispatchers in service use only `routing.router.Router`."""
+"""Simple routing policies to compare with; production dispatchers use only `routing.router.Router`."""
 
 from collections import Counter
 from collections.abc import Callable, Collection, Sequence
@@ -18,8 +18,8 @@
 from crankfold.simulation.traffic.dispatcher import SimulatedDispatcher
 
 NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
-FIRST_POSITIONS = 1 << 16  # of a round robin
-DEADLINE_MARGIN_TIMERS = 2  # timer resolutions between the latest answer and the deadline
+INITIAL_POSITIONS = 1 << 16  # range from which a round robin draws its initial position
+DEADLINE_MARGIN_TIMERS = 2  # a request is answered this many timer resolutions before its deadline
 
 
 class Baseline:
@@ -34,9 +34,9 @@
         self.rng = Random(seed)
         self.ready_backends: list[int] = []
         self.in_flight: Counter[int] = Counter()  # own attempts, by backend
-        self.class_of_request: dict[int, int] = {}  # class index of unanswered requests
-        self.backends_tried: dict[int, list[int]] = {}  # by request
-        self.possibly_executed: set[int] = set()  # requests
+        self.class_of_request: dict[int, int] = {}  # class index of each unanswered request
+        self.backends_tried: dict[int, list[int]] = {}  # by request id
+        self.possibly_executed: set[int] = set()  # ids of requests
 
     def select_backend(self) -> int:
         """Returns the ready backend for the next attempt."""
@@ -133,7 +133,7 @@
     def __init__(self, config: RoutingConfig, seed: int, actions: RoutingActions) -> None:
         super().__init__(config, seed, actions)
         # A random start keeps dispatchers that start together from selecting the same backends.
-        self.position = self.rng.randrange(FIRST_POSITIONS)
+        self.position = self.rng.randrange(INITIAL_POSITIONS)
 
     def select_backend(self) -> int:
         """Returns the next ready backend."""
@@ -145,7 +145,7 @@
     """Selects the backend with the fewest attempts in flight from this dispatcher."""
 
     def select_backend(self) -> int:
-        """Returns one of the backends with the fewest attempts, at random."""
+        """Returns a random one of the backends with the fewest attempts."""
         fewest = min(self.in_flight[backend] for backend in self.ready_backends)
         return self.rng.choice(
             [backend for backend in self.ready_backends if self.in_flight[backend] == fewest]
@@ -153,7 +153,7 @@
 
 
 class TwoChoices(Baseline):
-    """Selects of two random backends the one with fewer attempts in flight from this dispatcher."""
+    """Draws two random backends and selects the one with fewer attempts in flight from this dispatcher."""
 
     def select_backend(self) -> int:
         """Returns the less loaded of two random backends."""
@@ -162,10 +162,10 @@
 
 
 class GlobalKnowledge(Baseline):
-    """Picks by the true queues at this moment, which no dispatcher can know."""
+    """Selects by the current load of each backend, which no real dispatcher can know."""
 
     def select_backend(self) -> int:
-        """Returns one of the backends with the fewest requests of all dispatchers, at random."""
+        """Returns a random one of the backends with the fewest running and queued requests."""
         backends = cast(SimulatedDispatcher, self.actions).backends
         loads = {
             index: backends[index].busy_slots + len(backends[index].queue) for index in self.ready_backends
--- a/crankfold/simulation/traffic/comparison.py
+++ b/crankfold/simulation/traffic/comparison.py
@@ -1,4 +1,4 @@
-"""Compares policies on the same seeds, with a confidence interval of the difference."""
+"""Compares policies on the same seeds and computes a confidence interval of their difference."""
 
 import csv
 from collections.abc import Sequence
@@ -15,8 +15,8 @@
 PRODUCT = "crankfold"
 POLICIES: dict[str, PolicyFactory] = {PRODUCT: Router, **BASELINES}
 BOOTSTRAP_RESAMPLES = 2000
-TAIL_RESAMPLES = BOOTSTRAP_RESAMPLES // 40  # beyond each end of a 95% interval: 2.5%
-# Times in ticks: the latency objective is 80 ms plus twice the work, the deadline five seconds.
+TAIL_RESAMPLES = BOOTSTRAP_RESAMPLES // 40  # 2.5% lie beyond each end of a 95% interval
+# Times are ticks: the latency objective is 80 ms plus twice the service time, the deadline five seconds.
 DEFAULT_CLASS = RequestClass(
     idempotency=Idempotency.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.GLOBAL,
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """The result of one simulated day."""
+    """The result of one simulated day, that is, of one scenario with one seed."""
 
     policy: str
     seed: int
@@ -73,7 +73,7 @@
 
 
 def simulate_day(policy: str, scenario: Scenario, config: RoutingConfig, seed: int) -> DayResult:
-    """Simulates the scenario with `seed` in place of the scenario's own seed."""
+    """Simulates the scenario with the named policy; `seed` replaces the scenario's own seed."""
     fleet = SimulatedFleet(replace(scenario, seed=seed), config, POLICIES[policy])
     fleet.run()
     return DayResult(
@@ -86,22 +86,30 @@
 
 
 def confidence_interval(own: Sequence[float], other: Sequence[float]) -> Interval:
-    """Returns the mean of `own` minus `other`, pair by pair, with its bootstrap interval."""
-    pairs = [one - two for one, two in zip(own, other, strict=True)]
+    """Returns the mean of the pairwise differences `own - other`, with its bootstrap interval.
+
+    The values at one position come from the same seed.
+    """
+    differences = [mine - theirs for mine, theirs in zip(own, other, strict=True)]
     rng = Random("bootstrap")
-    means = sorted(sum(rng.choices(pairs, k=len(pairs))) / len(pairs) for _ in range(BOOTSTRAP_RESAMPLES))
-    return Interval(mean=sum(pairs) / len(pairs), low=means[TAIL_RESAMPLES], high=means[-TAIL_RESAMPLES - 1])
+    means = sorted(
+        sum(rng.choices(differences, k=len(differences))) / len(differences)
+        for _ in range(BOOTSTRAP_RESAMPLES)
+    )
+    return Interval(
+        mean=sum(differences) / len(differences), low=means[TAIL_RESAMPLES], high=means[-TAIL_RESAMPLES - 1]
+    )
 
 
 def verdict(low: float, high: float) -> str:
-    """Returns in words which policy an interval of differences favors."""
+    """Returns in words whether an interval of differences shows the first policy to be better or worse."""
     if low <= 0 <= high:
         return "no difference shown"
     return "better" if low > 0 else "worse"
 
 
 def write_table(days: Sequence[DayResult], out: TextIO) -> None:
-    """Writes one row a day, as CSV."""
+    """Writes a CSV table with a row for each simulated day."""
     table = csv.writer(out, lineterminator="\n")
     table.writerow(["policy", "seed", "units", "in_time", "rules_broken"])
     table.writerows(
--- a/crankfold/simulation/traffic/dispatcher.py
+++ b/crankfold/simulation/traffic/dispatcher.py
@@ -1,4 +1,4 @@
-"""A simulated dispatcher: runs a routing policy and carries out its actions in the fleet."""
+"""A simulated dispatcher: runs a routing policy and executes its actions in the simulated fleet."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
@@ -16,7 +16,7 @@
     zone_of,
 )
 
-SEEDS_PER_SCENARIO = 1000  # each dispatcher of a scenario uses a seed of its own
+SEEDS_PER_SCENARIO = 1000  # each dispatcher of a scenario uses its own seed
 ONLY_CLASS = 0  # index of the request class of all requests of a scenario
 
 
@@ -24,10 +24,10 @@
     """The clients that send requests to the dispatchers."""
 
     def submit_request(self, dispatcher: int, request: ClientRequest) -> None:
-        """Sends a request to a dispatcher, or to the next one if it is dead."""
+        """Sends a request to a dispatcher, or to the next live one if it is dead."""
 
     def request_completed(self, *, on_time: bool) -> None:
-        """Receives the response of a completed request."""
+        """Called when a request has completed; `on_time` means within its latency objective."""
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
 
 
 class SimulatedDispatcher:
-    """Implements RoutingActions for a policy and reports their results to it as RoutingEvents."""
+    """Implements RoutingActions for a policy and reports the results to the policy as RoutingEvents."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         return request.arrived_at + self.context.config.request_classes[ONLY_CLASS].deadline
 
     def _notify(self, call: Callable[..., None], *args: object) -> None:
-        """Calls a method of the policy: after the stall of a stalled dispatcher, never of a dead one."""
+        """Calls a method of the policy, at once or after a stall; drops the call of a dead dispatcher."""
         if not self.alive:
             return
         if self.events.now < self.stalled_until:
@@ -148,18 +148,18 @@
         """Has no effect, as if the backend did not support cancellation."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Schedules timer_fired of the policy after `delay` ticks."""
+        """Calls `timer_fired` of the policy after `delay` ticks."""
         self.events.schedule(delay, lambda: self._notify(self.policy.timer_fired, token))
 
     def probe(self, backend: int) -> None:
-        """Sends a health probe to a backend; its result arrives after a round trip."""
+        """Sends a health probe to a backend; the policy learns the result a round trip later."""
 
-        def answered() -> None:
+        def report_result() -> None:
             probed = self.backends[backend]
             healthy = probed.answers_probes()
             self._notify(self.policy.probe_ended, backend, healthy, probed.report if healthy else ())
 
-        self.events.schedule(2 * self._network_delay(backend), answered)
+        self.events.schedule(2 * self._network_delay(backend), report_result)
 
     def poll_endpoints(self) -> None:
         """Requests a snapshot of all endpoints from discovery."""
@@ -171,7 +171,7 @@
     # --- RoutingEvents ---
 
     def update_endpoints(self, indices: Sequence[int], *, snapshot: bool) -> None:
-        """Passes the endpoints of these backends to the policy; a snapshot has all backends."""
+        """Passes the endpoints of these backends to the policy; a snapshot lists all backends."""
         endpoints = [self._endpoint(index) for index in indices]
         known_at = max(self.events.now, self.stalled_until)
         self.context.invariants.endpoints_updated(known_at, self.index, endpoints)
--- a/crankfold/simulation/traffic/experiment.py
+++ b/crankfold/simulation/traffic/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments from a file of cases, faults, policies and seeds; the same file gives the same table."""
+"""Runs experiments described in files: cases, faults, policies, seeds. The same file gives the same table."""
 
 import csv
 import tomllib
@@ -43,11 +43,11 @@
 
 
 class PlanError(CrankfoldError):
-    """An experiment file is not valid; the text names the field, its value and the permitted values."""
+    """Raised for an invalid experiment file; the text names the field, its value and the permitted values."""
 
 
 class FaultSpecification(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A fault in a file, with the fields of `Fault`."""
+    """A fault in an experiment file; the fields are those of `Fault`."""
 
     kind: FaultKind
     at: Seconds
@@ -69,7 +69,7 @@
 
 
 class DaySpecification(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """A day in a file: the table `[day]` with the changes of a case. Times are seconds."""
+    """A simulated day: the table `[day]` of the file, overridden by that of a case. Times are seconds."""
 
     dispatchers: Count = 3
     backends: Count = field(name="runners", default=9)
@@ -86,11 +86,11 @@
 
 
 class CaseSpecification(Struct, forbid_unknown_fields=True):
-    """A case: its changes to `[day]` and its place in the chart."""
+    """A case: its overrides of `[day]` and its position in the chart."""
 
     name: Annotated[str, Meta(min_length=1)]
-    group: str = ""  # panel
-    position: float = field(name="at", default=0.0)  # on the panel's axis
+    group: str = ""  # panel of the chart
+    position: float = field(name="at", default=0.0)  # on the x axis of the panel
     day: dict[str, Any] = {}
 
 
@@ -107,7 +107,7 @@
 
 
 class Job(NamedTuple):
-    """One day to simulate."""
+    """A day to simulate: one case, one policy, one seed."""
 
     case: str
     policy: str
@@ -191,7 +191,7 @@
 
 
 def run_experiment(plan: ExperimentPlan, scenarios: dict[str, Scenario], workers: int) -> list[Row]:
-    """Simulates all days in `workers` processes; returns their rows in the order of the file."""
+    """Simulates all days in `workers` processes and returns their rows in the order of the file."""
     jobs = [
         Job(case, policy, scenario, seed)
         for case, scenario in scenarios.items()
@@ -205,12 +205,12 @@
 
 
 def on_time_ratios(rows: Sequence[Row], case: str, policy: str) -> list[float]:
-    """Returns the share of requests on time, by seed in ascending order."""
+    """Returns the share of requests completed on time, one value per seed in ascending order."""
     return [row.day.on_time_share for row in rows if row.case == case and row.day.policy == policy]
 
 
 def write_table(rows: Sequence[Row], path: Path) -> None:
-    """Writes one row a day, as CSV."""
+    """Writes a CSV table with a row for each simulated day."""
     with path.open("w", newline="") as out:
         writer = csv.writer(out, lineterminator="\n")
         writer.writerow(["case", "policy", "seed", "units", "in_time", "rules_broken"])
@@ -228,7 +228,7 @@
 
 
 def summarize(plan: ExperimentPlan, rows: Sequence[Row]) -> list[str]:
-    """Returns lines that compare in each case the product with the other policies."""
+    """Returns lines that compare the product with each other policy, case by case."""
     lines = [
         f"{plan.title or plan.name}: share of units in time, mean of {plan.seeds} seeds; "
         f"crankfold less the other with 95% interval; made by crankfold {__version__}"
@@ -253,9 +253,9 @@
 
 
 def write_chart(plan: ExperimentPlan, rows: Sequence[Row], path: Path) -> None:
-    """Draws a panel for each group of cases with a line for each policy, as SVG.
+    """Writes an SVG chart with a panel for each group of cases and a line for each policy.
 
-    The same rows give the same bytes.
+    The same rows give the same file, byte by byte.
 
     Raises:
         ImportError: matplotlib is not installed.
--- a/crankfold/simulation/traffic/fault_script.py
+++ b/crankfold/simulation/traffic/fault_script.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into a simulated fleet."""
+"""Schedules the faults of a scenario in a simulated fleet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 from crankfold.simulation.traffic.scenario import START, Scenario, zone_of
 from crankfold.time_units import TICKS_PER_SECOND
 
-DRAIN_TICKS = TICKS_PER_SECOND  # of a backend in a rolling release
-RESTART_TICKS = TICKS_PER_SECOND // 2  # from the removal of a released backend to its return
+DRAIN_TICKS = TICKS_PER_SECOND  # how long a backend drains in a rolling release
+RESTART_TICKS = TICKS_PER_SECOND // 2  # from the removal of the old backend until its replacement is ready
 TENTHS_PER_SECOND = 10  # the unit of the factor of CLIENTS_LEAVE is a tenth of a second
 DISPATCHER_FAULTS = frozenset(
     {FaultKind.DISPATCHERS_KILLED, FaultKind.DISPATCHERS_STALLED, FaultKind.SILENT_WATCH}
@@ -29,12 +29,12 @@
     discovery_resumes_at: int = 0
     silent_watchers: frozenset[int] = frozenset()  # dispatchers whose watches deliver late
     silence_duration: int = 0  # delay of those deliveries
-    departure_rate: float = 0.0  # share of the clients that disconnect before their answer
+    departure_rate: float = 0.0  # share of the clients that disconnect without waiting for the answer
     departure_delay: int = 0  # from the request to the disconnection
 
 
 class FaultyFleet(Protocol):
-    """The interface of a fleet for fault injection."""
+    """The part of a fleet that fault injection uses."""
 
     scenario: Scenario
     events: EventQueue
@@ -49,11 +49,11 @@
         """Kills a dispatcher."""
 
     def restart_dispatcher(self, index: int) -> None:
-        """Starts a killed dispatcher again."""
+        """Restarts a killed dispatcher."""
 
 
 class FaultScript:
-    """Schedules the begin and the end of each fault."""
+    """Schedules the start and the end of each fault."""
 
     def __init__(self, fleet: FaultyFleet) -> None:
         self.fleet = fleet
@@ -76,7 +76,7 @@
             fleet.events.schedule(at - fleet.events.now, switch)
 
     def _schedule_release(self, fault: Fault, begin: int, end: int) -> None:
-        """Schedules a replacement of the affected backends, spread evenly over the period."""
+        """Schedules the replacement of the affected backends, one after another, evenly over the period."""
         fleet = self.fleet
         released = affected_indices(fault, fleet.scenario.seed, len(fleet.backends))
         for position, backend in enumerate(released):
@@ -96,7 +96,7 @@
                 fleet.change_state(end, backend.index, EndpointState.READY, since=end)
 
     def _switch(self, fault: Fault, affected: Sequence[int], *, is_on: bool, end: int) -> None:
-        """Begins the fault, or ends it."""
+        """Starts or ends a fault."""
         fleet = self.fleet
         if fault.kind is FaultKind.DISPATCHERS_KILLED:
             for index in affected:
--- a/crankfold/simulation/traffic/faults.py
+++ b/crankfold/simulation/traffic/faults.py
@@ -1,4 +1,4 @@
-"""Descriptions of faults: kind, time and affected parts. `fault_script` injects them into a fleet."""
+"""Faults of a simulated fleet: kind, time and affected parts. `fault_script` injects them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults; the values are the names in files of experiments."""
+    """Kinds of faults; the values are the names in experiment files."""
 
     SLOW = "slow"  # service times of backends are multiplied by `factor`
     HANG = "hang"  # backends accept requests and never respond
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault with its begin and end, in seconds from the start of the scenario."""
+    """A fault with its start and end, in seconds from the start of the scenario."""
 
     kind: FaultKind
     at: float
     until: float
-    share: float = 0.2  # of the backends, or of the dispatchers for faults of dispatchers
+    share: float = 0.2  # of the backends, of the dispatchers or of the clients, as the kind affects them
     zone: int = 0
     factor: float = 4.0  # the unit depends on the kind
 
 
 def affected_indices(fault: Fault, seed: int, count: int) -> Sequence[int]:
-    """Draws the affected indices below `count`; the same seed and fault give the same indices."""
+    """Returns the random indices below `count` that a fault affects, the same for the same seed and fault."""
     affected = min(max(round(fault.share * count), 1), count)
     return sorted(Random(f"{seed} {fault.kind} {fault.at}").sample(range(count), affected))
--- a/crankfold/simulation/traffic/fleet.py
+++ b/crankfold/simulation/traffic/fleet.py
@@ -18,7 +18,7 @@
 )
 from crankfold.time_units import TICKS_PER_SECOND
 
-FAILOVER_DELAY_TICKS = TICKS_PER_SECOND // 2  # until clients of a dead dispatcher use another one
+FAILOVER_DELAY_TICKS = TICKS_PER_SECOND // 2  # until the clients of a dead dispatcher try another one
 DEFAULT_DRAIN_GRACE_TICKS = 3_000
 
 
@@ -27,9 +27,9 @@
 
     Args:
         scenario: The load, the backends and the faults.
-        config: Of every policy.
-        policy_factory: Makes the policy of a dispatcher.
-        drain_grace: Ticks; see `InvariantChecker`.
+        config: The configuration of every policy.
+        policy_factory: Creates the policy of a dispatcher.
+        drain_grace: See `InvariantChecker`; ticks.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.invariants = InvariantChecker(config, drain_grace)
         self.context = FleetContext(scenario, config, self.events, self.invariants)
         self.conditions = FleetConditions(arrival_rate=scenario.arrival_rate)
-        self.request_count = 0  # without the retries of clients
+        self.request_count = 0  # without retries by clients
         self.on_time_count = 0
         self.last_request_id = -1
         self.departure_rng = Random(f"{scenario.seed} leave")
@@ -82,12 +82,12 @@
     # --- clients ---
 
     def submit_request(self, dispatcher: int, request: ClientRequest) -> None:
-        """Sends a request to a dispatcher, or after `FAILOVER_DELAY_TICKS` to the next that is alive."""
-        for step in range(len(self.dispatchers)):
-            candidate = self.dispatchers[(dispatcher + step) % len(self.dispatchers)]
+        """Sends a request to a dispatcher, or to the next live one after a failover delay."""
+        for offset in range(len(self.dispatchers)):
+            candidate = self.dispatchers[(dispatcher + offset) % len(self.dispatchers)]
             if not candidate.alive:
                 continue
-            if step and not request.tries:
+            if offset and not request.tries:
                 retry = ClientRequest(request.service_time, request.arrived_at, request.tries + 1)
                 submit = partial(self.submit_request, candidate.index, retry)
                 self.events.schedule(FAILOVER_DELAY_TICKS, submit)
@@ -104,11 +104,11 @@
             self.events.schedule(self.conditions.departure_delay, disconnect)
 
     def request_completed(self, *, on_time: bool) -> None:
-        """Counts a completed request that was on time."""
+        """Counts a completed request if it was on time."""
         self.on_time_count += on_time
 
     def _schedule_arrival(self, dispatcher: int, rng: Random) -> None:
-        """Schedules the next request in an open loop: arrivals do not depend on earlier answers."""
+        """Schedules the next request of an open loop: arrivals do not wait for earlier answers."""
 
         def arrive() -> None:
             self.request_count += 1
@@ -127,7 +127,7 @@
 
         Args:
             at: Time of the change, ticks.
-            backend: Its index.
+            backend: Index of the backend.
             state: The new state.
             since: Start of the slow start, ticks; 0 for a warm backend.
         """
@@ -171,6 +171,6 @@
         self.invariants.dispatcher_killed(self.events.now, index)
 
     def restart_dispatcher(self, index: int) -> None:
-        """Starts a killed dispatcher again, without its earlier state."""
+        """Restarts a killed dispatcher without its earlier state."""
         self.dispatchers[index] = self._make_dispatcher(index)
         self.dispatchers[index].update_endpoints(range(len(self.backends)), snapshot=True)
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -1,6 +1,6 @@
 """Checks the four invariants of a routing policy from the events of a simulated fleet.
 
-The checker keeps its own state and reads none of the policy's. Times are ticks. The invariants:
+The checker keeps its own state and does not read that of the policy. Times are ticks. The invariants:
 
 1. A request gets one answer, by its deadline.
 2. A request that may have been executed is not sent again, unless its class permits it.
@@ -24,16 +24,16 @@
 )
 from crankfold.time_units import TICKS_PER_MILLISECOND
 
-MAX_HISTORY_EVENTS = 12  # per request, for the report of a violation
+MAX_HISTORY_EVENTS = 12  # of each request, shown in the report of a violation
 PROPAGATION_LIMIT_TICKS = 60_000  # from a change in discovery until every dispatcher must know it
-DISCONNECT_GRACE_TICKS = 1_000  # in which an attempt may still start after its client disconnected
-# The number of arrivals in a period varies by chance; this much above the mean is no violation.
+DISCONNECT_GRACE_TICKS = 1_000  # an attempt may still start this long after its client disconnected
+# The number of arrivals in a period varies by chance, so that this much above the limit is no violation.
 ALLOWED_STANDARD_DEVIATIONS = 2
 ALLOWED_EXTRA_REQUESTS = 2
 
 
-class Rule(IntEnum):
-    """The invariants, with the numbers that reports use."""
+class Invariant(IntEnum):
+    """The invariants, with their numbers in reports."""
 
     ANSWERS = 1
     EXECUTIONS = 2
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """An attempt that the backend may have executed."""
+    """An attempt that a backend may have executed."""
 
     sent_at: int  # ticks
     backend: int
@@ -89,7 +89,7 @@
     """Receives the events of a fleet and collects the violations.
 
     Args:
-        config: Of the policy under test.
+        config: The configuration of the policy under test.
         drain_grace: Ticks in which a dispatcher may still send requests to a backend after it learned that
             the backend drains or is removed.
     """
@@ -101,16 +101,16 @@
         self.answer_counts: Counter[Answer] = Counter()
         self.zone_of: dict[int, int] = {}  # by backend
         self.cell_of: dict[int, int] = {}
-        # By dispatcher and backend: when the dispatcher learned that the backend drains or is removed.
+        # Time at which a dispatcher learned that a backend drains or is removed, by dispatcher and backend.
         self.excluded_since: dict[tuple[int, int], int] = {}
         self.warming_arrivals: dict[int, deque[WarmingArrival]] = defaultdict(deque)  # by backend
         self.change_counts: Counter[int] = Counter()  # changes published by discovery, by backend
         self.violations: list[str] = []
 
-    def _report_violation(self, now: int, rule: Rule, text: str, record: RequestRecord) -> None:
+    def _report_violation(self, now: int, invariant: Invariant, text: str, record: RequestRecord) -> None:
         self.violations.append(
-            f"rule {rule} at {now / TICKS_PER_MILLISECOND:.1f} ms: unit {record.request_id} of dispatcher "
-            f"{record.dispatcher} {text}; before: {'; '.join(record.history)}"
+            f"rule {invariant} at {now / TICKS_PER_MILLISECOND:.1f} ms: unit {record.request_id} "
+            f"of dispatcher {record.dispatcher} {text}; before: {'; '.join(record.history)}"
         )
 
     # --- endpoints as dispatchers know them ---
@@ -169,23 +169,23 @@
             if now > record.disconnected_at + DISCONNECT_GRACE_TICKS:
                 gone_since = f"{record.disconnected_at / TICKS_PER_MILLISECOND:.1f}"
                 text = f"was sent to runner {backend} for a client gone since {gone_since}"
-                self._report_violation(now, Rule.ANSWERS, text, record)
+                self._report_violation(now, Invariant.ANSWERS, text, record)
         elif record.answer is not None:
             text = f"was sent to runner {backend} after its answer"
-            self._report_violation(now, Rule.ANSWERS, text, record)
+            self._report_violation(now, Invariant.ANSWERS, text, record)
 
     def _check_not_excluded(self, now: int, record: RequestRecord, backend: int) -> None:
         since = self.excluded_since.get((record.dispatcher, backend))
         if since is not None and now > since + self.drain_grace:
             text = f"was sent to runner {backend}, known to end since {since / TICKS_PER_MILLISECOND:.1f}"
-            self._report_violation(now, Rule.LEAVING_BACKENDS, text, record)
+            self._report_violation(now, Invariant.LEAVING_BACKENDS, text, record)
 
     def _check_repetition(self, now: int, record: RequestRecord, backend: int) -> None:
         request_class = self.config.request_classes[record.request_class]
         for execution in record.possible_executions:
             if not self._may_repeat(now, request_class, execution, backend):
                 text = f"was sent to runner {backend} though it may have run at {execution.backend}"
-                self._report_violation(now, Rule.EXECUTIONS, text, record)
+                self._report_violation(now, Invariant.EXECUTIONS, text, record)
 
     def _may_repeat(self, now: int, request_class: RequestClass, execution: Execution, backend: int) -> bool:
         """Whether a request may be sent to `backend` after a possible execution elsewhere.
@@ -222,16 +222,18 @@
         if record.disconnected_at:
             return  # the client does not receive the answer
         if record.answer is not None:
-            self._report_violation(now, Rule.ANSWERS, f"was answered again ({answer})", record)
+            self._report_violation(now, Invariant.ANSWERS, f"was answered again ({answer})", record)
         elif now > record.deadline:
-            self._report_violation(now, Rule.ANSWERS, f"was answered after its cut-off ({answer})", record)
+            self._report_violation(
+                now, Invariant.ANSWERS, f"was answered after its cut-off ({answer})", record
+            )
         if answer is Answer.SHED and record.possible_executions and not self._client_may_retry(record):
-            self._report_violation(now, Rule.EXECUTIONS, "was shed though it may have run", record)
+            self._report_violation(now, Invariant.EXECUTIONS, "was shed though it may have run", record)
         record.answer = answer
         record.add_event(now, answer)
 
     def _client_may_retry(self, record: RequestRecord) -> bool:
-        """Whether a second execution after a shed answer has no further effect, at any backend."""
+        """Whether the client may safely retry a shed request, at any backend, after a possible execution."""
         request_class = self.config.request_classes[record.request_class]
         return request_class.idempotency == Idempotency.IDEMPOTENT or (
             request_class.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
@@ -239,7 +241,7 @@
         )
 
     def dispatcher_killed(self, now: int, dispatcher: int) -> None:
-        """Records that the unanswered requests of a dispatcher are lost, which violates no invariant."""
+        """Marks the unanswered requests of a killed dispatcher as lost, which violates no invariant."""
         for record in self.requests.values():
             if record.dispatcher == dispatcher and record.answer is None:
                 record.answer = Answer.LOST
@@ -264,11 +266,11 @@
         Args:
             now: Ticks.
             dispatcher: The sender.
-            request_id: Of the arriving request.
-            backend: Its receiver.
-            service_time: Of the request on a warm backend, ticks.
+            request_id: The arriving request.
+            backend: The receiver.
+            service_time: Duration of the request on a warm backend, ticks.
             capacity: Current speed of the backend, in slots of a warm backend.
-            mean_service_time: Of all requests on a warm backend, ticks.
+            mean_service_time: Mean duration of all requests on a warm backend, ticks.
         """
         record = self.requests[dispatcher, request_id]
         arrivals = self._recent_arrivals(now, backend, service_time)
@@ -278,7 +280,7 @@
             _excess_requests(arrivals, backend, allowed_work / mean_service_time),
         )
         for text in filter(None, violations):
-            self._report_violation(now, Rule.WARMING_BACKENDS, text, record)
+            self._report_violation(now, Invariant.WARMING_BACKENDS, text, record)
 
     def _recent_arrivals(self, now: int, backend: int, service_time: int) -> Sequence[WarmingArrival]:
         """Adds an arrival; returns the arrivals at the backend within the overload period."""
@@ -292,18 +294,18 @@
         """Checks at the end of the run that each request whose deadline has passed has an answer."""
         for record in self.requests.values():
             if record.answer is None and now > record.deadline:
-                self._report_violation(now, Rule.ANSWERS, "has no answer", record)
+                self._report_violation(now, Invariant.ANSWERS, "has no answer", record)
 
 
 def _excess_work(arrivals: Sequence[WarmingArrival], backend: int, allowed_work: float) -> str:
-    """Returns the violation if the arrivals are more work than `allowed_work` ticks, or ""."""
+    """Returns the violation if the work of the arrivals exceeds `allowed_work` ticks, or ""."""
     if sum(arrival.service_time for arrival in arrivals) <= allowed_work:
         return ""
     return f"pushed the cold runner {backend} over"
 
 
 def _excess_requests(arrivals: Sequence[WarmingArrival], backend: int, allowed_count: float) -> str:
-    """Returns the violation if the number of arrivals is above `allowed_count` and chance, or ""."""
+    """Returns the violation if the number of arrivals exceeds `allowed_count` by more than chance, or ""."""
     chance = ALLOWED_STANDARD_DEVIATIONS * sqrt(allowed_count)
     if len(arrivals) <= allowed_count + chance + ALLOWED_EXTRA_REQUESTS:
         return ""
--- a/crankfold/simulation/traffic/scenario.py
+++ b/crankfold/simulation/traffic/scenario.py
@@ -9,10 +9,10 @@
 from crankfold.simulation.traffic.invariants import InvariantChecker
 from crankfold.time_units import TICKS_PER_SECOND
 
-START = TICKS_PER_SECOND  # ticks; a scenario begins after 0, which means "never" in timestamps
+START = TICKS_PER_SECOND  # ticks; a scenario starts after 0, as 0 means "never" in timestamps
 ZONE_COUNT = 3
 CELL_COUNT = 2 * ZONE_COUNT
-# Makes a policy from its configuration, a seed and the actions that it may take.
+# Creates a policy from its configuration, a seed and the actions that it may take.
 PolicyFactory = Callable[[RoutingConfig, int, RoutingActions], RoutingEvents]
 
 
@@ -25,7 +25,7 @@
     slots_per_backend: int = 4
     queue_capacity: int = 40  # requests in the queue of a backend
     arrival_rate: float = 10.0  # requests a second at each dispatcher
-    mean_service_time: int = 2_000  # on a warm backend, exponential
+    mean_service_time: int = 2_000  # on a warm backend, exponentially distributed
     seconds: int = 10
     network_delay: int = 5  # one way
     cross_zone_delay: int = 5  # one way, between zones
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as a client sends it, or a retry of it."""
+    """A request that a client sends, or a retry of it."""
 
     service_time: int  # ticks on a warm backend
-    arrived_at: int  # ticks; of the first try
-    tries: int = 0  # earlier tries
+    arrived_at: int  # ticks; arrival of the first try
+    tries: int = 0  # number of earlier tries
 
 
 def zone_of(index: int) -> int:
