--- a/crankfold/simulation/consensus/__init__.py
+++ b/crankfold/simulation/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated clusters: members that agree while messages, processes and disks fail."""
+"""Simulated clusters, in which members reach consensus while messages, processes and disks fail."""
--- a/crankfold/simulation/consensus/case.py
+++ b/crankfold/simulation/consensus/case.py
@@ -1,4 +1,4 @@
-"""The cases of a simulated cluster: its size, its operators and its faults, chosen at random by a seed.
+"""The cases of a simulated cluster: its size, its operators and its faults, drawn at random from a seed.
 
 Times are ticks unless another unit is stated.
 """
@@ -11,33 +11,34 @@
 
 from crankfold.time_units import MICROSECONDS_PER_TICK, TICKS_PER_SECOND
 
-REQUEST_DEADLINE = 20_000  # ticks, of the only request class
+REQUEST_DEADLINE = 20_000  # ticks; of the only request class
 LATENCY_OBJECTIVE_US = 1000
 MAX_ATTEMPTS = 3
-TOTAL_QUOTA = 30  # requests in flight at all members together
+TOTAL_QUOTA = 30  # requests in flight, summed over all members
 DEFAULT_SECONDS = 12.0
 DEFAULT_VOTERS = 3
 DEFAULT_FOLLOWERS = 2
-CALM_SECONDS = 2  # without faults, at the end of a random case
+CALM_SECONDS = 2  # a random case has no faults in its last seconds
 UNLIMITED_SECONDS = 1e9
 MIN_FAULTS = 2
 MAX_FAULTS = 8
 FIRST_FAULT_TICKS = 5000
 FAULT_DURATIONS_TICKS = (20, 300, 1000, 5000, 15_000, 30_000)
-MAX_RESTART_DELAY_TICKS = 3000  # after the end of a fault that kills all voters
-REVERSE_CUT_SHARE = 0.5  # of the cuts, which cut the reverse direction too
-# Of faults of all links: a share of the messages, or ticks. A single value takes no random draw.
+MAX_RESTART_DELAY_TICKS = 3000  # of each voter, after the end of a fault that kills all voters
+REVERSE_CUT_SHARE = 0.5  # share of the cuts that cut the reverse direction too
+# Magnitudes of the faults that affect all links: a share of the messages, or ticks. A single value is used
+# without a random draw.
 MAGNITUDES: dict[str, tuple[float, ...]] = {
     "loss": (0.05, 0.3, 0.6),
     "delay": (100, 2000, 8000),
     "double": (0.3,),
 }
-# A kind that stands twice is twice as likely; a cut is a loss of all messages in one or both directions.
+# A kind that is listed twice is twice as likely. A cut loses all messages in one or both directions.
 RANDOM_KINDS = (
     *("loss", "loss", "cut", "cut", "delay", "double"),
     *("pause", "pause", "kill", "kill", "disk", "all"),
 )
-ANY = ""  # process
+ANY = ""  # matches every process
 Document = dict[str, Any]  # the content of a document, in the form that operators publish
 
 
@@ -45,7 +46,7 @@
     """Kinds of faults."""
 
     LOSS = "loss"  # drops a share of `magnitude` of the messages from `process` to `receiver`
-    DELAY = "delay"  # delays each by a random time up to `magnitude`, so that messages are reordered
+    DELAY = "delay"  # delays each by a random time up to `magnitude`, which reorders messages
     DUPLICATION = "double"  # delivers a share of `magnitude` of all messages twice
     PAUSE = "pause"  # `process` executes nothing until the end of the fault
     KILL = "kill"  # `process` is killed and starts again at the end of the fault
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterFault:
-    """A fault with its begin and end, in ticks."""
+    """A fault with its start and end, in ticks."""
 
     kind: ClusterFaultKind
     begin: int
@@ -69,7 +70,7 @@
         return self.begin <= now < self.end
 
     def affects(self, sender: str, receiver: str) -> bool:
-        """Whether it is a fault of the link from `sender` to `receiver`."""
+        """Whether the fault affects the link from `sender` to `receiver`."""
         return self.process in (ANY, sender) and self.receiver in (ANY, receiver)
 
 
@@ -89,8 +90,8 @@
     staleness_bound: int = 20_000
     faults: tuple[ClusterFault, ...] = ()
     network_delay: int = 4
-    disk_write_range: tuple[int, int] = (5, 40)  # duration of a write, without the upper end
-    polls_when_due: bool = False  # Member.tick is called only at the deadlines of the member
+    disk_write_range: tuple[int, int] = (5, 40)  # duration of a write; the upper bound is exclusive
+    polls_when_due: bool = False  # Member.tick is called only at the member's deadlines
     clock_drift: float = 0.01  # largest deviation of a member's clock rate from 1
 
     def process_names(self) -> list[str]:
@@ -99,7 +100,7 @@
 
 
 def settings_document(idempotency: str) -> Document:
-    """Returns settings with one request class of this idempotency, in the form of the file."""
+    """Returns settings with one request class of this idempotency, as in a settings file."""
     request_class = {
         "name": "g",
         "effect": idempotency,
@@ -156,7 +157,7 @@
 
 
 def _draw_faults(rng: Random, names: Sequence[str], voter_count: int, last: int) -> list[ClusterFault]:
-    """Returns a random fault, or several that begin together."""
+    """Returns a random fault, or several that start together."""
     kind = rng.choice(RANDOM_KINDS)
     begin = rng.randrange(FIRST_FAULT_TICKS, last)
     end = min(begin + rng.choice(FAULT_DURATIONS_TICKS), last + 1)
--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -44,28 +44,28 @@
     "settings_document",
 ]
 
-IDEMPOTENCY_VALUES = ("safe", "keyed", "unsafe")  # of the request class that operators publish
+IDEMPOTENCY_VALUES = ("safe", "keyed", "unsafe")  # values that operators publish for the request class
 FRAME_HEADER_BYTES = 4  # before each message
 MAX_START_DELAY_TICKS = 2000
 LOAD_START_TICKS = 5000
 LOAD_INTERVAL_TICKS = 400
 MIN_REQUEST_DURATION_TICKS = 500
 MAX_DUPLICATE_DELAY_TICKS = 5000
-REPEAT_INTERVAL_TICKS = 4000  # until an operator repeats a publish
-SUBMISSION_COUNTS = (1, 1, 2)  # of a publish: a third of them is sent twice
-QUOTA_SHARE = 0.6  # of the publishes, if operators allocate quotas
-LIMITS_SHARE = 0.3  # of the publishes, if operators publish limits
-NEW_DEMAND_SHARE = 0.01  # of the rounds, in which the demand of a member changes
-SEED_COUNT = 1 << 62  # of members
-INCARNATION_COUNT = 1 << 40
+REPEAT_INTERVAL_TICKS = 4000  # after which an operator repeats a publish
+SUBMISSION_COUNTS = (1, 1, 2)  # drawn for each publish, so that a third of them is sent twice
+QUOTA_SHARE = 0.6  # share of the publishes that allocate quotas, if operators do so
+LIMITS_SHARE = 0.3  # share of the publishes that change limits, if operators do so
+NEW_DEMAND_SHARE = 0.01  # share of the rounds in which the demand of a member changes
+SEED_COUNT = 1 << 62  # range of the seeds of members
+INCARNATION_COUNT = 1 << 40  # range of the incarnations of members
 
 
 @dataclass(slots=True)
 class MessageCount:
-    """The messages that a process has sent, lost ones included."""
+    """The messages that a process has sent, including lost ones."""
 
     messages: int = 0
-    bytes_sent: int = 0  # with the header of each frame
+    bytes_sent: int = 0  # including the header of each frame
 
 
 class SimulatedCluster:
@@ -100,21 +100,21 @@
         }
         self.invariants = ClusterInvariants(self.events, case.staleness_bound)
         self.message_counts: dict[str, MessageCount] = {}  # by sender
-        self.outcomes: dict[str, ProposalResponse] = {}  # by call
+        self.outcomes: dict[str, ProposalResponse] = {}  # by proposal id
         self.call_count = 0
 
     @property
     def violations(self) -> list[str]:
-        """The violations, with the time and the processes of each."""
+        """Descriptions of the violations, each with its time."""
         return self.invariants.violations
 
     @property
     def longest_contradiction(self) -> int:
-        """The longest time in which two processes acted on different versions, in ticks."""
+        """The longest period in which two processes acted on different versions, in ticks."""
         return self.invariants.longest_contradiction
 
     def run(self) -> Self:
-        """Runs the case to its end."""
+        """Runs the case to its end and returns the cluster."""
         case = self.cluster_case
         for process in self.processes.values():
             self.events.schedule(self.rng.randrange(MAX_START_DELAY_TICKS), process.start)
@@ -133,7 +133,7 @@
         self.invariants.report(text)
 
     def check_invariants(self) -> None:
-        """Checks the invariants of all processes, after a change of any of them."""
+        """Checks the invariants of all processes; called after a change of any process."""
         self.invariants.check(self.processes)
 
     def _check_final_state(self) -> None:
@@ -143,7 +143,7 @@
     # --- processes, disks and the network ---
 
     def make_member(self, process: SimulatedProcess) -> Member:
-        """Makes the member of a process that starts, from its storage."""
+        """Creates the member of a starting process from its storage."""
         seed = self.rng.randrange(SEED_COUNT)
         now = process.local_time()
         incarnation = self.rng.randrange(INCARNATION_COUNT)
@@ -252,7 +252,7 @@
             "text": self._random_content(document),
         }
         submit = partial(self._submit_publish, process.name, f"c{self.call_count}", publish)
-        # An operator repeats a publish with the same call, as the response may be lost.
+        # Operators repeat a publish with the same call id, as its response may be lost.
         for repetition in range(self.rng.choice(SUBMISSION_COUNTS)):
             self.events.schedule(repetition * REPEAT_INTERVAL_TICKS, submit)
 
@@ -287,12 +287,12 @@
     # --- load ---
 
     def allocation_count(self) -> int:
-        """Returns the number of allocations of quotas."""
+        """Returns how many allocations of quotas the members know."""
         members = [process.member for process in self.processes.values() if process.member]
         return max((member.documents.document(QUOTAS).latest_number() for member in members), default=0)
 
     def _generate_load(self) -> None:
-        """Lets each process accept requests within its quota, and checks the total."""
+        """Lets each process accept requests within its quota, and checks their total against the limit."""
         self.events.schedule(LOAD_INTERVAL_TICKS, self._generate_load)
         for process in self.processes.values():
             self._accept_requests(process)
--- a/crankfold/simulation/consensus/invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -1,7 +1,7 @@
 """Checks the invariants of a simulated cluster after each change.
 
-Reads of each member only the state by which it would decide on a request: the versions in force, its lease,
-and the log index that it has applied.
+Of each member, the checks read only the state that decides on its requests: the active versions, the lease
+and the applied log index.
 """
 
 from collections.abc import Iterable, Mapping
@@ -42,7 +42,7 @@
 
     history: CheckPoint = NOT_CHECKED
     versions: CheckPoint = NOT_CHECKED
-    newest_versions: dict[str, int] = field(default_factory=dict)  # newest version in force, by document
+    newest_versions: dict[str, int] = field(default_factory=dict)  # highest active version, by document
 
 
 class ClusterInvariants:
@@ -50,15 +50,15 @@
 
     Args:
         events: The simulated time.
-        staleness_bound: Ticks in which two processes may act on different versions.
+        staleness_bound: Ticks for which two processes may act on different versions.
     """
 
     def __init__(self, events: EventQueue, staleness_bound: int) -> None:
         self.events = events
         self.staleness_bound = staleness_bound
         self.violations: list[str] = []
-        self.longest_contradiction = 0  # ticks for which two acted on different versions
-        self.first_applied_at: dict[int, int] = {}  # ticks by log index, at the first process
+        self.longest_contradiction = 0  # ticks for which two processes acted on different versions
+        self.first_applied_at: dict[int, int] = {}  # ticks, by log index; time at the first process
         self.highest_applied = 0
         self.leaders_by_term: dict[int, str] = {}
         self.state_by_index: dict[int, bytes] = {}  # encoded documents by applied log index
@@ -91,7 +91,7 @@
                 if checked.versions != point:
                     checked.versions = point
                     self._check_versions(name, member, checked)
-                self._note_applied(member.last_applied)
+                self._record_applied(member.last_applied)
         self.lease_views = views
         self._check_known_before_active()
 
@@ -99,13 +99,13 @@
         remaining = int((member.lease_expires_at - process.local_time()) / process.clock_rate)
         return LeaseView(member.last_applied, self.events.now + remaining)
 
-    def _note_applied(self, last_applied: int) -> None:
+    def _record_applied(self, last_applied: int) -> None:
         for index in range(self.highest_applied + 1, last_applied + 1):
             self.first_applied_at[index] = self.events.now
         self.highest_applied = max(self.highest_applied, last_applied)
 
     def _check_staleness(self) -> None:
-        """No process with a lease acts on an old state for longer than the bound."""
+        """Checks that no process with a lease acts on an old state for longer than the bound."""
         for name, view in self.lease_views.items():
             missed = next(
                 (
@@ -125,7 +125,7 @@
                 )
 
     def _check_leadership(self, name: str, member: Member) -> None:
-        """Each term has at most one leader."""
+        """Checks that each term has at most one leader."""
         if isinstance(member, Voter) and member.raft.role == Role.LEADER:
             term = member.raft.term
             leader = self.leaders_by_term.setdefault(term, name)
@@ -133,7 +133,7 @@
                 self.report(f"{name} and {leader} lead in term {term}")
 
     def _check_history(self, name: str, member: Member) -> None:
-        """All members have the same documents after the same log entry."""
+        """Checks that all members have the same documents after the same log entry."""
         index = member.last_applied
         state = self.state_by_index.get(index)
         if state is not None:
@@ -147,20 +147,20 @@
                     self.pending_publishes.setdefault(index, version.index)
 
     def _check_versions(self, name: str, member: Member, checked: CheckedProcess) -> None:
-        """No process returns to an older version of a document."""
+        """Checks that no process returns to an older version of a document."""
         for document, (active, _) in member.documents.version_numbers().items():
             if active < checked.newest_versions.get(document, 0):
                 self.report(f"{name} went back to version {active} of {document}")
             checked.newest_versions[document] = active
 
     def _check_known_before_active(self) -> None:
-        """No version is active while a process with a lease does not know its publish."""
+        """Checks that no version is active before each process with a lease has applied its publish."""
         lowest = min((view.applied for view in self.lease_views.values()), default=self.highest_applied)
         for activation, publish in self.pending_publishes.items():
             if activation <= self.highest_applied and lowest < publish:
                 unaware = [name for name, view in self.lease_views.items() if view.applied < publish]
                 self.report(f"{unaware} may act without having heard of {publish}, which counts")
-        # Publishes that all processes with a lease know need no further check.
+        # Publishes that all processes with a lease have applied need no further check.
         for activation in [index for index in self.pending_publishes if index <= lowest]:
             del self.pending_publishes[activation]
 
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -21,8 +21,8 @@
 
 TIMING = Timing(20_000)
 VOTERS = ("v0", "v1", "v2")
-MAX_READY_ROUNDS = 4  # an advance after a write may make the next one ready
-TIMEOUT_ADVANCE_FACTOR = 2  # election timeouts; after that no voter rejects a vote for its current leader
+MAX_READY_ROUNDS = 4  # each advance after a write may make another write ready
+TIMEOUT_ADVANCE_FACTOR = 2  # election timeouts; after them, no voter refuses a vote because it has a leader
 MAX_STATES = 1_000_000
 NodeFactory = Callable[[str, PersistentState], Raft]
 
@@ -32,14 +32,14 @@
 
     DELIVER = "deliver"
     LOSE = "lose"
-    TIME_OUT = "time out"  # a voter's election is due
+    TIME_OUT = "time out"  # the election timeout of a voter expires
     HEARTBEAT = "beat"  # the leader's heartbeat is due
     CRASH = "crash"  # a voter crashes and restarts from its storage
     PUBLISH = "publish"
 
 
 class Move(NamedTuple):
-    """A move and the message or voter that it affects."""
+    """A move, with the message or the voter that it affects."""
 
     kind: MoveKind
     target: int  # index in `in_flight` or of the voter
@@ -58,7 +58,7 @@
 
 
 class EveryoneMayVote:
-    """A voter registry without changes of storage: every voter may vote."""
+    """A voter registry of a group whose voters keep their storage: every voter may vote."""
 
     def may_vote(self, log: RaftLog, candidate_last_index: int, founding_member: bool) -> bool:  # noqa: ARG002 - a Protocol's signature
         """Returns True."""
@@ -138,7 +138,7 @@
             node.tick(self.now)
 
     def _persist_and_check(self, index: int) -> str:
-        """Persists and sends the output of a voter; returns a violated invariant, or ""."""
+        """Persists and sends the output of a voter; returns a description of a violated invariant, or ""."""
         node = self.nodes[index]
         for _ in range(MAX_READY_ROUNDS):
             ready = node.take_ready(self.now)
@@ -193,7 +193,7 @@
 
 
 def make_node(name: str, stored: PersistentState) -> Raft:
-    """Makes a voter of the group from its storage."""
+    """Creates a voter of the group from its storage."""
     return Raft(
         name,
         stored,
@@ -206,7 +206,7 @@
 
 
 def initial_state(node_factory: NodeFactory, move_limits: Mapping[MoveKind, int]) -> ModelState:
-    """Returns a state in which the first voter is the leader of all."""
+    """Returns a state in which all voters follow the first one."""
     limited = [kind for kind in MoveKind if kind is not MoveKind.DELIVER]
     state = ModelState(
         nodes=[node_factory(name, PersistentState()) for name in VOTERS],
@@ -221,7 +221,7 @@
 
 
 class Exploration(NamedTuple):
-    """The number of states, and the first violation with the moves that led to it, or ""."""
+    """The number of states reached, and the first violation with the moves that led to it, or ""."""
 
     states: int
     violation: str
@@ -296,7 +296,7 @@
         depth: Moves.
         move_limits: The largest number of moves of each kind on a path.
         max_states: States after which the exploration ends.
-        node_factory: Makes a voter; tests use voters with a fault.
+        node_factory: Creates a voter; tests use voters with a fault.
     """
     search = _Search(node_factory, max_states)
     level = [ReachedState(initial_state(node_factory, move_limits), ())]
--- a/crankfold/simulation/consensus/process.py
+++ b/crankfold/simulation/consensus/process.py
@@ -19,7 +19,7 @@
 
 
 class ClusterEnvironment(Protocol):
-    """The interface of a cluster for its processes."""
+    """The part of a cluster that its processes use."""
 
     cluster_case: ClusterCase
     events: EventQueue
@@ -28,7 +28,7 @@
     forgets_votes: bool
 
     def make_member(self, process: "SimulatedProcess") -> Member:
-        """Makes the member of a process that starts."""
+        """Creates the member of a starting process."""
 
     def disk_delay(self, name: str) -> int:
         """Returns the duration of a disk write that begins now, in ticks."""
@@ -37,14 +37,14 @@
         """Sends a message of the process."""
 
     def publish_answered(self, response: ProposalResponse) -> None:
-        """Receives the response to an operator's publish."""
+        """Called with the response to an operator's publish."""
 
     def check_invariants(self) -> None:
-        """Checks the invariants after a change of a process."""
+        """Checks the invariants; called after a change of a process."""
 
 
 class IdleHost:
-    """A member's host without requests and maintenance; it accepts every document."""
+    """A member's host without requests or maintenance; it accepts every document."""
 
     def quiesced_index(self, last_applied: int) -> int:
         """Returns `last_applied`: no request uses an older version."""
@@ -64,7 +64,7 @@
 
 
 class SimulatedProcess(IdleHost):
-    """Runs a member; faults kill, pause and start it."""
+    """A process that runs a member; faults kill, pause and restart it."""
 
     def __init__(self, cluster: ClusterEnvironment, name: str, clock_rate: float) -> None:
         self.cluster = cluster
@@ -73,12 +73,12 @@
         self.clock_offset = cluster.rng.randrange(MAX_CLOCK_OFFSET_TICKS)
         self.persistent_state = PersistentState()
         self.storage_id = f"{name} 0"
-        self.generation = 0  # number of starts and kills
+        self.generation = 0  # incremented at each start and kill
         self.running = False
         self.writing = False
         self.paused_until = 0
-        self.request_ends: list[int] = []  # ticks of simulated time, of each request in flight
-        self.wanted_requests = 0  # demand beyond the requests in flight
+        self.request_ends: list[int] = []  # of each request in flight, ticks of simulated time
+        self.wanted_requests = 0  # unmet demand, beyond the requests in flight
         self.member: Member | None = None
 
     def local_time(self) -> int:
@@ -125,7 +125,7 @@
         return version is not None and QUOTA_KEY in version.text["shares"]
 
     def collect_quota_usage(self) -> dict[str, int]:
-        """Returns the requests in flight plus the further demand."""
+        """Returns the number of requests in flight plus the unmet demand."""
         return {QUOTA_KEY: len(self.request_ends) + self.wanted_requests}
 
     def quiesced_index(self, last_applied: int) -> int:
@@ -153,7 +153,7 @@
         events.schedule(delay, lambda: self._poll(generation))
 
     def deliver(self, event: Callable[[Member, int], None]) -> None:
-        """Calls `event` with the member and its local time; after the pause of a paused process."""
+        """Calls `event` with the member and its local time; a pause of the process delays the call."""
         events = self.cluster.events
         generation = self.generation
         if not self.running or self.member is None:
