--- a/tests/simulation/traffic/test_experiment.py
+++ b/tests/simulation/traffic/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments described in files: the same file gives the same bytes."""
+"""Experiments described in files: results are reproducible, invalid files are reported in one line."""
 
 import sys
 import tempfile
@@ -35,33 +35,33 @@
         super().setUp()
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
-    def made(self, plan: str, *more: str) -> tuple[int, str]:
-        file = self.folder / "plan.toml"
-        file.write_text(plan)
-        result = CliRunner().invoke(main, ["experiment", str(file), *more])
+    def run_experiment(self, plan: str, *options: str) -> tuple[int, str]:
+        plan_path = self.folder / "plan.toml"
+        plan_path.write_text(plan)
+        result = CliRunner().invoke(main, ["experiment", str(plan_path), *options])
         return result.exit_code, result.output.replace(str(self.folder), "HERE")
 
-    def test_the_same_file_gives_the_same_bytes_whoever_plays(self) -> None:
-        written = []
+    def test_same_plan_gives_same_files_with_any_number_of_workers(self) -> None:
+        results = []
         for workers in ("1", "3"):
-            out = self.folder / f"by {workers}"
-            code, output = self.made(PLAN, "--out", str(out), "--workers", workers)
+            result_folder = self.folder / f"{workers} workers"
+            code, output = self.run_experiment(PLAN, "--out", str(result_folder), "--workers", workers)
             self.assertEqual(code, 0, output)
-            written.append([(out / f"small.{kind}").read_bytes() for kind in ("csv", "txt", "svg")])
-        self.assertEqual(written[0], written[1])
-        self.assertEqual(written[0][0].count(b"\n"), 1 + 2 * 3 * 2)
-        self.assertIn(b"more, a runner hangs: crankfold", written[0][1])
+            results.append([(result_folder / f"small.{kind}").read_bytes() for kind in ("csv", "txt", "svg")])
+        self.assertEqual(results[0], results[1])
+        self.assertEqual(results[0][0].count(b"\n"), 1 + 2 * 3 * 2)
+        self.assertIn(b"more, a runner hangs: crankfold", results[0][1])
 
-    def test_without_the_library_for_charts_the_rest_is_kept_and_a_line_says_what_is_missing(self) -> None:
+    def test_missing_matplotlib_is_reported_and_other_results_are_written(self) -> None:
         with patch.dict(sys.modules, {"matplotlib": None}):
-            code, output = self.made(PLAN, "--out", str(self.folder / "bare"), "--workers", "1")
+            code, output = self.run_experiment(PLAN, "--out", str(self.folder / "bare"), "--workers", "1")
         self.assertEqual(code, 0, output)
         self.assertIn("no chart: matplotlib is not installed\n", output)
-        written = sorted(path.name for path in (self.folder / "bare").iterdir())
-        self.assertEqual(written, ["small.csv", "small.txt"])
+        file_names = sorted(path.name for path in (self.folder / "bare").iterdir())
+        self.assertEqual(file_names, ["small.csv", "small.txt"])
 
-    def test_an_invalid_experiment_is_reported_in_one_line(self) -> None:
-        for what, plan in {
+    def test_invalid_experiment_is_reported_in_one_line(self) -> None:
+        for problem, plan in {
             "no TOML": "name = ",
             "no case": 'name = "x"',
             "an unknown key": PLAN.replace("across", "accross"),
@@ -74,10 +74,10 @@
             "one seed": PLAN.replace("seeds = 2", "seeds = 1"),
             "a name that is a path": PLAN.replace('"small"', '"../small"'),
         }.items():
-            code, output = self.made(plan, "--out", str(self.folder))
-            self.record(f"{what}: {code}, {output.splitlines()[-1]}")
+            code, output = self.run_experiment(plan, "--out", str(self.folder))
+            self.record(f"{problem}: {code}, {output.splitlines()[-1]}")
             self.assertNotIn("Traceback", output)
         (self.folder / "a file").write_text("")
-        code, output = self.made(PLAN, "--out", str(self.folder / "a file"))
+        code, output = self.run_experiment(PLAN, "--out", str(self.folder / "a file"))
         self.record(f"results into a file: {code}, {output.splitlines()[-1]}")
         self.assert_matches_trace("experiment-unfit")
--- a/tests/simulation/traffic/test_fleet.py
+++ b/tests/simulation/traffic/test_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet: runs repeat, waits follow queueing theory, and the checks find broken invariants."""
+"""The simulated fleet: runs repeat, queue times match theory, and the checker finds violated invariants."""
 
 from dataclasses import replace
 from math import factorial
@@ -18,16 +18,16 @@
 from tests.fixtures import REQUEST_CLASS, ROUTING_CONFIG, TICKS_PER_MS, TraceTestCase
 
 
-class Anyone(Router):
-    """A policy of random choice, and the base of policies that violate an invariant."""
+class RandomPolicy(Router):
+    """Sends each request to a random ready backend; the base of policies that violate an invariant."""
 
     def request_received(self, now: int, arrival: RequestArrival) -> None:  # noqa: ARG002 - as the base names it
         self.handle_request(arrival.request_id)
 
     def handle_request(self, request_id: int) -> None:
         ready = self.state.table.ready
-        choice = ready[self.state.random.below(len(ready))]
-        self.state.actions.send_attempt(request_id, choice.index)
+        backend = ready[self.state.random.below(len(ready))]
+        self.state.actions.send_attempt(request_id, backend.index)
 
     def attempt_started(self, now: int, request_id: int, attempt_number: int, backend: int) -> None: ...
     def attempt_ended(self, *event: object) -> None: ...
@@ -35,42 +35,42 @@
     def timer_fired(self, now: int, token: int) -> None: ...
 
 
-class Twice(Anyone):
+class AnswerTwicePolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         self.state.actions.shed(request_id, 0)
         self.state.actions.fail_request(request_id)
 
 
-class AfterAnswer(Anyone):
+class SendAfterAnswerPolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         self.state.actions.shed(request_id, 0)
         self.state.actions.send_attempt(request_id, 0)
 
 
-class Silent(Anyone):
+class NoAnswerPolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         pass
 
 
-class Again(Anyone):
+class SendTwicePolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         self.state.actions.send_attempt(request_id, 0)
         self.state.actions.send_attempt(request_id, 1)
 
 
-class ShedThoughSent(Anyone):
+class ShedAfterSendPolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         self.state.actions.send_attempt(request_id, 0)
         self.state.actions.shed(request_id, 0)
 
 
-class ToOne(Anyone):
+class FirstBackendPolicy(RandomPolicy):
     def handle_request(self, request_id: int) -> None:
         self.state.actions.send_attempt(request_id, 0)
 
 
-class ForNobody(Anyone):
-    """Delays a request and sends it although its client may have disconnected."""
+class SendAfterDisconnectPolicy(RandomPolicy):
+    """Sends each request after a delay, even if its client has disconnected meanwhile."""
 
     def handle_request(self, request_id: int) -> None:
         self.state.actions.set_timer(2_500, request_id + 1_000)
@@ -81,7 +81,7 @@
 
 
 def limit_service_time(dispatcher: SimulatedDispatcher, ticks: int) -> None:
-    """Limits the service time of all requests that the dispatcher receives."""
+    """Limits the service time of each request that the dispatcher receives."""
     receive_request = dispatcher.receive_request
 
     def receive_short_request(request_id: int, request: ClientRequest) -> None:
@@ -98,7 +98,7 @@
         config = replace(ROUTING_CONFIG, request_classes=[request_class])
         return SimulatedFleet(scenario, config, policy)
 
-    def test_the_same_seed_gives_the_same_history(self) -> None:
+    def test_same_seed_gives_same_history(self) -> None:
         def history(seed: int) -> list[str]:
             fleet = self.make_fleet(Router, Scenario(seed=seed, seconds=3))
             fleet.run()
@@ -107,7 +107,7 @@
         self.assertEqual(history(1), history(1))
         self.assertNotEqual(history(1), history(2))
 
-    def test_one_runner_waits_as_queueing_theory_says(self) -> None:
+    def test_queue_times_of_one_backend_match_queueing_theory(self) -> None:
         scenario = Scenario(
             dispatcher_count=1,
             backend_count=1,
@@ -116,19 +116,25 @@
             arrival_rate=14.0,
             seconds=4000,
         )
-        fleet = self.make_fleet(Anyone, scenario, deadline=10**9)
+        fleet = self.make_fleet(RandomPolicy, scenario, deadline=10**9)
         fleet.run()
-        waits = fleet.backends[0].queue_times
+        queue_times = fleet.backends[0].queue_times
         offered_load = 14.0 * 0.2
-        last = offered_load**4 / factorial(4) / (1 - offered_load / 4)
-        waiting_share = last / (sum(offered_load**k / factorial(k) for k in range(4)) + last)  # Erlang's C
-        mean = waiting_share * 2_000 / (4 - offered_load)
-        share = sum(wait > 0 for wait in waits) / len(waits)
-        self.record(f"share that waits within 5% of theory: {abs(share / waiting_share - 1) < 0.05}")
-        self.record(f"mean wait within 10% of theory: {abs(sum(waits) / len(waits) / mean - 1) < 0.1}")
+        waiting_term = offered_load**4 / factorial(4) / (1 - offered_load / 4)
+        # Erlang C: the probability that an arriving request finds all slots busy.
+        expected_share = waiting_term / (
+            sum(offered_load**busy / factorial(busy) for busy in range(4)) + waiting_term
+        )
+        expected_mean = expected_share * 2_000 / (4 - offered_load)
+        waiting_share = sum(queue_time > 0 for queue_time in queue_times) / len(queue_times)
+        self.record(f"share that waits within 5% of theory: {abs(waiting_share / expected_share - 1) < 0.05}")
+        self.record(
+            "mean wait within 10% of theory: "
+            f"{abs(sum(queue_times) / len(queue_times) / expected_mean - 1) < 0.1}"
+        )
         self.assert_matches_trace("emulator-waits")
 
-    def test_the_real_policy_keeps_the_rules_through_a_drain_and_a_cold_return(self) -> None:
+    def test_router_violates_no_invariant_during_drain_and_slow_start(self) -> None:
         fleet = self.make_fleet(Router, Scenario(dispatcher_count=8, backend_count=12, seconds=8))
         for backend in range(5):
             fleet.change_state(30_000, backend, EndpointState.DRAINING)
@@ -137,56 +143,69 @@
         fleet.run()
         self.assertEqual(fleet.invariants.violations, [])
         answers = [record.answer for record in fleet.invariants.requests.values()]
-        completed = answers.count(Answer.COMPLETED) / len(answers)
-        self.record(f"all answered: {all(answers)}; over 95 of a hundred done: {completed > 0.95}")
+        completed_share = answers.count(Answer.COMPLETED) / len(answers)
+        self.record(f"all answered: {all(answers)}; over 95 of a hundred done: {completed_share > 0.95}")
         self.assert_matches_trace("emulator-rules")
 
-    def test_each_broken_rule_is_caught(self) -> None:
-        small = Scenario(dispatcher_count=1, backend_count=2, seconds=4, arrival_rate=5.0)
-        for policy in (Twice, AfterAnswer, Silent, Again, ShedThoughSent):
+    def test_checker_reports_violation_of_each_invariant(self) -> None:
+        scenario = Scenario(dispatcher_count=1, backend_count=2, seconds=4, arrival_rate=5.0)
+        faulty_policies = {  # by their names in the trace
+            "Twice": AnswerTwicePolicy,
+            "AfterAnswer": SendAfterAnswerPolicy,
+            "Silent": NoAnswerPolicy,
+            "Again": SendTwicePolicy,
+            "ShedThoughSent": ShedAfterSendPolicy,
+        }
+        for name, policy in faulty_policies.items():
             fleet = self.make_fleet(
                 policy,
-                small,
+                scenario,
                 idempotency=Idempotency.NON_IDEMPOTENT,
                 deduplication_scope=DeduplicationScope.CELL,
                 deadline=500 * TICKS_PER_MS,
             )
             fleet.run()
-            self.record(f"{policy.__name__}: {self.first_violation(fleet)}")
-        fleet = self.make_fleet(ToOne, small)
+            self.record(f"{name}: {self.first_violation(fleet)}")
+        fleet = self.make_fleet(FirstBackendPolicy, scenario)
         fleet.change_state(12_000, 0, EndpointState.DRAINING)
         fleet.run()
         self.record(f"ToOne, drained: {self.first_violation(fleet)}")
-        fleet = self.make_fleet(ToOne, replace(small, arrival_rate=80.0))
+        fleet = self.make_fleet(FirstBackendPolicy, replace(scenario, arrival_rate=80.0))
         fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
         fleet.run()
         self.record(f"ToOne, cold: {self.first_violation(fleet)}")
         self.assert_matches_trace("emulator-caught")
 
-    def test_violations_of_the_stricter_terms_are_caught(self) -> None:
-        """Covers disconnected clients, a backend in slow start that all dispatchers use, and late lists."""
-        leave = Fault(FaultKind.CLIENTS_LEAVE, 0.0, 2.0, share=1.0, factor=0.5)
-        small = Scenario(dispatcher_count=1, backend_count=2, seconds=3, arrival_rate=5.0, faults=(leave,))
-        fleet = self.make_fleet(ForNobody, small)
+    def test_checker_reports_late_sends_and_overload_by_many_dispatchers(self) -> None:
+        """Covers disconnected clients, a warming backend that all dispatchers use, and silent watches."""
+        disconnects = Fault(FaultKind.CLIENTS_LEAVE, 0.0, 2.0, share=1.0, factor=0.5)
+        scenario = Scenario(
+            dispatcher_count=1, backend_count=2, seconds=3, arrival_rate=5.0, faults=(disconnects,)
+        )
+        fleet = self.make_fleet(SendAfterDisconnectPolicy, scenario)
         fleet.run()
         self.record(f"ForNobody: {self.first_violation(fleet)}")
-        # Each of the thirty sends little; all together they send more calls than are allowed, of little work.
+        # Each of 30 dispatchers sends few short requests; together they exceed the number of requests that a
+        # backend in slow start may receive, but not the work.
         config = replace(
             ROUTING_CONFIG, request_classes=[REQUEST_CLASS], overload_factor=3.0, overload_period=10_000
         )
         fleet = SimulatedFleet(
-            Scenario(dispatcher_count=30, backend_count=2, seconds=2, arrival_rate=2.0), config, ToOne
+            Scenario(dispatcher_count=30, backend_count=2, seconds=2, arrival_rate=2.0),
+            config,
+            FirstBackendPolicy,
         )
         for dispatcher in fleet.dispatchers:
             limit_service_time(dispatcher, 50)
         fleet.change_state(10_001, 0, EndpointState.READY, since=10_001)
         fleet.run()
         self.record(f"ToOne, thirty, small units: {self.first_violation(fleet)}")
-        # Too long; and as long as a dispatcher takes at most to replace a silent watch.
+        # 10 s exceeds the time in which a dispatcher must learn of a drain; 3 s is the longest time that a
+        # dispatcher takes to replace a silent watch.
         for silence_seconds in (10.0, 3.0):
-            silent = Fault(FaultKind.SILENT_WATCH, 0.0, 9.0, share=1.0, factor=silence_seconds)
+            silent_watch = Fault(FaultKind.SILENT_WATCH, 0.0, 9.0, share=1.0, factor=silence_seconds)
             fleet = self.make_fleet(
-                Router, Scenario(dispatcher_count=3, backend_count=4, seconds=14, faults=(silent,))
+                Router, Scenario(dispatcher_count=3, backend_count=4, seconds=14, faults=(silent_watch,))
             )
             fleet.change_state(20_000, 0, EndpointState.DRAINING)
             fleet.run()
