--- a/tests/simulation/maintenance/test_fleet.py
+++ b/tests/simulation/maintenance/test_fleet.py
@@ -1,4 +1,4 @@
-"""Maintenance in simulated time: drawn faults, planted faults, a hundred machines under twenty jobs."""
+"""Simulated maintenance: random faults, planted faults that the checks must find, and a large fleet."""
 
 import re
 
@@ -8,7 +8,8 @@
 from tests.fixtures import TraceTestCase
 from tests.planted_maintenance import ALL_MACHINES_JOBS, PLANTED_FAULTS, isolated_members
 
-CAUGHT_AT = {
+# Seed of a case in which the checks find a planted fault, by the description of the fault.
+DETECTING_SEEDS = {
     "free told before the last has answered": 0,
     "silence taken for consent": 0,
     "a bound checked before the agreement": 3,
@@ -18,43 +19,47 @@
 
 
 class MaintenanceFleetTest(TraceTestCase):
-    def test_schedules_of_fixed_seeds_keep_every_promise(self) -> None:
-        done = 0
-        for seed in (*range(12), 648):  # there the checks of a publish were lost, and not asked for again
+    def test_random_cases_violate_no_invariant(self) -> None:
+        completed_count = 0
+        # Seed 648 loses validation responses of a publish, so that the leader must request them again.
+        for seed in (*range(12), 648):
             fleet = MaintenanceFleet(draw_case(seed)).run()
             self.assertEqual(fleet.violations, [], f"seed {seed}")
-            members = [p.member for p in fleet.processes.values() if p.member]
+            members = [process.member for process in fleet.processes.values() if process.member]
             newest = max(members, key=lambda member: member.last_applied)
-            done += sum(map(len, newest.documents.replicated.maintenance.completed.values()))
-        self.assertGreater(done, 40)
+            completed_count += sum(map(len, newest.documents.replicated.maintenance.completed.values()))
+        self.assertGreater(completed_count, 40)
 
-    def test_every_planted_fault_is_caught_by_its_check_and_the_product_is_clean_there(self) -> None:
-        for fault, (make, context, case, check) in PLANTED_FAULTS.items():
-            one = case(CAUGHT_AT[fault])
+    def test_checks_find_each_planted_fault_and_pass_product(self) -> None:
+        for description, (make_fleet, context, make_case, pattern) in PLANTED_FAULTS.items():
+            case = make_case(DETECTING_SEEDS[description])
             with context():
-                broken = make(one).run().violations
-            self.assertTrue([b for b in broken if re.search(check, b)], f"{fault}: {broken}")
-            self.assertEqual(MaintenanceFleet(one).run().violations, [], fault)
+                violations = make_fleet(case).run().violations
+            self.assertTrue(
+                [violation for violation in violations if re.search(pattern, violation)],
+                f"{description}: {violations}",
+            )
+            self.assertEqual(MaintenanceFleet(case).run().violations, [], description)
 
-    def test_a_hundred_machines_under_twenty_jobs_with_dispatchers_dying_in_turn(self) -> None:
+    def test_twenty_jobs_violate_no_invariant_while_dispatchers_restart_in_turn(self) -> None:
         jobs = {
-            f"w{n:02}": {
+            f"w{index:02}": {
                 **ALL_MACHINES_JOBS["disks"],
                 "at-once": 4,
                 "a-zone": 2,
                 "stays": 0.6,
                 "again": True,
-                "machines": [f"m{m}" for m in range(100) if m % 20 == n],
+                "machines": [f"m{machine}" for machine in range(100) if machine % 20 == index],
             }
-            for n in range(20)
+            for index in range(20)
         }
-        deaths = tuple(
-            ClusterFault(ClusterFaultKind.KILL, 60_000 + 70_000 * n, 68_000 + 70_000 * n, name)
-            for n, name in enumerate(("v0", "f0", "v1", "f1", "v2"))
+        kills = tuple(
+            ClusterFault(ClusterFaultKind.KILL, 60_000 + 70_000 * index, 68_000 + 70_000 * index, name)
+            for index, name in enumerate(("v0", "f0", "v1", "f1", "v2"))
         )
         fleet = MaintenanceFleet(
             MaintenanceCase(
-                ClusterCase(seed=5, seconds=90.0, publish_every=9.0, faults=deaths),
+                ClusterCase(seed=5, seconds=90.0, publish_every=9.0, faults=kills),
                 jobs,
                 machine_count=100,
                 zone_count=5,
@@ -64,12 +69,12 @@
             )
         ).run()
         self.assertEqual(fleet.violations, [])
-        member = next(p.member for p in fleet.processes.values() if p.member)
+        member = next(process.member for process in fleet.processes.values() if process.member)
         self.assertGreater(sum(map(len, member.documents.replicated.maintenance.completed.values())), 80)
 
-    def test_the_same_seed_gives_the_same_day(self) -> None:
-        one, other = (MaintenanceFleet(isolated_members(3)).run() for _ in range(2))
+    def test_same_seed_gives_same_run(self) -> None:
+        first, second = (MaintenanceFleet(isolated_members(3)).run() for _ in range(2))
         self.assertEqual(
-            (one.invariants.state_by_index, one.request_count),
-            (other.invariants.state_by_index, other.request_count),
+            (first.invariants.state_by_index, first.request_count),
+            (second.invariants.state_by_index, second.request_count),
         )
