--- a/crankfold/simulation/consensus/cluster.py
+++ b/crankfold/simulation/consensus/cluster.py
@@ -280,7 +280,7 @@
         """Records the response to an operator's publish; an acceptance is final."""
         before = self.outcomes.get(response.proposal_id)
         if before and before.accepted and not response.accepted and response.version_number:
-            self._report_violation(f"{response.proposal_id} was confirmed, then refused")
+            self._report_violation(f"{response.proposal_id} was accepted, then rejected")
         if not before or response.accepted:
             self.outcomes[response.proposal_id] = response
 
@@ -299,7 +299,7 @@
         if all(process.has_active_quota() for process in self.processes.values() if process.running):
             total = sum(len(process.request_ends) for process in self.processes.values())
             if total > TOTAL_QUOTA:
-                self._report_violation(f"{total} units in hand of {TOTAL_QUOTA} that are allowed to all")
+                self._report_violation(f"{total} requests in flight of a total quota of {TOTAL_QUOTA}")
 
     def _accept_requests(self, process: SimulatedProcess) -> None:
         now = self.events.now
--- a/crankfold/simulation/consensus/invariants.py
+++ b/crankfold/simulation/consensus/invariants.py
@@ -121,7 +121,8 @@
             self.longest_contradiction = max(self.longest_contradiction, duration)
             if duration > self.staleness_bound:
                 self.report(
-                    f"{name} acts on {view.applied} {duration / TICKS_PER_MILLISECOND:.0f} ms after {missed}"
+                    f"{name} acts on index {view.applied} "
+                    f"{duration / TICKS_PER_MILLISECOND:.0f} ms after {missed} was applied"
                 )
 
     def _check_leadership(self, name: str, member: Member) -> None:
@@ -159,7 +160,7 @@
         for activation, publish in self.pending_publishes.items():
             if activation <= self.highest_applied and lowest < publish:
                 unaware = [name for name, view in self.lease_views.items() if view.applied < publish]
-                self.report(f"{unaware} may act without having heard of {publish}, which counts")
+                self.report(f"{unaware} may act without having heard of {publish}, which is active")
         # Publishes that all processes with a lease have applied need no further check.
         for activation in [index for index in self.pending_publishes if index <= lowest]:
             del self.pending_publishes[activation]
@@ -177,6 +178,6 @@
                 or (outcome.version_number, outcome.log_index)
                 != (response.version_number, response.log_index)
             ):
-                self.report(f"{call} was confirmed as {response.version_number} and is lost")
+                self.report(f"{call} was accepted as {response.version_number} and is lost")
             if not response.accepted and response.version_number and outcome and outcome.accepted:
-                self.report(f"{call} was refused and took effect")
+                self.report(f"{call} was rejected but took effect")
--- a/crankfold/simulation/consensus/model_checker.py
+++ b/crankfold/simulation/consensus/model_checker.py
@@ -157,7 +157,7 @@
                 return f"{node.name} and {leader} lead in term {node.term}"
         for log_index, entry in enumerate(node.log.entries_between(0, node.commit_index), 1):
             if self.committed.setdefault(log_index, entry) != entry:
-                return f"{node.name} agreed on another entry {log_index}"
+                return f"{node.name} committed another entry {log_index}"
         return ""
 
     def fingerprint(self) -> bytes:
--- a/crankfold/simulation/traffic/invariants.py
+++ b/crankfold/simulation/traffic/invariants.py
@@ -225,7 +225,7 @@
             self._report_violation(now, Invariant.ANSWERS, f"was answered again ({answer})", record)
         elif now > record.deadline:
             self._report_violation(
-                now, Invariant.ANSWERS, f"was answered after its cut-off ({answer})", record
+                now, Invariant.ANSWERS, f"was answered after its deadline ({answer})", record
             )
         if answer is Answer.SHED and record.possible_executions and not self._client_may_retry(record):
             self._report_violation(now, Invariant.EXECUTIONS, "was shed though it may have run", record)
--- a/tests/consensus/faulty_clusters.py
+++ b/tests/consensus/faulty_clusters.py
@@ -193,7 +193,7 @@
         frequent_restarts,
         "went back|without having heard|ms after",
     ),
-    "allocates quotas that are still in use": (random_case, "units in hand of"),
+    "allocates quotas that are still in use": (random_case, "requests in flight of"),
 }
 
 
