--- a/crankfold/simulation/maintenance/__init__.py
+++ b/crankfold/simulation/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated maintenance of machines, on top of a simulated cluster."""
+"""Simulated maintenance of machines, built on a simulated cluster."""
--- a/crankfold/simulation/maintenance/cases.py
+++ b/crankfold/simulation/maintenance/cases.py
@@ -1,4 +1,4 @@
-"""The cases of simulated maintenance: a cluster, its machines, their losses and the jobs."""
+"""The cases of simulated maintenance: a cluster, its machines, losses of machines, and the jobs."""
 
 from dataclasses import dataclass, replace
 from random import Random
@@ -7,19 +7,19 @@
 from crankfold.simulation.consensus.cluster import ClusterCase, Document, random_scenario
 from crankfold.time_units import TICKS_PER_SECOND
 
-# Random cases.
+# Parameters of random cases.
 RANDOM_CASE_SECONDS = 40.0
 RANDOM_MACHINE_COUNT = 9
 RANDOM_ZONE_COUNT = 3
-CLUSTER_SIZES = ((3, 2), (3, 3), (5, 1))  # voters and followers
-FAULTY_SHARE = 0.6  # of the duration; no faults occur in the rest
+CLUSTER_SIZES = ((3, 2), (3, 3), (5, 1))  # (voters, followers)
+FAULTY_SHARE = 0.6  # share of the duration that has faults
 PUBLISH_INTERVAL_SECONDS = 3.0
-UNHEALTHY_SHARE = 0.3  # of the cases, in which one machine becomes unhealthy
-MIN_UP_TICKS = 8000  # between two losses of the same machine
+UNHEALTHY_SHARE = 0.3  # share of the cases with one unhealthy machine
+MIN_UP_TICKS = 8000  # between the losses of the same machine
 MAX_MACHINE_LOSSES = 2
 FIRST_LOSS_TICKS = 20_000
 LOSS_DURATIONS_TICKS = (10_000, 60_000)
-ZONE_LOSS_SHARE = 0.2  # of the cases, in which all machines of a zone are lost
+ZONE_LOSS_SHARE = 0.2  # share of the cases that lose all machines of a zone
 ZONE_LOSS_DURATION_TICKS = 50_000
 # Values of the fields of random jobs, in the form that operators publish.
 MAX_OUT_VALUES = (1, 2, 3)  # machines
@@ -29,7 +29,7 @@
 WATCH_SECONDS = 1.0
 MIN_ANSWER_VALUES = (0, 3)  # answers
 COVERED_MACHINE_COUNTS = (2, 4)
-SHARED_QUOTA_SHARE = 0.7  # of the jobs
+SHARED_QUOTA_SHARE = 0.7  # share of the jobs that set `shares`
 JOB_COUNTS = (1, 2, 2)
 
 
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceCase:
-    """A case of a cluster, with machines and jobs."""
+    """A case of a cluster with machines and jobs."""
 
     cluster_case: ClusterCase
     jobs: dict[str, Document]  # by name, in the form that operators publish
     machine_count: int = RANDOM_MACHINE_COUNT
     zone_count: int = RANDOM_ZONE_COUNT
     losses: tuple[MachineLoss, ...] = ()
-    unhealthy: frozenset[str] = frozenset()  # machines whose answers are bad after their next start
+    unhealthy: frozenset[str] = frozenset()  # machines that answer badly after their next start
     work_duration: int = 6000  # ticks of the work on a machine
-    request_rate: float = 0.6  # requests of a dispatcher in each round
-    faults_end_at: int = 0  # ticks; 0 if unknown, then the final state is not checked
+    request_rate: float = 0.6  # mean requests of a dispatcher in each round
+    faults_end_at: int = 0  # ticks; with 0, the final state is not checked
 
 
 def draw_jobs(rng: Random) -> dict[str, Document]:
@@ -84,7 +84,7 @@
 
 
 def draw_case(seed: int, seconds: float = RANDOM_CASE_SECONDS) -> MaintenanceCase:
-    """Returns a case with random faults of members and machines, which end at `FAULTY_SHARE` of it.
+    """Returns a case with random faults of members and machines in the first `FAULTY_SHARE` of its duration.
 
     Args:
         seed: The same seed gives the same case.
@@ -103,7 +103,7 @@
     losses = _draw_losses(rng, faults_end_at)
     has_unhealthy = rng.random() < UNHEALTHY_SHARE
     unhealthy = frozenset({f"m{rng.randrange(RANDOM_MACHINE_COUNT)}"} if has_unhealthy else ())
-    # The jobs come last: the case of a seed depends on the order of the random draws.
+    # The jobs are drawn last, as the case of a seed depends on the order of the random draws.
     return MaintenanceCase(
         cluster_case=cluster_case,
         jobs=draw_jobs(rng),
@@ -114,7 +114,7 @@
 
 
 def _draw_losses(rng: Random, faults_end_at: int) -> tuple[MachineLoss, ...]:
-    """Returns losses of single machines, and in some cases of a zone."""
+    """Returns random losses of single machines, and sometimes the loss of a zone."""
     losses: list[MachineLoss] = []
     for _ in range(rng.randrange(MAX_MACHINE_LOSSES + 1)):
         begin = rng.randrange(FIRST_LOSS_TICKS, faults_end_at)
@@ -128,11 +128,12 @@
 
 
 def _without_overlaps(losses: list[MachineLoss]) -> tuple[MachineLoss, ...]:
-    chosen: list[MachineLoss] = []
+    accepted: list[MachineLoss] = []
     for loss in sorted(losses):
         overlaps = (
-            loss.machine_id == other.machine_id and loss.begin < other.end + MIN_UP_TICKS for other in chosen
+            loss.machine_id == other.machine_id and loss.begin < other.end + MIN_UP_TICKS
+            for other in accepted
         )
         if not any(overlaps):
-            chosen.append(loss)
-    return tuple(chosen)
+            accepted.append(loss)
+    return tuple(accepted)
--- a/crankfold/simulation/maintenance/checker.py
+++ b/crankfold/simulation/maintenance/checker.py
@@ -1,7 +1,7 @@
 """Checks the invariants of maintenance in a simulated fleet.
 
-Compares the committed transitions with the requests at the machines and with the submitted jobs. Of the
-replicated state it reads only the transitions.
+Compares the committed transitions with the requests at the machines and with the submitted jobs. It reads
+only the transitions of the replicated state.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,7 +17,7 @@
 from crankfold.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 WARM_UP_TICKS: Final = 30_000  # duration of a machine's slow start
-DECISION_TICKS: Final = 2000  # from the arrival of an endpoint list until a proposal takes it into account
+DECISION_TICKS: Final = 2000  # until a proposal takes a received endpoint list into account
 
 _ENDS: Final = (MaintenancePhase.HEALTHY, MaintenancePhase.CANCELLED, MaintenancePhase.REPLACED)
 _REOPENS: Final = (  # phases in which the machine may receive requests, or is drained again
@@ -39,7 +39,7 @@
         jobs: Mapping[str, JobSpecification],
         report: Callable[[str], None],
     ) -> None:
-        """Begins with no machine out.
+        """Starts with all machines in service.
 
         Args:
             events: The simulated time.
@@ -53,18 +53,18 @@
         self._dispatchers = dispatchers
         self._jobs = jobs
         self._report = report
-        self._absent_for: dict[str, str] = {}  # job by machine in maintenance
-        self._drained_since: dict[str, int] = {}  # ticks by machine; from then on it receives no requests
+        self._job_by_machine: dict[str, str] = {}  # job, by machine in maintenance
+        self._drained_since: dict[str, int] = {}  # ticks, by machine; it receives no requests from then on
         self.drain_numbers: dict[str, int] = {}  # log index of the latest drained transition, by machine
-        self._work_runs: dict[tuple[str, str], list[int]] = {}  # by machine and job, the drain numbers
-        self._running_commands: dict[str, int] = {}  # by machine, the drain number
+        self._work_runs: dict[tuple[str, str], list[int]] = {}  # drain numbers, by machine and job
+        self._running_commands: dict[str, int] = {}  # drain number, by machine
 
     def transition_committed(self, record: TransitionRecord) -> None:
-        """Checks a transition when the first dispatcher has applied it."""
+        """Checks a transition; called when the first dispatcher has applied it."""
         machine_id = record.machine_id
         if record.phase == MaintenancePhase.DRAINING:
-            self._check_bounds(machine_id, record.job)
-            self._absent_for[machine_id] = record.job
+            self._check_limits(machine_id, record.job)
+            self._job_by_machine[machine_id] = record.job
         elif record.phase == MaintenancePhase.DRAINED:
             self._machine_drained(record)
         elif record.phase in _REOPENS:
@@ -72,7 +72,7 @@
         elif record.phase == MaintenancePhase.HEALTHY:
             self._check_warm(machine_id)
         if record.phase in _ENDS:
-            self._absent_for.pop(machine_id, None)
+            self._job_by_machine.pop(machine_id, None)
 
     def request_sent(self, request: str, machine_id: str) -> None:
         """Checks that a machine that receives a request is not drained."""
@@ -81,7 +81,7 @@
             self._report(f"{request} came to {machine_id}, which is free since {seconds:.3f} s")
 
     def work_begun(self, run: WorkRun) -> list[int]:
-        """Records the begin of work on a machine; returns the drain numbers of this job's work on it."""
+        """Records that work on a machine starts; returns the drain numbers of all work of the job on it."""
         numbers = self._work_runs.setdefault((run.machine_id, run.job), [])
         numbers.append(run.drain_number)
         return numbers
@@ -109,19 +109,19 @@
         if record.index <= self.drain_numbers.get(machine_id, 0):
             self._report(f"{machine_id} is free under {record.index}, after {self.drain_numbers[machine_id]}")
         self.drain_numbers[machine_id] = record.index
-        self._absent_for[machine_id] = record.job
+        self._job_by_machine[machine_id] = record.job
         self._drained_since[machine_id] = self._events.now
 
     def _check_drained(self, machine_id: str) -> None:
         now = self._events.now
         for dispatcher in self._dispatchers.values():
-            waiting = [
+            in_flight = [
                 attempt.request
                 for attempt in dispatcher.attempts
                 if attempt.machine_id == machine_id and attempt.ends_at > now and dispatcher.running
             ]
-            if waiting:
-                self._report(f"{machine_id} is called free while {dispatcher.name} waits for {waiting}")
+            if in_flight:
+                self._report(f"{machine_id} is called free while {dispatcher.name} waits for {in_flight}")
         machine = self._machines[machine_id]
         for request in machine.requests:
             if request.ends_at > now and request.deadline > now and machine.running:
@@ -134,49 +134,49 @@
         machine = self._machines[machine_id]
         start = machine.started_at
         discovered_start = machine.status_at(now - MAX_LIST_LAG_TICKS).started_at
-        if machine.restarted() and now < start + WARM_UP_TICKS and discovered_start == start:
+        if machine.has_restarted() and now < start + WARM_UP_TICKS and discovered_start == start:
             self._report(
                 f"{machine_id} is called well {(now - start) / TICKS_PER_MILLISECOND:.0f} ms after its start"
             )
 
-    def _out_beside(self, machine_id: str) -> set[str]:
-        """Returns the other machines out of service; losses that no endpoint list has yet are excluded."""
+    def _others_out(self, machine_id: str) -> set[str]:
+        """Returns the other machines out of service, except losses that dispatchers can't know yet."""
         known_by = self._events.now - MAX_LIST_LAG_TICKS - DECISION_TICKS
         lost = {
             machine.machine_id
             for machine in self._machines.values()
             if not machine.running and not machine.status_at(known_by).running
         }
-        return (set(self._absent_for) | lost) - {machine_id}
+        return (set(self._job_by_machine) | lost) - {machine_id}
 
-    def _check_bounds(self, machine_id: str, job: str) -> None:
-        """Checks the limits of all jobs that cover a machine when it goes out."""
-        out = self._out_beside(machine_id)
+    def _check_limits(self, machine_id: str, job: str) -> None:
+        """Checks the departure of a machine against the limits of all jobs that cover it."""
+        out = self._others_out(machine_id)
         machines = [machine.to_machine(machine.started_at) for machine in self._machines.values()]
         for name, specification in self._jobs.items():
             covered = [machine for machine in machines if specification.to_job(name).covers(machine)]
             covers_machine = any(machine.machine_id == machine_id for machine in covered)
-            if name == job or (name in self._absent_for.values() and covers_machine):
+            if name == job or (name in self._job_by_machine.values() and covers_machine):
                 self._check_counts(machine_id, job, name, covered, out=out)
                 self._check_capacity(machine_id, job, name, machines, out=out)
 
     def _check_counts(
-        self, machine_id: str, job: str, bound_by: str, covered: list[Machine], *, out: set[str]
+        self, machine_id: str, job: str, limiting_job: str, covered: list[Machine], *, out: set[str]
     ) -> None:
-        bounds = self._jobs[bound_by]
-        gone = [machine for machine in covered if machine.machine_id in out]
+        limits = self._jobs[limiting_job]
+        covered_out = [machine for machine in covered if machine.machine_id in out]
         zone = self._machines[machine_id].zone
-        what = f"{machine_id} goes out for {job} beside {sorted(out)}"
-        if len(gone) >= bounds.max_out:
-            self._report(f"{what}, {bounds.max_out} at once for {bound_by}")
-        in_zone = sum(machine.zone == zone for machine in gone)
-        if bounds.max_out_per_zone and in_zone >= bounds.max_out_per_zone:
-            self._report(f"{what}, {bounds.max_out_per_zone} a zone for {bound_by}")
+        departure = f"{machine_id} goes out for {job} beside {sorted(out)}"
+        if len(covered_out) >= limits.max_out:
+            self._report(f"{departure}, {limits.max_out} at once for {limiting_job}")
+        out_in_zone = sum(machine.zone == zone for machine in covered_out)
+        if limits.max_out_per_zone and out_in_zone >= limits.max_out_per_zone:
+            self._report(f"{departure}, {limits.max_out_per_zone} a zone for {limiting_job}")
 
     def _check_capacity(
-        self, machine_id: str, job: str, bound_by: str, machines: list[Machine], *, out: set[str]
+        self, machine_id: str, job: str, limiting_job: str, machines: list[Machine], *, out: set[str]
     ) -> None:
-        min_share = self._jobs[bound_by].min_remaining_share
+        min_share = self._jobs[limiting_job].min_remaining_share
         total = sum(machine.size for machine in machines)
         remaining = sum(
             machine.size
@@ -184,4 +184,6 @@
             if machine.machine_id not in out and machine.machine_id != machine_id
         )
         if remaining < min_share * total - SHARE_TOLERANCE:
-            self._report(f"{machine_id} goes out for {job}, and less than {min_share} stays for {bound_by}")
+            self._report(
+                f"{machine_id} goes out for {job}, and less than {min_share} stays for {limiting_job}"
+            )
--- a/crankfold/simulation/maintenance/dispatcher.py
+++ b/crankfold/simulation/maintenance/dispatcher.py
@@ -1,4 +1,4 @@
-"""A simulated dispatcher with requests at machines; it takes part in their maintenance."""
+"""A simulated dispatcher that sends requests to machines and takes part in their maintenance."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -18,21 +18,21 @@
 from crankfold.simulation.maintenance.machines import AnswerCount, SimulatedMachine, WorkRun
 from crankfold.time_units import TICKS_PER_MILLISECOND
 
-MAX_LIST_LAG_TICKS = 12_000  # from a change of a machine until it is in every endpoint list
-MAX_UNRESOLVED_REPORTED = 5  # requests of each machine
+MAX_LIST_LAG_TICKS = 12_000  # from a change of a machine until every endpoint list has it
+MAX_UNRESOLVED_REPORTED = 5  # requests per machine
 
 
 class WaitingAttempt(NamedTuple):
     """A request in flight from a dispatcher to a machine."""
 
-    ends_at: int  # ticks; time of the answer or of the deadline
+    ends_at: int  # ticks; when the answer arrives or the deadline expires
     machine_id: str
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """The collaborators of a dispatcher."""
+class DispatcherEnvironment:
+    """The machines, factories and callbacks that all dispatchers of a fleet share."""
 
     machines: Mapping[str, SimulatedMachine]
     make_coordinator: Callable[[str], Coordinator]
@@ -44,25 +44,25 @@
     """A dispatcher of a simulated cluster: its requests, its view of the machines, and its commands."""
 
     def __init__(
-        self, cluster: SimulatedCluster, name: str, clock_rate: float, surroundings: Surroundings
+        self, cluster: SimulatedCluster, name: str, clock_rate: float, environment: DispatcherEnvironment
     ) -> None:
         super().__init__(cluster, name, clock_rate)
-        self._surroundings = surroundings
-        self._list_lag = cluster.rng.randrange(MAX_LIST_LAG_TICKS)
+        self._environment = environment
+        self._endpoint_list_lag = cluster.rng.randrange(MAX_LIST_LAG_TICKS)
         self.attempts: list[WaitingAttempt] = []
-        self.unresolved_requests: dict[str, list[str]] = {}  # by machine, which may still execute them
+        self.unresolved_requests: dict[str, list[str]] = {}  # by machine that may still execute them
         self.answer_counts: dict[str, AnswerCount] = {}  # by returning machine
-        self.coordinator = surroundings.make_coordinator(name)
+        self.coordinator = environment.make_coordinator(name)
         self._started_commands: set[tuple[str, int]] = set()  # by machine and drain number
         self._last_seen_state = (-1, -1)  # generation and log index
 
     def start(self) -> None:
-        """Starts the process from its disk, without other state."""
+        """Starts the process with only the state on its disk."""
         self.attempts = []
         self.unresolved_requests = {}
         self.answer_counts = {}
         self._started_commands = set()
-        self.coordinator = self._surroundings.make_coordinator(self.name)
+        self.coordinator = self._environment.make_coordinator(self.name)
         super().start()
 
     def maintenance_state(self) -> MaintenanceState:
@@ -77,9 +77,9 @@
         return parse_jobs(document.versions[-1].text) if document.versions else {}
 
     def discovered_machines(self) -> list[Machine]:
-        """Returns the machines in this dispatcher's endpoint list, which lags behind."""
-        at = self.cluster.events.now - self._list_lag
-        statuses = [(machine, machine.status_at(at)) for machine in self._surroundings.machines.values()]
+        """Returns the machines in this dispatcher's endpoint list, which lags behind their true state."""
+        known_at = self.cluster.events.now - self._endpoint_list_lag
+        statuses = [(machine, machine.status_at(known_at)) for machine in self._environment.machines.values()]
         return [
             machine.to_machine(status.started_at, available=status.running)
             for machine, status in statuses
@@ -87,7 +87,7 @@
         ]
 
     def ready_machines(self) -> list[str]:
-        """Returns the ids of the machines that may receive requests of this dispatcher."""
+        """Returns the ids of the machines to which this dispatcher may send requests."""
         out = self.maintenance_state().out_of_rotation()
         return [
             machine.machine_id
@@ -101,7 +101,7 @@
         if timed_out:
             self.unresolved_requests.setdefault(machine_id, []).append(request)
         elif machine_id in self.answer_counts:
-            self.answer_counts[machine_id].add(bad=machine.unhealthy and machine.restarted())
+            self.answer_counts[machine_id].add(bad=machine.unhealthy and machine.has_restarted())
 
     def build_maintenance_report(self) -> MaintenanceReport | None:
         """Returns the dispatcher's report on machines in maintenance; None without maintenance."""
@@ -151,12 +151,12 @@
             state=self.maintenance_state(),
             machines=self.discovered_machines(),
             blocking_holders=cluster_report.blocking_reason,
-            warm_up_ticks=self._surroundings.warm_up_ticks,
+            warm_up_ticks=self._environment.warm_up_ticks,
         )
         return add_reports(view, member, cluster_report)
 
     def follow_maintenance(self) -> None:
-        """Updates the answer counts of returning machines and starts the commands due here."""
+        """Updates the answer counts of returning machines and starts the commands due at this dispatcher."""
         member = self.member
         assert member is not None
         now = self.cluster.events.now
@@ -177,7 +177,7 @@
             for machine_id, record in machines.items()
             if record.phase == MaintenancePhase.RETURNING
         }
-        for machine_id in [known for known in self.answer_counts if known not in returning]:
+        for machine_id in [counted for counted in self.answer_counts if counted not in returning]:
             del self.answer_counts[machine_id]
         for machine_id in returning:
             self.answer_counts.setdefault(machine_id, AnswerCount())
@@ -192,4 +192,4 @@
                 and command not in self._started_commands
             ):
                 self._started_commands.add(command)
-                self._surroundings.start_command(self, WorkRun(machine_id, record.job, record.drain_number))
+                self._environment.start_command(self, WorkRun(machine_id, record.job, record.drain_number))
--- a/crankfold/simulation/maintenance/fleet.py
+++ b/crankfold/simulation/maintenance/fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet in maintenance: a cluster of dispatchers that send requests, and machines."""
+"""A simulated fleet in maintenance: machines, and a cluster of dispatchers that send requests to them."""
 
 from collections.abc import Callable
 from typing import Final
@@ -21,7 +21,11 @@
 )
 from crankfold.simulation.maintenance.cases import MaintenanceCase
 from crankfold.simulation.maintenance.checker import WARM_UP_TICKS, MaintenanceChecker
-from crankfold.simulation.maintenance.dispatcher import SimulatedDispatcher, Surroundings, WaitingAttempt
+from crankfold.simulation.maintenance.dispatcher import (
+    DispatcherEnvironment,
+    SimulatedDispatcher,
+    WaitingAttempt,
+)
 from crankfold.simulation.maintenance.machines import (
     INSTANCE_TYPE,
     RunningRequest,
@@ -30,16 +34,16 @@
 )
 from crankfold.simulation.maintenance.work import Commands, Operators
 
-REQUEST_ROUND_TICKS: Final = 400  # between requests of a dispatcher
-LONG_REQUEST_SHARE: Final = 0.06  # of the requests; these may exceed their deadline
+REQUEST_ROUND_TICKS: Final = 400  # between the rounds in which dispatchers send requests
+LONG_REQUEST_SHARE: Final = 0.06  # share of the requests that may run past their deadline
 MAX_LONG_REQUEST_TICKS: Final = 2 * REQUEST_DEADLINE
 MIN_REQUEST_TICKS: Final = 200
 MAX_REQUEST_TICKS: Final = 4000
-MACHINE_SIZES: Final = (1.0, 2.0)  # in turn
+MACHINE_SIZES: Final = (1.0, 2.0)  # assigned to machines in turn
 
 
 class MaintenanceFleet(SimulatedCluster):
-    """Simulates a case and collects the violations, as any simulated cluster."""
+    """A simulated cluster whose members are dispatchers that maintain machines."""
 
     def __init__(
         self,
@@ -50,13 +54,13 @@
         make_coordinator: Callable[[str], Coordinator] = Coordinator,
         warm_up_ticks: int = WARM_UP_TICKS,
     ) -> None:
-        """Makes the fleet with no process started.
+        """Creates the fleet without starting a process.
 
         Args:
             case: The cluster, the machines and the jobs.
             voter: The class of the voters; tests use subclasses with a fault.
             follower: The class of the followers.
-            make_coordinator: Makes the coordinator of a dispatcher from its name.
+            make_coordinator: Creates the coordinator of a dispatcher from its name.
             warm_up_ticks: Duration of a machine's slow start, as the coordinators assume it.
         """
         super().__init__(case.cluster_case, voter, follower)
@@ -66,7 +70,7 @@
         self.processes = {**self.dispatchers}
         self.jobs = parse_jobs({"works": case.jobs})
         self.request_count = 0
-        self.machines_left: list[int] = []  # machines not done at the end, for each job
+        self.machines_left: list[int] = []  # number of machines not completed at the end, one value per job
         self._last_checked_index = 0  # log index of the last checked transition
         self._checker = self._make_checker()
         self._operators = Operators(self, self._checker)
@@ -80,23 +84,23 @@
     def _make_dispatchers(
         self, make_coordinator: Callable[[str], Coordinator], warm_up_ticks: int
     ) -> dict[str, SimulatedDispatcher]:
-        surroundings = Surroundings(
+        environment = DispatcherEnvironment(
             machines=self.machines,
             make_coordinator=make_coordinator,
             warm_up_ticks=warm_up_ticks,
             start_command=self._start_command,
         )
         return {
-            name: SimulatedDispatcher(self, name, process.clock_rate, surroundings)
+            name: SimulatedDispatcher(self, name, process.clock_rate, environment)
             for name, process in self.processes.items()
         }
 
     def coordinator_of(self, process: SimulatedProcess) -> MaintenanceCoordinator | None:
-        """Returns the dispatcher of the process."""
+        """Returns the dispatcher, which proposes the transitions of its member."""
         return self.dispatchers[process.name]
 
     def run(self) -> "MaintenanceFleet":
-        """Runs the case to its end."""
+        """Runs the case to its end and returns the fleet."""
         for loss in self.maintenance_case.losses:
             machine = self.machines[loss.machine_id]
             self.events.schedule(loss.begin, _set_running(self, machine, False))
@@ -107,11 +111,11 @@
 
     # --- operators and commands ---
 
-    def accepted(self, call: str) -> bool:
+    def is_accepted(self, call: str) -> bool:
         """Whether the call is known to be accepted."""
         return call in self.outcomes and self.outcomes[call].accepted
 
-    def decided(self, call: str) -> bool:
+    def is_decided(self, call: str) -> bool:
         """Whether the outcome of the call is known."""
         return call in self.outcomes and (self.outcomes[call].accepted or self.outcomes[call].log_index > 0)
 
@@ -127,11 +131,11 @@
         }
         self._submit_publish(dispatcher, call, data)
 
-    def propose_step(self, dispatcher: str, call: str, step: Document) -> None:
+    def propose_transition(self, dispatcher: str, call: str, transition: Document) -> None:
         """Proposes a transition, in its stored form, to the cluster."""
         self.dispatchers[dispatcher].deliver(
             lambda member, now: member.propose(  # type: ignore[attr-defined]
-                now, call, EntryKind.MAINTENANCE, {"steps": [step]}
+                now, call, EntryKind.MAINTENANCE, {"steps": [transition]}
             )
         )
 
@@ -140,11 +144,11 @@
         machine = self.machines[machine_id]
         machine.set_running(self.events.now, False)
 
-        def up() -> None:
+        def start_machine() -> None:
             machine.set_running(self.events.now, True)
             then()
 
-        self.events.schedule(self.maintenance_case.work_duration, up)
+        self.events.schedule(self.maintenance_case.work_duration, start_machine)
 
     def _start_command(self, dispatcher: SimulatedDispatcher, run: WorkRun) -> None:
         self._commands.start(dispatcher, run)
@@ -178,8 +182,8 @@
                 dispatcher.answer_counts[machine_id].add(bad=True)
             return
         duration = self._draw_duration()
-        waits = min(duration, REQUEST_DEADLINE)
-        dispatcher.attempts.append(WaitingAttempt(now + waits, machine_id, request))
+        wait_ticks = min(duration, REQUEST_DEADLINE)
+        dispatcher.attempts.append(WaitingAttempt(now + wait_ticks, machine_id, request))
         machine.requests = [other for other in machine.requests if other.ends_at > now]
         machine.requests.append(RunningRequest(now + duration, request, now + REQUEST_DEADLINE))
         generation = dispatcher.generation
@@ -188,7 +192,7 @@
             if generation == dispatcher.generation:
                 dispatcher.request_ended(request, machine, timed_out=duration > REQUEST_DEADLINE)
 
-        self.events.schedule(waits, ended)
+        self.events.schedule(wait_ticks, ended)
 
     def _draw_duration(self) -> int:
         if self.rng.random() < LONG_REQUEST_SHARE:
@@ -198,7 +202,7 @@
     # --- invariants ---
 
     def check_invariants(self) -> None:
-        """Checks also each transition that a dispatcher has newly applied."""
+        """Also checks each transition that a dispatcher has newly applied."""
         super().check_invariants()
         for dispatcher in self.dispatchers.values():
             member = dispatcher.member
@@ -223,18 +227,18 @@
         state = leader.maintenance_state()
         for name, job in self.jobs.items():
             completed = state.completed.get(name, {})
-            left = [
+            remaining = [
                 machine.machine_id
                 for machine in self.machines.values()
                 if machine.machine_id not in completed
                 and job.to_job(name).covers(Machine(machine.machine_id, machine.zone, INSTANCE_TYPE))
             ]
-            self.machines_left.append(len(left))
+            self.machines_left.append(len(remaining))
             explained = any(
-                wait.job == name or wait.machine_id in left for wait in leader.coordinator.wait_reasons
+                wait.job == name or wait.machine_id in remaining for wait in leader.coordinator.wait_reasons
             )
-            if left and not explained and name not in state.halted_jobs:
-                self._report_violation(f"{name} has {left} left without a stated reason")
+            if remaining and not explained and name not in state.halted_jobs:
+                self._report_violation(f"{name} has {remaining} left without a stated reason")
 
     def _leader(self) -> SimulatedDispatcher | None:
         for dispatcher in self.dispatchers.values():
@@ -244,7 +248,7 @@
 
 
 def _make_machines(case: MaintenanceCase) -> dict[str, SimulatedMachine]:
-    """Makes machines of two sizes, spread over the zones."""
+    """Creates machines of alternating sizes, spread over the zones."""
     return {
         f"m{n}": SimulatedMachine(
             machine_id=f"m{n}",
--- a/crankfold/simulation/maintenance/machines.py
+++ b/crankfold/simulation/maintenance/machines.py
@@ -1,4 +1,4 @@
-"""Simulated machines with their true state; endpoint lists have it later."""
+"""Simulated machines with their true state, which endpoint lists show after a delay."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class MachineStatus(NamedTuple):
-    """The status of a machine from a time on; times are ticks."""
+    """The status of a machine since a time. Times are ticks."""
 
     since: int
     running: bool
@@ -17,7 +17,7 @@
 
 
 class RunningRequest(NamedTuple):
-    """A request that a machine executes; times are ticks."""
+    """A request that a machine executes. Times are ticks."""
 
     ends_at: int
     name: str
@@ -25,7 +25,7 @@
 
 
 class WorkRun(NamedTuple):
-    """Work on a drained machine."""
+    """One run of a job's work on a drained machine."""
 
     machine_id: str
     job: str
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class AnswerCount:
-    """Answers of a machine since its return."""
+    """Numbers of answers of a machine since its return."""
 
     total: int = 0
     bad: int = 0
@@ -52,27 +52,27 @@
     machine_id: str
     zone: str
     size: float
-    unhealthy: bool = False  # its answers are bad after its next start
+    unhealthy: bool = False  # answers badly after its next start
     started_at: int = 1  # ticks
     running: bool = True
     requests: list[RunningRequest] = field(default_factory=list)
     _history: list[MachineStatus] = field(default_factory=lambda: [MachineStatus(0, True, 1)])
 
     def set_running(self, now: int, running: bool) -> None:
-        """Stops the machine, or starts it again."""
+        """Stops the machine or restarts it."""
         if running and not self.running:
             self.started_at = now
         self.running = running
         self._history.append(MachineStatus(now, running, self.started_at))
 
     def status_at(self, at: int) -> MachineStatus:
-        """Returns the status at a time in ticks; before the first start, one without a start."""
+        """Returns the status at a time in ticks; before the first start, not running with `started_at` 0."""
         for status in reversed(self._history):
             if status.since <= at:
                 return status
         return MachineStatus(at, False, 0)
 
-    def restarted(self) -> bool:
+    def has_restarted(self) -> bool:
         """Whether the machine has started more than once."""
         return self.started_at > 1
 
@@ -80,7 +80,7 @@
         """Returns the machine in the form that the scheduler uses.
 
         Args:
-            started_at: Its latest known start, ticks.
+            started_at: Its last known start, ticks.
             available: Whether it is known to run.
         """
         return Machine(
--- a/crankfold/simulation/maintenance/study.py
+++ b/crankfold/simulation/maintenance/study.py
@@ -1,7 +1,7 @@
-"""Compares strategies of maintenance under load by their duration and their effect on requests.
+"""Compares maintenance strategies under load: how long they take, and their effect on requests.
 
-The fleet is that of `simulation.traffic.fleet`. The next machine is selected by the coordinator, or by a
-simple strategy of an operator.
+The fleet is that of `simulation.traffic.fleet`. Either the product's coordinator selects the next machine, or
+an operator with a simple strategy.
 """
 
 from collections.abc import Sequence
@@ -27,12 +27,12 @@
 FIRST_DECISION_TICKS: Final = TICKS_PER_SECOND  # after the start of the day
 DECISION_INTERVAL_TICKS: Final = 2_000
 CONSENSUS_DELAY_TICKS: Final = 300  # from a proposal until its commit
-WORK_DURATION_TICKS: Final = TICKS_PER_SECOND  # of the work on a machine
+WORK_DURATION_TICKS: Final = TICKS_PER_SECOND  # of the work on each machine
 MIN_DRAIN_TICKS: Final = 5_000  # until all dispatchers know that the machine drains
 MAX_OUT_DIVISOR: Final = 10  # at most a tenth of the machines is out at once
-MAX_UTILIZATION: Final = 0.8  # of the remaining slots, with the strategy BY_TRUE_LOAD
-MIN_REMAINING_SHARE: Final = 0.5  # of the machines, for the coordinator
-OUTCOME_WINDOW_DECISIONS: Final = 26  # over which completed and shed requests are counted
+MAX_UTILIZATION: Final = 0.8  # of the remaining slots; limit of the strategy BY_TRUE_LOAD
+MIN_REMAINING_SHARE: Final = 0.5  # of the machines; limit of the coordinator's job
+OUTCOME_WINDOW_DECISIONS: Final = 26  # completed and shed requests are counted over so many decisions
 JOB: Final = "w"
 OPERATOR: Final = "o"
 MEMBER_NAME: Final = "n0"
@@ -59,7 +59,7 @@
     request_count: int
     in_time_share: float
     completed_share: float  # of the machines, by the end of the day
-    duration_seconds: float  # until the last machine was done, or the day's length
+    duration_seconds: float  # until the last machine was completed, or else the length of the day
     violation_count: int
 
 
@@ -74,7 +74,7 @@
     """A fleet without maintenance; subclasses select machines and move them through the phases."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
-        # Before the base class: its constructor schedules faults, which read `absent`.
+        # Set before the base class starts: its constructor schedules faults, which read `absent`.
         self.absent: dict[int, Absence] = {}  # by backend
         super().__init__(scenario, config, Router)
         self.completed_at: dict[int, int] = {}  # by backend, ticks
@@ -84,20 +84,20 @@
             self.events.schedule(FIRST_DECISION_TICKS, self._decide)
 
     def change_state(self, at: int, backend: int, state: EndpointState, since: int = 0) -> None:
-        """Schedules a change of state by a fault; it has no effect on a machine in maintenance."""
+        """Schedules a change of state by a fault, which has no effect on a machine in maintenance."""
 
-        def unless_out() -> None:
+        def change_if_in_service() -> None:
             if backend not in self.absent:
                 SimulatedFleet.change_state(self, at, backend, state, since)
 
-        self.events.schedule(at - self.events.now, unless_out)
+        self.events.schedule(at - self.events.now, change_if_in_service)
 
     def _set_endpoint_state(self, backend: int, state: EndpointState, since: int = 0) -> None:
         super().change_state(self.events.now, backend, state, since)
 
     def _is_available(self, backend: int) -> bool:
-        found = self.backends[backend]
-        return found.state == EndpointState.READY and not found.dead
+        simulated = self.backends[backend]
+        return simulated.state == EndpointState.READY and not simulated.dead
 
     def _decide(self) -> None:
         self.events.schedule(DECISION_INTERVAL_TICKS, self._decide)
@@ -105,19 +105,19 @@
         for index, absence in list(self.absent.items()):
             backend = self.backends[index]
             if absence.phase != MaintenancePhase.DRAINING:
-                self._follow_up(index, absence)
+                self._advance_phase(index, absence)
             elif now - absence.since >= MIN_DRAIN_TICKS and not backend.busy_slots and not backend.queue:
                 self.absent[index] = Absence(MaintenancePhase.DRAINED, now)
-        self._choose()
+        self._start_departures()
 
-    def _follow_up(self, backend: int, absence: Absence) -> None:
+    def _advance_phase(self, backend: int, absence: Absence) -> None:
         """Moves a machine that has drained to its next phase."""
 
-    def _choose(self) -> None:
+    def _start_departures(self) -> None:
         """Selects the next machines and starts their drain."""
 
     def _work_done(self, backend: int) -> None:
-        """Handles the end of the work on a machine."""
+        """Called when the work on a machine is done."""
 
     # --- phases of a machine ---
 
@@ -141,7 +141,7 @@
 
 
 class OperatedFleet(StudyFleet):
-    """A fleet whose operator selects machines by a strategy that knows no limits of jobs."""
+    """A fleet whose operator selects machines by a simple strategy, without the limits of a job."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
         super().__init__(scenario, config, strategy)
@@ -151,7 +151,7 @@
         elif strategy == Strategy.BY_ZONE:
             self._remaining.sort(key=lambda backend: (backend % ZONE_COUNT, backend))
 
-    def _follow_up(self, backend: int, absence: Absence) -> None:
+    def _advance_phase(self, backend: int, absence: Absence) -> None:
         if absence.phase == MaintenancePhase.DRAINED:
             self._start_work(backend)
             return
@@ -163,7 +163,7 @@
     def _work_done(self, backend: int) -> None:
         self._return_to_service(backend)
 
-    def _choose(self) -> None:
+    def _start_departures(self) -> None:
         chosen = self._next_departures()
         self._remaining = [backend for backend in self._remaining if backend not in chosen]
         for backend in chosen:
@@ -178,7 +178,7 @@
         return self._remaining[: max(max_out - len(self.absent), 0)]
 
     def _next_zone(self) -> list[int]:
-        """Returns all machines of the next zone when the zone before is back in service."""
+        """Returns all machines of the next zone once the previous zone is back in service."""
         if self.absent or not self._remaining:
             return []
         zone = self._remaining[0] % ZONE_COUNT
@@ -188,7 +188,7 @@
         return self.backends[backend].busy_slots + len(self.backends[backend].queue)
 
     def _least_loaded(self) -> list[int]:
-        """Returns the least loaded machines, as many as the utilization of the others permits."""
+        """Returns the least loaded machines, as many as the utilization of the others allows."""
         all_backends = range(len(self.backends))
         available = {backend for backend in all_backends if self._is_available(backend)}
         lost = sum(backend not in available and backend not in self.absent for backend in all_backends)
@@ -205,7 +205,7 @@
 
 
 class CoordinatedFleet(StudyFleet):
-    """A fleet with the product's coordinator; its proposals are committed `CONSENSUS_DELAY_TICKS` later."""
+    """A fleet whose coordinator is the product's; proposals are committed after `CONSENSUS_DELAY_TICKS`."""
 
     def __init__(self, scenario: Scenario, config: RoutingConfig, strategy: Strategy) -> None:
         super().__init__(scenario, config, strategy)
@@ -218,9 +218,9 @@
             watch_seconds=0.0,
             min_responses=0,
         )
-        self._outcome_counts: list[tuple[int, int]] = []  # completed and shed, at each decision
+        self._outcome_counts: list[tuple[int, int]] = []  # (completed, shed) at each decision
 
-    def _choose(self) -> None:
+    def _start_departures(self) -> None:
         counts = self.invariants.answer_counts
         self._outcome_counts.append((counts[Answer.COMPLETED], counts[Answer.SHED]))
         del self._outcome_counts[:-OUTCOME_WINDOW_DECISIONS]
@@ -230,7 +230,7 @@
         for machine_id, record in list(self._state.machines.items()):
             in_work = record.phase == MaintenancePhase.IN_WORK
             if in_work and self.absent[int(machine_id)].phase == MaintenancePhase.WORK_DONE:
-                self._apply([_operator_step(machine_id, MaintenancePhase.WORK_DONE)])
+                self._apply([_operator_transition(machine_id, MaintenancePhase.WORK_DONE)])
         transitions = self._coordinator.propose(self._view())
         if transitions:
             documents = [coordinator_document(transition) for transition in transitions]
@@ -293,7 +293,7 @@
             self._start_drain(backend)
         elif phase == MaintenancePhase.DRAINED:
             # The operator begins the work without delay.
-            self._apply([_operator_step(machine_id, MaintenancePhase.IN_WORK)])
+            self._apply([_operator_transition(machine_id, MaintenancePhase.IN_WORK)])
             self._start_work(backend)
         elif phase == MaintenancePhase.RETURNING:
             self._return_to_service(backend)
@@ -307,8 +307,8 @@
     return f"{backend:04}"
 
 
-def _operator_step(machine_id: str, phase: MaintenancePhase) -> Document:
-    """Returns the stored form of a transition by the operator."""
+def _operator_transition(machine_id: str, phase: MaintenancePhase) -> Document:
+    """Returns a transition that the operator proposes, in its stored form."""
     return {"uid": machine_id, "work": JOB, "step": phase.value, "by": OPERATOR, "life": 0, "why": ""}
 
 
@@ -316,7 +316,7 @@
     """Simulates one day of maintenance.
 
     Args:
-        strategy: How the next machine is selected.
+        strategy: Selects the next machine.
         scenario: The load and the faults; `seed` replaces its seed.
         config: The routing configuration of each dispatcher.
         seed: The same seed gives the same day.
--- a/crankfold/simulation/maintenance/work.py
+++ b/crankfold/simulation/maintenance/work.py
@@ -1,4 +1,4 @@
-"""The work on simulated machines: by operators, and by commands that dispatchers run."""
+"""The work on simulated machines, done by operators or by commands that dispatchers run."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -22,25 +22,25 @@
 
 
 class MaintainedFleet(Protocol):
-    """The interface of the fleet for operators and commands."""
+    """The part of the fleet that operators and commands use."""
 
     events: EventQueue
     rng: Random
 
     @property
     def dispatchers(self) -> Mapping[str, SimulatedDispatcher]:
-        """By name."""
+        """The dispatchers, by name."""
 
-    def accepted(self, call: str) -> bool:
+    def is_accepted(self, call: str) -> bool:
         """Whether the call is known to be accepted."""
 
-    def decided(self, call: str) -> bool:
+    def is_decided(self, call: str) -> bool:
         """Whether the outcome of the call is known."""
 
     def submit_jobs(self, dispatcher: str, call: str) -> None:
         """Publishes the jobs of the case."""
 
-    def propose_step(self, dispatcher: str, call: str, step: Document) -> None:
+    def propose_transition(self, dispatcher: str, call: str, transition: Document) -> None:
         """Proposes a transition, in its stored form, to the cluster."""
 
     def restart_machine(self, machine_id: str, then: Callable[[], None]) -> None:
@@ -48,12 +48,12 @@
 
 
 class Operators:
-    """The operators, who submit the jobs and do the work of jobs without command."""
+    """The operators, who submit the jobs and do the work of jobs without a command."""
 
     def __init__(self, fleet: MaintainedFleet, checker: MaintenanceChecker) -> None:
         self._fleet = fleet
         self._checker = checker
-        self._begun: set[tuple[str, int]] = set()  # by machine and drain number
+        self._begun_work: set[tuple[str, int]] = set()  # (machine id, drain number)
 
     def start(self) -> None:
         """Schedules the first submission and the first round of work."""
@@ -61,9 +61,9 @@
         self._fleet.events.schedule(OPERATOR_ROUND_TICKS, self._work_on_drained)
 
     def _submit_jobs(self) -> None:
-        """Submits the jobs; repeats it with the same call until it is accepted."""
+        """Submits the jobs, repeatedly with the same call until it is accepted."""
         fleet = self._fleet
-        if fleet.accepted(SUBMIT_CALL):
+        if fleet.is_accepted(SUBMIT_CALL):
             return
         dispatcher = fleet.rng.choice(list(fleet.dispatchers.values()))
         if dispatcher.member and dispatcher.running:
@@ -81,28 +81,30 @@
         for machine_id, record in dispatcher.maintenance_state().machines.items():
             job = jobs.get(record.job)
             drained = machine_id, record.drain_number
-            if job is None or record.phase != MaintenancePhase.DRAINED or drained in self._begun:
+            if job is None or record.phase != MaintenancePhase.DRAINED or drained in self._begun_work:
                 continue
             if job.method == WorkMethod.ENDPOINT_LIST:
-                self._begun.add(drained)
+                self._begun_work.add(drained)
                 fleet.restart_machine(machine_id, lambda: None)
             elif job.method == WorkMethod.OPERATOR:
-                self._begun.add(drained)
+                self._begun_work.add(drained)
                 run = WorkRun(machine_id, record.job, record.drain_number)
-                self._call(run, MaintenancePhase.IN_WORK)
+                self._propose_transition(run, MaintenancePhase.IN_WORK)
 
     def work_begun(self, run: WorkRun) -> None:
-        """Does the work on a machine after the transition that begins it is committed."""
+        """Does the work on a machine; called when the transition that starts the work is committed."""
         self._checker.work_begun(run)
-        self._fleet.restart_machine(run.machine_id, lambda: self._call(run, MaintenancePhase.WORK_DONE))
+        self._fleet.restart_machine(
+            run.machine_id, lambda: self._propose_transition(run, MaintenancePhase.WORK_DONE)
+        )
 
-    def _call(self, run: WorkRun, phase: MaintenancePhase) -> None:
+    def _propose_transition(self, run: WorkRun, phase: MaintenancePhase) -> None:
         """Proposes a transition at random dispatchers until its outcome is known."""
         fleet = self._fleet
         call = f"{phase} {run.machine_id} {run.drain_number}"
-        if fleet.decided(call):
+        if fleet.is_decided(call):
             return
-        step = {
+        transition = {
             "uid": run.machine_id,
             "work": run.job,
             "step": phase.value,
@@ -111,8 +113,8 @@
             "number": run.drain_number,
             "why": "",
         }
-        fleet.propose_step(fleet.rng.choice(sorted(fleet.dispatchers)), call, step)
-        fleet.events.schedule(OPERATOR_RETRY_TICKS, lambda: self._call(run, phase))
+        fleet.propose_transition(fleet.rng.choice(sorted(fleet.dispatchers)), call, transition)
+        fleet.events.schedule(OPERATOR_RETRY_TICKS, lambda: self._propose_transition(run, phase))
 
 
 class Commands:
@@ -123,7 +125,7 @@
         self._checker = checker
 
     def start(self, dispatcher: SimulatedDispatcher, run: WorkRun) -> None:
-        """Runs a command; a share of them fails, and each ends with its dispatcher."""
+        """Runs a command, which fails at random; its outcome is lost if the dispatcher restarts."""
         self._checker.command_started(run)
         generation = dispatcher.generation
 
@@ -141,9 +143,9 @@
     ) -> None:
         """Proposes the outcome of a command until the proposal is decided or the dispatcher restarts."""
         call = f"{run.machine_id} {run.drain_number}"
-        if generation != dispatcher.generation or self._fleet.decided(call):
+        if generation != dispatcher.generation or self._fleet.is_decided(call):
             return
-        step = {
+        transition = {
             "uid": run.machine_id,
             "work": run.job,
             "step": phase.value,
@@ -151,7 +153,7 @@
             "by": dispatcher.name,
             "why": "",
         }
-        self._fleet.propose_step(dispatcher.name, call, step)
+        self._fleet.propose_transition(dispatcher.name, call, transition)
         self._fleet.events.schedule(
             OUTCOME_RETRY_TICKS, lambda: self._report_outcome(dispatcher, generation, run, phase)
         )
