--- a/crankfold/simulation/maintenance/checker.py
+++ b/crankfold/simulation/maintenance/checker.py
@@ -78,7 +78,7 @@
         """Checks that a machine that receives a request is not drained."""
         if machine_id in self._drained_since:
             seconds = self._drained_since[machine_id] / TICKS_PER_SECOND
-            self._report(f"{request} came to {machine_id}, which is free since {seconds:.3f} s")
+            self._report(f"{request} was sent to {machine_id}, which is drained since {seconds:.3f} s")
 
     def work_begun(self, run: WorkRun) -> list[int]:
         """Records that work on a machine starts; returns the drain numbers of all work of the job on it."""
@@ -90,11 +90,13 @@
         """Checks a command that a dispatcher starts."""
         numbers = self.work_begun(run)
         if len(numbers) > 1 and not self._jobs[run.job].command_repeatable:
-            self._report(f"the command of {run.job} ran again on {run.machine_id}, under {numbers}")
+            self._report(
+                f"the command of {run.job} ran again on {run.machine_id}, with drain numbers {numbers}"
+            )
         if run.machine_id in self._running_commands:
             self._report(f"two commands run on {run.machine_id}")
         if run.machine_id not in self._drained_since:
-            self._report(f"a command runs on {run.machine_id}, which is not free")
+            self._report(f"a command runs on {run.machine_id}, which is not drained")
         self._running_commands[run.machine_id] = run.drain_number
 
     def command_ended(self, run: WorkRun) -> None:
@@ -107,7 +109,9 @@
         if machine_id not in self._drained_since:
             self._check_drained(machine_id)
         if record.index <= self.drain_numbers.get(machine_id, 0):
-            self._report(f"{machine_id} is free under {record.index}, after {self.drain_numbers[machine_id]}")
+            self._report(
+                f"{machine_id} is drained with number {record.index} after {self.drain_numbers[machine_id]}"
+            )
         self.drain_numbers[machine_id] = record.index
         self._job_by_machine[machine_id] = record.job
         self._drained_since[machine_id] = self._events.now
@@ -121,12 +125,14 @@
                 if attempt.machine_id == machine_id and attempt.ends_at > now and dispatcher.running
             ]
             if in_flight:
-                self._report(f"{machine_id} is called free while {dispatcher.name} waits for {in_flight}")
+                self._report(
+                    f"{machine_id} is reported drained while {dispatcher.name} waits for {in_flight}"
+                )
         machine = self._machines[machine_id]
         for request in machine.requests:
             if request.ends_at > now and request.deadline > now and machine.running:
                 self._report(
-                    f"{machine_id} is called free while {request.name} runs there, before its cut-off"
+                    f"{machine_id} is reported drained while {request.name} runs there before its deadline"
                 )
 
     def _check_warm(self, machine_id: str) -> None:
@@ -136,7 +142,8 @@
         discovered_start = machine.status_at(now - MAX_LIST_LAG_TICKS).started_at
         if machine.has_restarted() and now < start + WARM_UP_TICKS and discovered_start == start:
             self._report(
-                f"{machine_id} is called well {(now - start) / TICKS_PER_MILLISECOND:.0f} ms after its start"
+                f"{machine_id} is reported healthy "
+                f"{(now - start) / TICKS_PER_MILLISECOND:.0f} ms after its start"
             )
 
     def _others_out(self, machine_id: str) -> set[str]:
@@ -166,12 +173,12 @@
         limits = self._jobs[limiting_job]
         covered_out = [machine for machine in covered if machine.machine_id in out]
         zone = self._machines[machine_id].zone
-        departure = f"{machine_id} goes out for {job} beside {sorted(out)}"
+        departure = f"{machine_id} goes out for {job} while {sorted(out)} are out"
         if len(covered_out) >= limits.max_out:
-            self._report(f"{departure}, {limits.max_out} at once for {limiting_job}")
+            self._report(f"{departure}; {limiting_job} allows {limits.max_out} at once")
         out_in_zone = sum(machine.zone == zone for machine in covered_out)
         if limits.max_out_per_zone and out_in_zone >= limits.max_out_per_zone:
-            self._report(f"{departure}, {limits.max_out_per_zone} a zone for {limiting_job}")
+            self._report(f"{departure}; {limiting_job} allows {limits.max_out_per_zone} per zone")
 
     def _check_capacity(
         self, machine_id: str, job: str, limiting_job: str, machines: list[Machine], *, out: set[str]
@@ -184,6 +191,4 @@
             if machine.machine_id not in out and machine.machine_id != machine_id
         )
         if remaining < min_share * total - SHARE_TOLERANCE:
-            self._report(
-                f"{machine_id} goes out for {job}, and less than {min_share} stays for {limiting_job}"
-            )
+            self._report(f"{machine_id} goes out for {job}; less than {min_share} remains for {limiting_job}")
--- a/tests/planted_maintenance.py
+++ b/tests/planted_maintenance.py
@@ -174,13 +174,13 @@
         lambda case: MaintenanceFleet(case, FreeTooEarly),
         unchanged,
         draw_case,
-        "free while",
+        "drained while",
     ),
     "silence taken for consent": (
         lambda case: MaintenanceFleet(case, SilenceIsConsent),
         unchanged,
         isolated_members,
-        "free while|is free since",
+        "drained while|is drained since",
     ),
     "a bound checked before the agreement": (
         lambda case: MaintenanceFleet(case, make_coordinator=ImpatientCoordinator),
@@ -198,6 +198,6 @@
         lambda case: MaintenanceFleet(case, warm_up_ticks=0),
         unchanged,
         draw_case,
-        "called well",
+        "reported healthy",
     ),
 }
