--- a/tests/service/requests/test_callback_handler.py
+++ b/tests/service/requests/test_callback_handler.py
@@ -4,7 +4,7 @@
 
 from crankfold.routing.interface import Outcome
 from tests.fixtures import read_message
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 
 UNKNOWN_REQUEST_COUNTER = "callbacks-unknown-request"
 
@@ -12,7 +12,7 @@
 class UnmatchedCallbacksTest(DispatcherTestCase):
     async def accept_one_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
-        writer.write(OK)
+        writer.write(ACCEPTED)
         await reader.read()
 
     async def test_each_callback_for_unknown_request_is_counted_once(self) -> None:
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -7,7 +7,7 @@
 
 from crankfold.network.exchange import Exchange
 from tests.fixtures import read_message
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 
 
 class AdminServiceTest(DispatcherTestCase):
@@ -18,7 +18,7 @@
             while True:
                 head, _ = await read_message(reader)
                 self.received_count += 1
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
                 if not request_id.startswith("held"):
                     await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -12,7 +12,7 @@
 import orjson
 
 from tests.fixtures import read_message
-from tests.loopback import OK, DispatcherTestCase
+from tests.loopback import ACCEPTED, DispatcherTestCase
 
 # Seconds and slots; 85 requests per second keep most slots of two backends busy, and some requests fail.
 EXECUTION_SECONDS, SLOTS = 0.08, 4
@@ -48,7 +48,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await read_message(reader)
-            writer.write(OK)
+            writer.write(ACCEPTED)
             if head.startswith("POST"):
                 request_id = head.lower().partition("x-request-id: ")[2].split()[0]
                 self.received.append((time.monotonic(), request_id))
@@ -92,12 +92,12 @@
             for backend_id, zone in (("a", "x"), ("b", "y"), ("c", "x"))
         }
         for backend in self.backends.values():
-            backend.port = await self.stand_in(backend.serve)
+            backend.port = await self.start_fake_server(backend.serve)
         with socket.create_server(("127.0.0.1", 0)) as unused:
             listen = f"127.0.0.1:{unused.getsockname()[1]}"
         self.config = {
             "listen": listen,
-            "discovery": f"127.0.0.1:{await self.stand_in(self.discovery)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(self.discovery)}",
             "seed": "1f",
             "admin_addr": "127.0.0.1:0",
             "limits": {"sockets": 384},
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -11,7 +11,7 @@
 import orjson
 
 from tests.fixtures import read_message
-from tests.loopback import OK, REQUEST, DispatcherTestCase
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase
 
 SERVE = ["-O", "-m", "crankfold", "serve"]
 
@@ -42,7 +42,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head, _ = await read_message(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 await accepted.put(head.split("\r\n")[0])
 
         await self.begin(backend)
@@ -84,7 +84,7 @@
                 request_id = (await read_message(reader))[0].lower().partition("x-request-id: ")[2].split()[0]
                 if request_id != "held":
                     await self.send_callback(id=request_id, **{"from": name}, state="done", result=name)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 sent.set()
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> None:
@@ -99,14 +99,16 @@
         polls: list[str] = []
         sent = asyncio.Event()
         await self.begin(partial(backend, name="a"))
-        ports = {name: await self.stand_in(partial(backend, name=name)) for name in "bc"}
+        ports = {name: await self.start_fake_server(partial(backend, name=name)) for name in "bc"}
         output = await self.start_process(SERVE)
         pending = asyncio.create_task(self.send_request("held"))
         async with asyncio.timeout(5):
             await sent.wait()
         for name in "bc":
             self.config["settings"]["tick"] += 1
-            self.config["discovery"] = f"127.0.0.1:{await self.stand_in(partial(discovery, name=name))}"
+            self.config["discovery"] = (
+                f"127.0.0.1:{await self.start_fake_server(partial(discovery, name=name))}"
+            )
             for invalid_body in (b"", b'{"listen":', orjson.dumps({**self.config, "discovery": "here"})):
                 self.config_file.write_bytes(invalid_body)
                 self.process.send_signal(signal.SIGHUP)
@@ -132,7 +134,7 @@
             while True:
                 await read_message(reader)
                 await self.send_callback(id="u1", **{"from": "a"}, state="done", result="result")
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         await self.begin(backend)
         output = await self.start_process(SERVE)
@@ -152,7 +154,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
-                writer.write(OK)
+                writer.write(ACCEPTED)
                 posted.set()
 
         posted = asyncio.Event()
@@ -176,7 +178,7 @@
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        port = await self.stand_in(backend)
+        port = await self.start_fake_server(backend)
         await self.begin(backend)
         with tempfile.TemporaryDirectory() as directory:
             for name, body in {
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -12,7 +12,7 @@
 from crankfold.network.exchange import Exchange
 from crankfold.service.application import Application
 from tests.fixtures import read_message
-from tests.loopback import OK, REQUEST, DispatcherTestCase, Handler
+from tests.loopback import ACCEPTED, REQUEST, DispatcherTestCase, Handler
 
 
 class DispatcherRacesTest(DispatcherTestCase):
@@ -93,7 +93,7 @@
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
-            writer.write(OK)
+            writer.write(ACCEPTED)
             sent.set()
             await reader.read()
 
@@ -157,7 +157,7 @@
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             self.record("sent")
-            writer.write(OK)
+            writer.write(ACCEPTED)
             for _ in range(2):  # as if the response to the first callback had been lost
                 await self.send_callback(id="u1", **{"from": "a"}, state="returned")
 
@@ -236,7 +236,7 @@
                 head, _ = await read_message(reader)
                 request_id = head.lower().partition("x-request-id: ")[2].partition("\r\n")[0]
                 await self.send_callback(id=request_id, **{"from": "a"}, state="done", result="done")
-                writer.write(OK)
+                writer.write(ACCEPTED)
 
         discovery_restored = asyncio.Event()
 
@@ -250,7 +250,7 @@
 
         await self.begin(backend)
         self.config |= {
-            "discovery": f"127.0.0.1:{await self.stand_in(discovery)}",
+            "discovery": f"127.0.0.1:{await self.start_fake_server(discovery)}",
             "limits": {"sockets": 128},
         }
         self.config["known"]["targets"][0]["uid"] = "gone"
@@ -290,7 +290,7 @@
             await reader.read()
 
         await self.begin(backend)
-        self.config["discovery"] = f"127.0.0.1:{await self.stand_in(discovery)}"
+        self.config["discovery"] = f"127.0.0.1:{await self.start_fake_server(discovery)}"
         # On a busy machine the second call comes late.
         with patch("crankfold.service.application.FIRST_LIST_TIMEOUT", 5.0):
             await self.start_in_process()
