--- a/crankfold/simulation/maintenance/cases.py
+++ b/crankfold/simulation/maintenance/cases.py
@@ -52,7 +52,7 @@
     losses: tuple[MachineLoss, ...] = ()
     unhealthy: frozenset[str] = frozenset()  # machines that answer badly after their next start
     work_duration: int = 6000  # ticks of the work on a machine
-    request_rate: float = 0.6  # mean requests of a dispatcher in each round
+    request_rate: float = 0.6  # probability that a dispatcher sends a request in a round
     faults_end_at: int = 0  # ticks; with 0, the final state is not checked
 
 
--- a/crankfold/simulation/traffic/dispatcher.py
+++ b/crankfold/simulation/traffic/dispatcher.py
@@ -16,7 +16,7 @@
     zone_of,
 )
 
-SEEDS_PER_SCENARIO = 1000  # each dispatcher of a scenario uses its own seed
+SEEDS_PER_SCENARIO = 1000  # distance of the seeds of scenarios, so that each dispatcher has its own
 ONLY_CLASS = 0  # index of the request class of all requests of a scenario
 
 
