--- a/tests/maintenance_faults.py
+++ b/tests/maintenance_faults.py
@@ -178,13 +178,13 @@
         lambda case: MaintenanceFleet(case, OwnSubtreeVoter),
         unchanged_product,
         draw_case,
-        "free while",
+        "drained while",
     ),
     "silent members ignored in reports": (
         lambda case: MaintenanceFleet(case, SilentMemberIgnoringVoter),
         unchanged_product,
         isolated_members,
-        "free while|is free since",
+        "drained while|is drained since",
     ),
     "bounds not checked at commit": (
         lambda case: MaintenanceFleet(case, make_coordinator=ReproposingCoordinator),
@@ -202,6 +202,6 @@
         lambda case: MaintenanceFleet(case, warm_up_ticks=0),
         unchanged_product,
         draw_case,
-        "called well",
+        "reported healthy",
     ),
 }
