--- a/crankfold/fault_injection/backends.py
+++ b/crankfold/fault_injection/backends.py
@@ -8,7 +8,7 @@
 from crankfold.fault_injection.records import Observations, Period
 from crankfold.fault_injection.stand_ins import BackendBehavior, EndpointList, StandInBackend
 
-SUCCESSOR_SUFFIX = "b"  # of the id of a backend that replaces a lost one
+REPLACEMENT_SUFFIX = "b"  # appended to the id of a lost backend for the id of its replacement
 DEFAULT_ZONE = "here"
 MILLISECONDS_PER_SECOND = 1000
 
@@ -26,7 +26,7 @@
         self.endpoint_list = EndpointList()
         self.backends: dict[str, StandInBackend] = {}
         self.losses: dict[str, list[Period]] = {}  # by backend
-        self.down_counts: Counter[str] = Counter()  # faults and jobs that keep a backend down
+        self.down_counts: Counter[str] = Counter()  # by backend: the faults and jobs that keep it down
 
     async def open(self) -> None:
         """Starts the backends of the plan and adds them to the endpoint list."""
@@ -64,7 +64,7 @@
             self.endpoint_list.remove(backend_id)
 
     async def bring_up(self, backend_id: str) -> None:
-        """Starts a backend again when no other fault or job keeps it down."""
+        """Starts a backend again unless another fault or job keeps it down."""
         self.down_counts[backend_id] -= 1
         if self.down_counts[backend_id]:
             return
@@ -84,4 +84,4 @@
                 await self.bring_up(backend_id)
                 self.losses[backend_id][-1].end = boot_time_ns()
             else:
-                await self._add(backend_id + SUCCESSOR_SUFFIX, zones[backend_id])
+                await self._add(backend_id + REPLACEMENT_SUFFIX, zones[backend_id])
--- a/crankfold/fault_injection/configuration.py
+++ b/crankfold/fault_injection/configuration.py
@@ -4,35 +4,35 @@
 from crankfold.fault_injection.plan import TrialPlan
 from crankfold.fault_injection.records import JsonObject
 
-Settings = JsonObject  # in the form of the configuration file
+Settings = JsonObject  # encoded as in the configuration file
 
 DEADLINE_US = 3_000_000
 LATENCY_OBJECTIVE_US = 1_000_000
 DEDUPLICATION_WINDOW_US = 2_000_000
 MICROSECONDS_PER_SECOND = 1_000_000
 REQUEST_CLASSES = ["flips", "once", "free"]
-INITIAL_CAPACITY = 0.5  # of a backend in slow start, share of its full capacity
+INITIAL_CAPACITY = 0.5  # share of its full capacity with which a backend begins slow start
 OVERLOAD_FACTOR = 3.0
 OVERLOAD_PERIOD_US = 1_000_000
 TICK_US = 2000
-# Values of the request class `flips` in published settings; "dropped" removes the class.
+# Idempotency of the request class `flips` in published settings; "dropped" removes the class.
 IDEMPOTENCY_VALUES = ("safe", "keyed", "unsafe", "dropped")
 ALLOWED: Settings = {"most-dispatches": 3, "cancel": True, "second-copies": True}
 
 
 def request_class_settings(idempotency: str) -> list[Settings]:
-    """Returns the request classes, with the given value for `flips`."""
+    """Returns the request classes; `idempotency` is one of `IDEMPOTENCY_VALUES`, for the class `flips`."""
     times = {"cut-off": DEADLINE_US, "expected-time": LATENCY_OBJECTIVE_US}
-    constant = [
+    fixed_classes = [
         {"name": "once", "effect": "unsafe", **times},
         {"name": "free", "effect": "safe", **times},
     ]
     if idempotency == "dropped":
-        return constant
+        return fixed_classes
     flips = {"name": "flips", "effect": idempotency, **times}
     if idempotency == "keyed":
         flips |= {"group": "all", "repeat-window": DEDUPLICATION_WINDOW_US}
-    return [flips, *constant]
+    return [flips, *fixed_classes]
 
 
 def process_configuration(
@@ -47,10 +47,10 @@
     """Returns the contents of the configuration file of one process.
 
     Args:
-        plan: Of the trial.
-        seed: Of the process.
-        name: Of the process.
-        ports: "listen" for clients, "discovery" and "admin".
+        plan: The plan of the trial.
+        seed: The seed of the process.
+        name: The name of the process.
+        ports: The ports "listen" (for clients), "discovery" and "admin".
         voters: The address by which this process reaches each voter.
         storage: The folder for its state.
     """
--- a/crankfold/fault_injection/fault_injector.py
+++ b/crankfold/fault_injection/fault_injector.py
@@ -23,7 +23,7 @@
 
 RESET_INTERVAL = 0.25  # seconds between the resets of a link's connections
 STEP_POLL_INTERVAL = 0.005  # seconds
-MAX_RECENT_RECORDS = 50  # of each process, searched for a step at each poll
+MAX_RECENT_RECORDS = 50  # records of each process that a poll searches for a step
 MILLISECONDS_PER_SECOND = 1000
 
 
@@ -45,7 +45,7 @@
         self.log: list[str] = []  # one line for each injected fault
 
     async def run(self, fault: FaultSpecification) -> None:
-        """Waits for the begin of a fault and injects it until its end.
+        """Waits until a fault begins, then injects it until its end.
 
         Raises:
             PlanError: The maintenance step that starts the fault does not occur during the trial.
@@ -80,7 +80,7 @@
         begin = boot_time_ns()
         while not self._step_recorded(fault.on_step, begin):
             if clock.elapsed() > self.context.plan.seconds:
-                raise PlanError(f"no step {fault.on_step} came after {fault.begin} s")
+                raise PlanError(f"maintenance step {fault.on_step} did not occur after {fault.begin} s")
             await asyncio.sleep(STEP_POLL_INTERVAL)
         now = clock.elapsed()
         return structs.replace(fault, begin=now, end=now + fault.end - fault.begin)
--- a/crankfold/fault_injection/fault_proxy.py
+++ b/crankfold/fault_injection/fault_proxy.py
@@ -1,6 +1,6 @@
 """Proxies between processes: one for each pair of a member and a voter.
 
-A proxy reads only the length of each message, so that it loses, delays, duplicates and reorders
+A proxy reads only the length of each message, so that it drops, delays, duplicates and reorders
 complete messages.
 """
 
@@ -21,7 +21,7 @@
         self.rng = Random(f"{seed} {sender} {receiver}")
         self.loss_share = 0.0
         self.duplicate_share = 0.0
-        self.max_delay = 0.0  # seconds; the delay of each message is uniform below it
+        self.max_delay = 0.0  # seconds; each message is delayed by a random time up to this
         self.bytes_per_second = 0.0  # 0 for no limit
         self.busy_until = 0.0  # seconds on the event loop's clock
         self.messages_passed = 0
@@ -33,7 +33,8 @@
         Args:
             data: The message with its length prefix.
             writer: To the receiver.
-            is_first: Whether it is the first of its connection, which only a full cut loses.
+            is_first: Whether it is the first of its connection. The first message is never duplicated, and
+                dropped only by a link that drops all messages.
         """
         loop = asyncio.get_running_loop()
         if self.loss_share >= 1 or (not is_first and self.rng.random() < self.loss_share):
@@ -70,10 +71,10 @@
 
     async def open(self) -> int:
         """Starts to listen and returns the port."""
-        self.server = await asyncio.start_server(self._accepted, HOST, 0)
+        self.server = await asyncio.start_server(self._handle_connection, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         target_writer = None
         try:
--- a/crankfold/fault_injection/harness.py
+++ b/crankfold/fault_injection/harness.py
@@ -47,7 +47,7 @@
 
     Args:
         plan: The processes, load, faults and guarantees.
-        seed: Of all random choices.
+        seed: The seed of all random choices.
         folder: An empty folder for configurations, logs and records.
         adjust_configuration: May change the configuration of each process before it is written.
     """
@@ -102,7 +102,7 @@
         await self.prepare()
         try:
             await self.start()
-            await self._play()
+            await self._run_plan()
             unfinished = {}
             if self.plan.jobs:
                 unfinished = await self.maintenance.wait_until_finished(self.plan.settle_seconds)
@@ -151,18 +151,18 @@
         return await proxy.open()
 
     async def start(self) -> None:
-        """Starts the processes, and the clock when all processes act on the same documents.
+        """Starts the processes; starts the clock when all of them act on the same documents.
 
         Raises:
-            PlanError: They do not within `READY_TIMEOUT`.
+            PlanError: The processes do not act on the same documents within `READY_TIMEOUT`.
         """
         await asyncio.gather(*(process.start() for process in self.processes.values()))
         faults = await self.wait_until_consistent(READY_TIMEOUT)
         if faults:
-            raise PlanError(f"no start: {faults}")
+            raise PlanError(f"the processes do not act on the same documents after their start: {faults}")
         self.context.clock.start()
 
-    async def _play(self) -> None:
+    async def _run_plan(self) -> None:
         clients = LoadGenerator(
             self.client_ports,
             REQUEST_CLASSES,
@@ -184,7 +184,7 @@
             seconds: The timeout.
 
         Returns:
-            The reason by process, for processes that do not; empty on success.
+            The reason by process, for processes that do not act on these versions; empty on success.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -199,9 +199,9 @@
         histories: Histories = {}
         for name in self.process_names:
             for document in DOCUMENTS:
-                answer = await self.admin.call(name, f"agreed/{document}")
-                if answer.ok:
-                    versions = [DocumentVersion.from_raw(raw) for raw in answer.content["versions"]]
+                response = await self.admin.call(name, f"agreed/{document}")
+                if response.ok:
+                    versions = [DocumentVersion.from_raw(raw) for raw in response.content["versions"]]
                     histories.setdefault(name, {})[document] = {
                         version.number: version for version in versions
                     }
@@ -300,9 +300,9 @@
     """Runs the plan of a file and prints the verdicts.
 
     Args:
-        path: The plan.
-        seed: Of all random choices; 0 for the seed of the plan.
-        keep: An empty folder in which records and logs stay; None to delete them.
+        path: The file of the plan.
+        seed: The seed of all random choices; 0 for the seed of the plan.
+        keep: An empty folder in which records and logs are kept; None to delete them.
 
     Returns:
         The exit code of `crankfold trial`.
@@ -329,7 +329,7 @@
     """Creates the folder if it is missing.
 
     Raises:
-        PlanError: The folder has entries.
+        PlanError: The folder is not empty.
     """
     folder.mkdir(parents=True, exist_ok=True)
     if os.listdir(folder):
--- a/crankfold/fault_injection/http_client.py
+++ b/crankfold/fault_injection/http_client.py
@@ -57,8 +57,8 @@
         asyncio.IncompleteReadError: The connection was closed before the end of the message.
     """
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    split = (line.partition(":") for line in lines[1:])
-    headers = {name.strip().lower(): value.strip() for name, _, value in split}
+    fields = (line.partition(":") for line in lines[1:])
+    headers = {name.strip().lower(): value.strip() for name, _, value in fields}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     return HttpMessage(lines[0], headers, body)
 
@@ -67,10 +67,10 @@
     """Sends one request on a new connection and returns the response.
 
     Args:
-        port: Of `HOST`.
+        port: The port at `HOST`.
         target: The path.
         body: None for a GET, else the body of a POST.
-        headers: Further header lines, each with its line end.
+        headers: Additional header lines, each terminated by CRLF.
 
     Raises:
         OSError: The connection was refused or reset.
--- a/crankfold/fault_injection/invariants.py
+++ b/crankfold/fault_injection/invariants.py
@@ -1,7 +1,7 @@
 """Checks the guarantees of a plan against the records of the processes and of the stand-ins.
 
-Shares no code with the program: the relations between documents are derived here again from their content.
-A check returns a description of the first violation, or an empty text.
+Shares no code with the program under test: the relations between documents are derived independently, from
+their content. A check returns a description of the first violation, or an empty string.
 """
 
 import json
@@ -31,7 +31,7 @@
     VersionState,
 )
 
-# Nanoseconds in which a request sent before its backend was drained may still arrive.
+# Nanoseconds after the drain of a backend in which requests that were sent before may still arrive.
 PROPAGATION_GRACE = 300 * MILLISECOND
 ANSWERED_STATUSES = ("200", "503", "504")  # completed, shed, failed
 BAD_REQUEST = "400"
@@ -88,8 +88,8 @@
             content = json.dumps(record.configuration.get(document), sort_keys=True)
             if self.contents.setdefault((document, state), content) != content:
                 self.inconsistencies.append(f"{process} makes something else of {document} {state}")
-            before = self.first_used[document].get(state)
-            if before is None or record.at < before.at:
+            earliest = self.first_used[document].get(state)
+            if earliest is None or record.at < earliest.at:
                 self.first_used[document][state] = FirstUse(record.at, process)
 
     def judge(self, promise: str) -> Verdict:
@@ -164,8 +164,8 @@
         for document in DOCUMENTS:
             activations: dict[int, FirstUse] = {}  # by version
             for state, first_use in self.first_used[document].items():
-                before = activations.get(state.active)
-                if state.active and (before is None or first_use.at < before.at):
+                earliest = activations.get(state.active)
+                if state.active and (earliest is None or first_use.at < earliest.at):
                     activations[state.active] = first_use
             for process, record in self.actions:
                 newest = record.versions.get(document, NO_STATE).newest
@@ -188,8 +188,8 @@
             for document, versions in documents.items():
                 for number, version in versions.items():
                     canonical = version.canonical()
-                    other, before = known.setdefault((document, number), (process, canonical))
-                    if before != canonical:
+                    other, other_canonical = known.setdefault((document, number), (process, canonical))
+                    if other_canonical != canonical:
                         return f"{process} and {other} have different versions {number} of {document}"
         return ""
 
@@ -211,7 +211,7 @@
         return ""
 
     def check_publishes(self) -> str:
-        """A confirmed publish is in every history, a refused one in none, and none is there twice."""
+        """A confirmed publish is in every history, a refused one in none, and no publish is in one twice."""
         for publish in self.trial.publishes:
             for process, documents in self.trial.histories.items():
                 violation = self._publish_violation(publish, process, documents.get(publish.document, {}))
@@ -278,13 +278,13 @@
     def _class_was_removed(self, request_class: str) -> bool:
         """Whether any version of the settings lacks the request class."""
         return any(
-            request_class not in [one["name"] for one in version.content.get("service-grades", ())]
+            request_class not in [settings["name"] for settings in version.content.get("service-grades", ())]
             for documents in self.trial.histories.values()
             for version in documents.get(SETTINGS, {}).values()
         )
 
     def check_no_duplicate_effect(self) -> str:
-        """A request accepted as non-idempotent is executed at most once, also if its class changes later."""
+        """A request accepted as non-idempotent is executed at most once, even if its class changes later."""
         executions = Counter(received.request_id for received in self.trial.observations.received_requests)
         for process, record in self.actions:
             if record.kind != "take" or executions[record.request_id] <= MAX_EXECUTIONS:
@@ -299,12 +299,12 @@
         state = record.versions.get(SETTINGS, NO_STATE)
         settings: JsonObject = json.loads(self.contents.get((SETTINGS, state), "null")) or {}
         return any(
-            one["name"] == record.request_class and one["effect"] == "unsafe"
-            for one in settings.get("service-grades", ())
+            class_settings["name"] == record.request_class and class_settings["effect"] == "unsafe"
+            for class_settings in settings.get("service-grades", ())
         )
 
     def check_drained_backends(self) -> str:
-        """No request reaches a backend from the activation of its drain until its return is known."""
+        """No request reaches a backend from the activation of its drain until a process knows its return."""
         periods = list(self._drained_periods())
         for received in self.trial.observations.received_requests:
             for period in periods:
--- a/crankfold/fault_injection/maintenance_driver.py
+++ b/crankfold/fault_injection/maintenance_driver.py
@@ -61,7 +61,7 @@
 class JobsHistory(Struct):
     """The jobs document at a process."""
 
-    newest: int  # 0 without any version
+    newest: int  # the number of the newest version; 0 if there is none
     versions: list[JobsVersion]
 
     def newest_jobs(self) -> Jobs:
@@ -113,8 +113,8 @@
         )
 
 
-class CommandLine(Struct):
-    """A line that a command wrote to the command log."""
+class CommandLogEntry(Struct):
+    """A line that a command of a job wrote to the command log."""
 
     event: str = field(name="what")
     at: int
@@ -144,10 +144,10 @@
             return []
         self.script.write_text(COMMAND_SCRIPT)
         self.command_log.touch()
-        for background in (self._follow_commands(), self._play_operators()):
+        for background in (self._follow_commands(), self._run_operators()):
             self._spawn(background)
         submissions = [asyncio.ensure_future(self._submit_job(job)) for job in self.plan.jobs]
-        commands = [asyncio.ensure_future(self._command_job(each)) for each in self.plan.job_commands]
+        commands = [asyncio.ensure_future(self._command_job(command)) for command in self.plan.job_commands]
         return submissions + commands
 
     def _spawn(self, work: Coroutine[object, object, None]) -> None:
@@ -199,7 +199,7 @@
         Args:
             change: Makes the new jobs from the newest ones that a process knows.
             reason: Identifies the change in the history.
-            changed_job: Must be known already; a process that lags behind may not know it yet.
+            changed_job: A job that the process must already know; one that lags behind may not know it yet.
 
         Raises:
             PlanError: The content was rejected.
@@ -223,10 +223,10 @@
             "text": {"works": jobs},
             "reason": reason,
         }
-        answer = await self._call_any(JOBS_PATH, request)
-        is_conflict = answer.status == STATUS_CONFLICT
-        if answer.status == STATUS_BAD_REQUEST or (is_conflict and not answer.content.get("number")):
-            raise PlanError(f"{reason}: {answer.content['text']}")
+        response = await self._call_any(JOBS_PATH, request)
+        is_conflict = response.status == STATUS_CONFLICT
+        if response.status == STATUS_BAD_REQUEST or (is_conflict and not response.content.get("number")):
+            raise PlanError(f"{reason}: {response.content['text']}")
 
     async def _report_step(self, machine_id: str, step: str, number: int) -> bool:
         """Reports a maintenance step until a process accepts or rejects it; returns whether accepted."""
@@ -238,23 +238,25 @@
             "author": "o",
         }
         while not self.finished:
-            answer = await self._call_any(MACHINES_PATH, request)
-            if answer.ok:
+            response = await self._call_any(MACHINES_PATH, request)
+            if response.ok:
                 return True
-            if answer.status == STATUS_CONFLICT and "out for any work" not in answer.content.get("text", ""):
+            if response.status == STATUS_CONFLICT and "out for any work" not in response.content.get(
+                "text", ""
+            ):
                 return False
             await asyncio.sleep(RETRY_INTERVAL)
         return False
 
-    async def _play_operators(self) -> None:
+    async def _run_operators(self) -> None:
         """Polls random processes for free machines and starts the work on them."""
         modes = {job.name: job.specification.get("way", "hand") for job in self.plan.jobs}
         while not self.finished:
             await asyncio.sleep(OPERATOR_INTERVAL)
-            answer = await self._call_any(MACHINES_PATH)
-            if not answer.ok:
+            response = await self._call_any(MACHINES_PATH)
+            if not response.ok:
                 continue
-            for machine_id, machine in msgspec.convert(answer.content, MaintenanceView).machines.items():
+            for machine_id, machine in msgspec.convert(response.content, MaintenanceView).machines.items():
                 if machine.state == "free" and (machine_id, machine.number) not in self.started_work:
                     self._start_work(machine_id, machine, modes[machine.job])
 
@@ -280,7 +282,7 @@
     # --- machines ---
 
     async def _restart_machine(self, machine_id: str, job: str) -> None:
-        seconds = next(one.down_seconds for one in self.plan.jobs if one.name == job)
+        seconds = next(submitted.down_seconds for submitted in self.plan.jobs if submitted.name == job)
         backends = self.context.backends
         process = self.context.processes.get(machine_id.removeprefix(DISPATCHER_PREFIX))
         if process and machine_id not in backends.backends:
@@ -300,19 +302,19 @@
                 text = log.read()
             self.command_log_offset += len(text)
             for line in text.splitlines():
-                self._handle_command_line(msgspec.json.decode(line, type=CommandLine))
+                self._handle_log_entry(msgspec.json.decode(line, type=CommandLogEntry))
 
-    def _handle_command_line(self, line: CommandLine) -> None:
-        machine_id = line.machine_id
+    def _handle_log_entry(self, entry: CommandLogEntry) -> None:
+        machine_id = entry.machine_id
         if machine_id not in self.context.backends.backends:
             machine_id = DISPATCHER_PREFIX + machine_id
-        if line.event == "begin":
-            self.runs.append(MaintenanceRun(machine_id, line.job, line.number, line.at))
-            self._spawn(self._restart_machine(machine_id, line.job))
+        if entry.event == "begin":
+            self.runs.append(MaintenanceRun(machine_id, entry.job, entry.number, entry.at))
+            self._spawn(self._restart_machine(machine_id, entry.job))
             return
         for run in self.runs:
-            if (run.machine_id, run.job, run.number) == (machine_id, line.job, line.number):
-                run.ended_at = line.at
+            if (run.machine_id, run.job, run.number) == (machine_id, entry.job, entry.number):
+                run.ended_at = entry.at
 
     # --- end of the trial ---
 
@@ -342,11 +344,13 @@
     async def _query_leader(self) -> JsonObject | None:
         """Returns the maintenance state of the leader, or None without one."""
         names = self.plan.process_names()
-        answers = [await self.context.admin.call(name, MACHINES_PATH) for name in names]
-        return next((answer.content for answer in answers if answer.ok and answer.content["leads"]), None)
+        responses = [await self.context.admin.call(name, MACHINES_PATH) for name in names]
+        return next(
+            (response.content for response in responses if response.ok and response.content["leads"]), None
+        )
 
     def _unfinished_jobs(self, view: MaintenanceView) -> dict[str, str]:
-        """Returns the reason by job, for jobs with machines left for which no reason is reported."""
+        """Returns the reason by job, for jobs with machines that are left without a reported reason."""
         waiting_machines = {wait.machine for wait in view.waits}
         waiting_jobs = {wait.job for wait in view.waits}
         faults = {}
--- a/crankfold/fault_injection/maintenance_invariants.py
+++ b/crankfold/fault_injection/maintenance_invariants.py
@@ -1,7 +1,7 @@
 """Checks the guarantees of maintenance against the records of a trial.
 
-Shares no code with the program: the meaning of each step is defined here again. A check returns a
-description of the first violation, or an empty text.
+Shares no code with the program under test: the meaning of each step is defined independently. A check returns
+a description of the first violation, or an empty string.
 """
 
 from collections import Counter, defaultdict
@@ -17,7 +17,7 @@
     TrialRecord,
 )
 
-DISCOVERY_DELAY = 1500 * MILLISECOND  # nanoseconds until a loss is known to a dispatcher without faults
+DISCOVERY_DELAY = 1500 * MILLISECOND  # nanoseconds until a dispatcher without faults knows of a lost machine
 OUT = "out"
 FREE = "free"
 RETURNING_STEPS = ("back", "gone", "out", "unwell")  # end the period in which a machine is free
@@ -116,11 +116,13 @@
     def _limit_violation(self, transition: TransitionRecord, absent: dict[str, str]) -> str:
         machine_id = transition.machine_id
         lost = self._lost_machines(transition.at)
-        out = {one for one in absent if not one.startswith(DISPATCHER_PREFIX)} | lost
+        out = {absent_id for absent_id in absent if not absent_id.startswith(DISPATCHER_PREFIX)} | lost
         out.discard(machine_id)
         for name, job in self.trial.jobs.items():
-            concerned = name == transition.job or (name in absent.values() and self._selects(job, machine_id))
-            if job.on_dispatchers or not concerned:
+            is_concerned = name == transition.job or (
+                name in absent.values() and self._selects(job, machine_id)
+            )
+            if job.on_dispatchers or not is_concerned:
                 continue
             violation = self._job_violation(name, machine_id, out)
             if violation:
@@ -130,20 +132,20 @@
     def _job_violation(self, name: str, machine_id: str, out: set[str]) -> str:
         job = self.trial.jobs[name]
         zones = self.trial.zones
-        own = {one for one in out if self._selects(job, one)}
-        if len(own) >= job.at_once:
-            return f"{sorted(own)} are out, {name} allows {job.at_once} at once"
-        zoned = {one for one in own if zones.get(one) == zones.get(machine_id)}
-        if job.per_zone and len(zoned) >= job.per_zone:
-            return f"{sorted(zoned)} are out, {name} allows {job.per_zone} in a zone"
-        remaining = sum(one not in out and one != machine_id for one in zones) / max(len(zones), 1)
+        selected = {other for other in out if self._selects(job, other)}
+        if len(selected) >= job.at_once:
+            return f"{sorted(selected)} are out, {name} allows {job.at_once} at once"
+        same_zone = {other for other in selected if zones.get(other) == zones.get(machine_id)}
+        if job.per_zone and len(same_zone) >= job.per_zone:
+            return f"{sorted(same_zone)} are out, {name} allows {job.per_zone} in a zone"
+        remaining = sum(other not in out and other != machine_id for other in zones) / max(len(zones), 1)
         if remaining < job.remaining_share - SHARE_TOLERANCE:
             return f"{remaining:.2f} stay, {name} wants {job.remaining_share}"
         return ""
 
     def _selects(self, job: JobLimits, machine_id: str) -> bool:
-        zone_fits = not job.zones or self.trial.zones.get(machine_id) in job.zones
-        return zone_fits and (not job.machines or machine_id in job.machines)
+        zone_matches = not job.zones or self.trial.zones.get(machine_id) in job.zones
+        return zone_matches and (not job.machines or machine_id in job.machines)
 
     def _lost_machines(self, at: int) -> set[str]:
         return {
@@ -189,8 +191,8 @@
         return bool(freed) and freed[0] <= run.began_at
 
     def check_job_ends(self) -> str:
-        """Every job is done, or the leader states a reason for each machine that is left."""
-        return "; ".join(f"{job}: {fault}" for job, fault in self.trial.unfinished_jobs.items() if fault)
+        """Every job is done, or the leader reports a reason for each machine that is left."""
+        return "; ".join(f"{job}: {reason}" for job, reason in self.trial.unfinished_jobs.items() if reason)
 
     def summary(self, promise: Promise) -> str:
         """Returns the detail of a verdict without violation."""
--- a/crankfold/fault_injection/operators.py
+++ b/crankfold/fault_injection/operators.py
@@ -46,25 +46,25 @@
         is_repeated = self.rng.random() < self.context.plan.publish.repeat_share
         admin = self.context.admin
         path = f"agreed/{document}"
-        known = await admin.call(process, path)
-        if not known.ok:
+        history = await admin.call(process, path)
+        if not history.ok:
             return
         publish = PublishRecord(call_id, boot_time_ns(), process, document, content)
         self.publishes.append(publish)
         request = {
             "call": call_id,
-            "made-from": known.content["newest"],
+            "made-from": history.content["newest"],
             "text": content,
             "author": process,
             "reason": call_id,
         }
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(admin.call(process, path, request) for _ in range(2 if is_repeated else 1))
         )
         publish.ended_at = boot_time_ns()
-        for answer in answers:
-            if answer.ok and answer.content.get("well"):
+        for response in responses:
+            if response.ok and response.content.get("well"):
                 publish.outcome = PublishOutcome.CONFIRMED
-                publish.version = answer.content["number"]
-            elif answer.status == STATUS_CONFLICT and publish.outcome is PublishOutcome.UNKNOWN:
+                publish.version = response.content["number"]
+            elif response.status == STATUS_CONFLICT and publish.outcome is PublishOutcome.UNKNOWN:
                 publish.outcome = PublishOutcome.REFUSED
--- a/crankfold/fault_injection/plan.py
+++ b/crankfold/fault_injection/plan.py
@@ -22,7 +22,7 @@
 
 
 class PlanError(CrankfoldError):
-    """A plan is not valid or cannot be carried out; the text is one line with the place and the reason."""
+    """A plan is not valid or cannot be carried out; the message is one line with the place and the reason."""
 
 
 class FaultKind(StrEnum):
@@ -61,7 +61,8 @@
         default_factory=lambda: ["settings", "runners-out"]
     )
     at_once: Annotated[int, Meta(ge=1, le=8)] = 1  # operators that publish at the same moment
-    repeat_share: Share = field(name="repeat", default=0.0)  # of the publishes, sent twice with one call id
+    # Share of the publishes that are sent twice, with the same call id.
+    repeat_share: Share = field(name="repeat", default=0.0)
 
 
 class FaultSpecification(Struct, rename="kebab", forbid_unknown_fields=True):
@@ -70,7 +71,8 @@
     kind: FaultKind
     begin: NonNegativeNumber
     end: NonNegativeNumber
-    target: str = field(name="at", default=ANY)  # a process, LEADER or ANY; the sender for faults of links
+    # A backend or zone for faults of backends; else a process (the sender for faults of links), LEADER or ANY.
+    target: str = field(name="at", default=ANY)
     receiver: str = field(name="to", default=ANY)  # of a link
     both_ways: bool = field(name="both", default=False)  # of a link: also from the receiver to the sender
     share: Share = 1.0  # of the messages
@@ -117,9 +119,7 @@
     long_ms: PositiveNumber = 8000.0
     zones: Annotated[int, Meta(ge=1, le=10)] = 1
     slow_start_seconds: NonNegativeNumber = field(name="warm-after", default=0.0)
-    settle_seconds: NonNegativeNumber = field(
-        name="settle", default=15.0
-    )  # for jobs, after the end of the load
+    settle_seconds: NonNegativeNumber = field(name="settle", default=15.0)  # for jobs, after the load
     publish: PublishSpecification = field(default_factory=PublishSpecification)
     faults: list[FaultSpecification] = field(name="fault", default_factory=list)
     jobs: list[JobSpecification] = field(name="work", default_factory=list)
--- a/crankfold/fault_injection/processes.py
+++ b/crankfold/fault_injection/processes.py
@@ -57,7 +57,7 @@
         self.files = files
         self.port = port  # for clients
         self.running: asyncio.subprocess.Process | None = None
-        self.admin_options: tuple[str, ...] = ()  # of the latest replacement, also for its restarts
+        self.admin_options: tuple[str, ...] = ()  # set by the latest replacement; its restarts use them too
         self.restart_lock = asyncio.Lock()  # serializes restarts by faults and jobs
         self.record_key = name
         # By record key; a replacement writes under a key of its own, as it runs beside its predecessor.
@@ -100,10 +100,10 @@
         """Whether the process has started and not ended."""
         return self.running is not None and self.running.returncode is None
 
-    def send_signal(self, number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         """Sends a signal to the process if it is alive."""
         if self.running and self.is_alive():
-            self.running.send_signal(number)
+            self.running.send_signal(signal_number)
 
     async def kill(self) -> None:
         """Kills the process; its downtime lasts until the next start."""
--- a/crankfold/fault_injection/records.py
+++ b/crankfold/fault_injection/records.py
@@ -15,7 +15,7 @@
 DRAINED_BACKENDS = "runners-out"
 DOCUMENTS = (SETTINGS, DRAINED_BACKENDS)  # published by the operators of a trial
 STATUS_DIGITS = 3  # of an HTTP response
-DEFAULT_REMAINING_SHARE = 0.5  # of the machines, if a job does not state it
+DEFAULT_REMAINING_SHARE = 0.5  # of all machines, for a job that does not state its share
 
 JsonObject = dict[str, Any]  # in the form of the program's files and messages
 
@@ -232,10 +232,10 @@
     on_dispatchers: bool
     at_once: int  # machines
     per_zone: int  # machines; 0 for no limit
-    remaining_share: float  # of all machines, must stay in service
+    remaining_share: float  # share of all machines that must stay in service
     repeatable: bool  # the command may run again on a machine
-    zones: frozenset[str]  # empty for all
-    machines: frozenset[str]  # empty for all
+    zones: frozenset[str]  # empty for all zones
+    machines: frozenset[str]  # empty for all machines
 
     @classmethod
     def from_specification(cls, specification: JsonObject) -> "JobLimits":
--- a/crankfold/fault_injection/stand_ins.py
+++ b/crankfold/fault_injection/stand_ins.py
@@ -28,7 +28,7 @@
 SLOTS = 4  # requests that a stand-in backend runs at the same time
 CALLBACK_ATTEMPTS = 5
 CALLBACK_TIMEOUT = 1.0  # seconds
-CALLBACK_PAUSE = 0.1  # seconds between attempts
+CALLBACK_PAUSE = 0.1  # seconds between the attempts of a callback
 MIN_RUN_FACTOR = 0.5  # of the mean duration of a request
 MAX_RUN_FACTOR = 1.5
 POLL_DURATION = 3.0  # seconds until discovery answers a long poll without a change
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
-        self.port = 0  # 0 before it is opened first
+        self.port = 0  # 0 until the server is opened for the first time
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> int:
@@ -227,7 +227,7 @@
         super().__init__()
         self.endpoint_list = endpoint_list
         self.delay = 0.0  # seconds until a change is visible
-        self.silent = False  # reads requests and answers none
+        self.silent = False  # whether requests get no response
 
     def _visible_revision(self) -> int:
         latest = time.monotonic() - self.delay
@@ -237,10 +237,12 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             message = await read_http_message(reader)
-            known = re.search(r"after=(\d+)", message.start_line)
+            known_revision = re.search(r"after=(\d+)", message.start_line)
             end = time.monotonic() + POLL_DURATION
             while (  # noqa: ASYNC110 - the visible revision depends on the clock, which sets no event
-                known and int(known[1]) == self._visible_revision() and time.monotonic() < end
+                known_revision
+                and int(known_revision[1]) == self._visible_revision()
+                and time.monotonic() < end
             ):
                 await asyncio.sleep(POLL_STEP)
             if self.silent:
