--- a/tests/terms/__init__.py
+++ b/tests/terms/__init__.py
@@ -1,1 +1,1 @@
-"""Clauses of the users' pages, each played at its extreme; docs/terms-audit.md names the test of each row."""
+"""Tests of the specification's clauses at their limits; docs/terms-audit.md names the test of each clause."""
--- a/tests/terms/test_accept.py
+++ b/tests/terms/test_accept.py
@@ -1,4 +1,4 @@
-"""The clause on system calls that fail: accepting goes on within milliseconds after accept failed."""
+"""Failing accept and connect calls: the dispatcher retries them within milliseconds."""
 
 import asyncio
 import errno
@@ -11,9 +11,9 @@
 from tests.loopback import HEALTH_CHECK, DispatcherTestCase
 from tests.terms.test_stalled_clients import failing_backend
 
-FAILED_ACCEPTS = 20  # in a row
+CONSECUTIVE_FAILURES = 20
 LOCAL_CONNECT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-# What accept(2) may fail with for a moment: the process, the system, or the connection itself.
+# Transient errors of accept(2): a limit of the process or the system, or a failure of the connection itself.
 ACCEPT_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -29,41 +29,42 @@
 
 
 class FailingAcceptTest(DispatcherTestCase):
-    """Accepting goes on within milliseconds after accept failed, and does not spin while it fails."""
+    """Accepting resumes within milliseconds after accept fails; the dispatcher does not spin meanwhile."""
 
-    async def health(self) -> float:
-        begin = asyncio.get_running_loop().time()
+    async def measure_health_check_seconds(self) -> float:
+        """Sends a health check on a new connection and returns its duration."""
+        started_at = asyncio.get_running_loop().time()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(HEALTH_CHECK)
         async with asyncio.timeout(3):
             head, _ = await read_message(reader)
         self.assertEqual(head.split()[1], "200")
         writer.close()
-        return asyncio.get_running_loop().time() - begin
+        return asyncio.get_running_loop().time() - started_at
 
-    async def test_accepting_goes_on_after_each_error_of_accept(self) -> None:
+    async def test_listener_resumes_after_each_accept_error(self) -> None:
         await self.begin(failing_backend)
         await self.start_in_process()
-        accept = socket.socket.accept
-        for number in ACCEPT_ERRORS:
+        real_accept = socket.socket.accept
+        for error_number in ACCEPT_ERRORS:
             failures = 0
 
-            def failing_accept(sock: socket.socket, number: int = number) -> Any:
+            def failing_accept(sock: socket.socket, error_number: int = error_number) -> Any:
                 nonlocal failures
-                if sock.getsockname()[1] == self.port and failures < FAILED_ACCEPTS:
+                if sock.getsockname()[1] == self.port and failures < CONSECUTIVE_FAILURES:
                     failures += 1
-                    raise OSError(number, os.strerror(number))
-                return accept(sock)
+                    raise OSError(error_number, os.strerror(error_number))
+                return real_accept(sock)
 
-            with self.subTest(errno.errorcode[number]):
+            with self.subTest(errno.errorcode[error_number]):
                 with patch.object(socket.socket, "accept", failing_accept):
-                    self.assertLess(await self.health(), 0.3)
-                self.assertEqual(failures, FAILED_ACCEPTS)
+                    self.assertLess(await self.measure_health_check_seconds(), 0.3)
+                self.assertEqual(failures, CONSECUTIVE_FAILURES)
 
-    async def test_a_lasting_failure_of_accept_is_asked_again_without_spinning(self) -> None:
+    async def test_lasting_accept_failure_is_retried_without_spinning(self) -> None:
         await self.begin(failing_backend)
         await self.start_in_process()
-        accept = socket.socket.accept
+        real_accept = socket.socket.accept
         loop = asyncio.get_running_loop()
         healthy_from = loop.time() + 0.5
         calls = 0
@@ -73,54 +74,54 @@
             if sock.getsockname()[1] == self.port and loop.time() < healthy_from:
                 calls += 1
                 raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
-            return accept(sock)
+            return real_accept(sock)
 
         with patch.object(socket.socket, "accept", failing_accept):
-            self.assertLess(await self.health(), 0.6)
+            self.assertLess(await self.measure_health_check_seconds(), 0.6)
         self.assertLess(calls, 300)
 
-    async def test_a_request_that_waits_to_be_accepted_at_the_end_is_answered(self) -> None:
-        """Accept fails from the signal on, up to after the drain: the queue is not closed unread."""
+    async def test_request_waiting_to_be_accepted_at_shutdown_is_answered(self) -> None:
+        """Accept fails from the shutdown signal until after the drain: queued connections are answered."""
         await self.begin(failing_backend)
         self.config["settings"]["service-grades"][0]["cut-off"] = 300_000
         await self.start_in_process()
-        accept = socket.socket.accept
+        real_accept = socket.socket.accept
         loop = asyncio.get_running_loop()
         end = loop.time() + 0.81  # the drain lasts for the longest deadline and half a second
 
         def failing_accept(sock: socket.socket) -> Any:
             if sock.getsockname()[1] == self.port and loop.time() < end:
                 raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
-            return accept(sock)
+            return real_accept(sock)
 
         with patch.object(socket.socket, "accept", failing_accept):
             self.application.shutdown_requested.set()
-            await asyncio.sleep(0.35)  # new connections go on coming for 0.2 to 0.4 s
-            answers = await asyncio.gather(*(self.send_request(f"u{number}") for number in range(5)))
+            await asyncio.sleep(0.35)  # new connections keep arriving for 0.2 to 0.4 s
+            answers = await asyncio.gather(*(self.send_request(f"u{index}") for index in range(5)))
         self.assertEqual({status.split()[1] for status, _ in answers}, {"503"})
 
 
 class FailingConnectTest(DispatcherTestCase):
-    async def test_local_failures_of_connect_are_asked_again_and_rest_no_backend(self) -> None:
+    async def test_local_connect_errors_are_retried_and_mark_no_backend_unreachable(self) -> None:
         await self.begin(failing_backend)
         await self.start_in_process()
-        connect = socket.socket.connect
-        for number in LOCAL_CONNECT_ERRORS:
+        real_connect = socket.socket.connect
+        for error_number in LOCAL_CONNECT_ERRORS:
             failures = 0
 
-            def failing_connect(sock: socket.socket, address: Any, number: int = number) -> None:
+            def failing_connect(sock: socket.socket, address: Any, error_number: int = error_number) -> None:
                 nonlocal failures
-                if address[1] == self.backend_port and failures < FAILED_ACCEPTS:
+                if address[1] == self.backend_port and failures < CONSECUTIVE_FAILURES:
                     failures += 1
-                    raise OSError(number, os.strerror(number))
-                connect(sock, address)
+                    raise OSError(error_number, os.strerror(error_number))
+                real_connect(sock, address)
 
-            with self.subTest(errno.errorcode[number]):
+            with self.subTest(errno.errorcode[error_number]):
                 self.application.backend_registry.records[0].pool.close()
                 self.application.backend_registry.records[0].pool.closed = False
                 with patch.object(socket.socket, "connect", failing_connect):
-                    await self.send_request(errno.errorcode[number])
-                self.assertEqual(failures, FAILED_ACCEPTS)
+                    await self.send_request(errno.errorcode[error_number])
+                self.assertEqual(failures, CONSECUTIVE_FAILURES)
         counters = self.application.metrics.counters
         self.assertEqual(counters["attempts-ended-unreachable"], 0)
         self.assertGreaterEqual(counters["attempts-ended-error"], len(LOCAL_CONNECT_ERRORS))
--- a/tests/terms/test_discovery.py
+++ b/tests/terms/test_discovery.py
@@ -1,4 +1,4 @@
-"""The clause on silence: what a silent agent gets at its return counts at once."""
+"""Silent discovery agents: a change at the end of an agent's silence takes effect at once."""
 
 import asyncio
 import random
@@ -11,12 +11,12 @@
 from tests.loopback import LoopbackTestCase
 from tests.soak.backends import Discovery
 
-DRAIN_GRACE = 0.3  # seconds
+DRAIN_GRACE_SECONDS = 0.3
 
 
-class ShortSilenceTest(LoopbackTestCase):
-    async def test_a_drain_at_the_end_of_a_short_silence_is_heard_within_the_grace(self) -> None:
-        """The wait of the watch ends while the agent is silent: the answer to it never comes."""
+class DiscoverySilenceTest(LoopbackTestCase):
+    async def test_drain_at_end_of_short_silence_is_seen_within_grace(self) -> None:
+        """The long poll times out while the agent is silent, so that its response never arrives."""
         entries: list[dict[str, Any]] = [{"uid": "a", "endpoint": f"{HOST}:9", "state": "in_service"}]
         agent = Discovery(lambda: entries, random.Random(1))
         await agent.open()
@@ -42,4 +42,4 @@
         agent.change()
         drained_at = loop.time()
         await self.until(lambda: len(changed_at) == 2)
-        self.assertLess(changed_at[1] - drained_at, DRAIN_GRACE)
+        self.assertLess(changed_at[1] - drained_at, DRAIN_GRACE_SECONDS)
--- a/tests/terms/test_requests.py
+++ b/tests/terms/test_requests.py
@@ -1,4 +1,4 @@
-"""Clauses on clients that have gone, and on signals that come too early."""
+"""Clients that disconnect, signals during startup and shutdown, and delayed writes of retries."""
 
 import asyncio
 import contextlib
@@ -12,66 +12,71 @@
 from tests.loopback import NOT_PROCESSED, REQUEST, DispatcherTestCase, accept_requests
 
 
-class ClientGoneTest(DispatcherTestCase):
-    async def test_nothing_is_sent_for_a_client_whose_end_stands_behind_what_it_floods(self) -> None:
+class ClientDisconnectTest(DispatcherTestCase):
+    async def test_no_retry_is_sent_after_flooding_client_disconnects(self) -> None:
+        """The end of the connection is only visible after the data with which the client floods it."""
         sent: list[str] = []
-        client_gone = asyncio.Event()
+        client_disconnected = asyncio.Event()
 
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 sent.append((await read_message(reader))[0])
-                await client_gone.wait()
+                await client_disconnected.wait()
                 await asyncio.sleep(0.15)
                 writer.write(NOT_PROCESSED)
 
         await self.begin(backend)
         await self.start_in_process()
-        with patch("crankfold.network.accepted_connection.THROTTLE_DELAY", 2.0):  # as hundreds that flood
+        # The delay that hundreds of flooding connections cause.
+        with patch("crankfold.network.accepted_connection.THROTTLE_DELAY", 2.0):
             _, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(REQUEST + b"x" * (4 * MAX_UNREAD_BYTES))
             await self.until(lambda: len(sent) == 1 and bool(self.application.listener.flooding_connections))
             writer.close()
-            client_gone.set()
+            client_disconnected.set()
             await asyncio.sleep(0.6)
-        self.assertEqual(len(sent), 1, "sent again 0.15 s after the client had gone")
+        self.assertEqual(len(sent), 1, "a retry was sent 0.15 s after the client had disconnected")
 
 
-class EarlySignalTest(DispatcherTestCase):
-    async def test_a_signal_for_counters_before_the_program_is_imported_does_not_end_it(self) -> None:
+class SignalHandlingTest(DispatcherTestCase):
+    async def test_counter_signal_before_import_does_not_end_process(self) -> None:
         await self.begin(accept_requests)
         program = (
             "import os, runpy, signal, sys\n"
-            "class Early:\n"
+            "class SignalSender:\n"
             "    def find_spec(self, name, path=None, target=None):\n"
             "        if name == 'crankfold.cli.main': os.kill(os.getpid(), signal.SIGUSR1)\n"
-            "sys.meta_path.insert(0, Early())\n"
+            "sys.meta_path.insert(0, SignalSender())\n"
             "sys.argv = ['crankfold', 'serve']\n"
             "runpy.run_module('crankfold', run_name='__main__')"
         )
-        lines = await self.start_process(["-O", "-c", program])
+        output_task = await self.start_process(["-O", "-c", program])
         self.process.send_signal(signal.SIGTERM)
-        await lines
+        await output_task
         self.assertEqual(self.process.returncode, 0)
 
-    async def test_signals_in_series_during_the_end_do_not_cut_it_short(self) -> None:
+    async def test_repeated_signals_do_not_cut_shutdown_short(self) -> None:
         await self.begin(accept_requests)
         self.config["settings"]["service-grades"][0]["cut-off"] = 300_000
-        lines = await self.start_process(["-O", "-m", "crankfold", "serve"])
+        output_task = await self.start_process(["-O", "-m", "crankfold", "serve"])
         self.process.send_signal(signal.SIGTERM)
         while self.process.returncode is None:
-            for number in (signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM):
-                # Not by the process object: it looks for the exit itself and takes its status from asyncio.
+            for signal_number in (signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM):
+                # os.kill, as the process object polls for the exit itself and takes the status from asyncio.
                 if self.process.returncode is None:
                     with contextlib.suppress(ProcessLookupError):
-                        os.kill(self.process.pid, number)
+                        os.kill(self.process.pid, signal_number)
             await asyncio.sleep(0.002)
-        printed = await lines
-        self.assertEqual(self.process.returncode, 0, printed)
+        output = await output_task
+        self.assertEqual(self.process.returncode, 0, output)
 
 
 class DelayedWriteTest(DispatcherTestCase):
-    async def attempts_after_break(self, *, broken_after: float) -> int:
-        """How often a request with key goes out whose first attempt breaks so late in its window of 0.4 s."""
+    async def count_attempts(self, *, break_after_seconds: float) -> int:
+        """Returns the attempts of a keyed request whose first one breaks after this time.
+
+        The deduplication window is 0.4 s.
+        """
         attempts = 0
 
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
@@ -79,7 +84,7 @@
             await read_message(reader)
             attempts += 1
             if attempts == 1:
-                await asyncio.sleep(broken_after)
+                await asyncio.sleep(break_after_seconds)
 
         await self.begin(backend)
         self.other_port = await self.start_fake_server(backend)
@@ -97,9 +102,9 @@
         other = [{**first, "uid": "b", "endpoint": f"127.0.0.1:{other_port}"}] if other_port else []
         return {**answer, "targets": [first, *other]}
 
-    async def test_a_window_that_a_held_up_write_would_miss_is_over(self) -> None:
-        """A dispatcher may be held up for 0.15 s between reading its clock and writing."""
-        self.assertEqual(await self.attempts_after_break(broken_after=0.3), 1)
+    async def test_retry_is_skipped_when_delayed_write_would_miss_deduplication_window(self) -> None:
+        """The dispatcher may be delayed for 0.15 s between reading its clock and writing the retry."""
+        self.assertEqual(await self.count_attempts(break_after_seconds=0.3), 1)
 
-    async def test_a_window_with_time_left_is_used(self) -> None:
-        self.assertEqual(await self.attempts_after_break(broken_after=0.1), 2)
+    async def test_retry_is_sent_with_time_left_in_deduplication_window(self) -> None:
+        self.assertEqual(await self.count_attempts(break_after_seconds=0.1), 2)
