--- a/crankfold/fault_injection/plan.py
+++ b/crankfold/fault_injection/plan.py
@@ -71,7 +71,7 @@
     kind: FaultKind
     begin: NonNegativeNumber
     end: NonNegativeNumber
-    # A backend or zone for faults of backends; else a process (the sender for faults of links), LEADER or ANY.
+    # A backend or zone for faults of backends, else a process, LEADER or ANY; the sender for faults of links.
     target: str = field(name="at", default=ANY)
     receiver: str = field(name="to", default=ANY)  # of a link
     both_ways: bool = field(name="both", default=False)  # of a link: also from the receiver to the sender
