--- a/benchmarks/agreement_chart.py
+++ b/benchmarks/agreement_chart.py
@@ -1,4 +1,4 @@
-"""The chart of the consensus benchmark, of the tables that are there."""
+"""Draws the chart of the consensus benchmark from the tables that its other parts have written."""
 
 from typing import Any
 
@@ -6,8 +6,8 @@
 from benchmarks.agreement_report import HERE, read_table
 
 
-def chart() -> None:
-    """Draw `agreement.svg`."""
+def draw_chart() -> None:
+    """Draws `agreement.svg`."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -49,10 +49,10 @@
 def _draw_traffic(panel: Any) -> None:
     rows = [row for row in read_table("traffic") if row["what"] == "nothing published"]
     for kind in ("leader", "voter", "follower"):
-        own = [row for row in rows if row["who"] == kind]
+        rows_of_kind = [row for row in rows if row["who"] == kind]
         panel.loglog(
-            [int(row["dispatchers"]) for row in own],
-            [float(row["messages_a_second"]) for row in own],
+            [int(row["dispatchers"]) for row in rows_of_kind],
+            [float(row["messages_a_second"]) for row in rows_of_kind],
             marker="o",
             label=kind,
         )
--- a/benchmarks/agreement_processes.py
+++ b/benchmarks/agreement_processes.py
@@ -1,4 +1,4 @@
-"""The parts of the consensus benchmark that run real processes: `publish` and `serve`."""
+"""Runs the parts of the consensus benchmark that use real processes: `publish` and `serve`."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, Literal, Self, TypeVar
 
-from benchmarks.agreement_report import median, quantiles, say, write_table
+from benchmarks.agreement_report import median, print_line, quantiles, write_table
 from crankfold.fault_injection.harness import TrialHarness
 from crankfold.fault_injection.http_client import HOST, http_call, read_http_message
 from crankfold.fault_injection.plan import TrialPlan
@@ -18,10 +18,10 @@
 Result = TypeVar("Result")
 BACKEND_RUN_MS = 5.0
 VOTER_COUNTS: tuple[Literal[3, 5, 7], ...] = (3, 5, 7)
-PUBLISHES = 20  # of each kind
-DEATHS = 4  # of leaders
+PUBLISHES_PER_CONDITION = 20
+LEADER_KILLS = 4
 LOSS_SHARE = 0.05
-RECOVERY_TIMEOUT = 15.0  # seconds
+RECOVERY_TIMEOUT_SECONDS = 15.0
 CLIENTS = 8
 LOAD_SECONDS = 4.0
 REPETITIONS = 5
@@ -32,8 +32,8 @@
 MODES = (PEERS_OFF, PEERS_ON, PUBLISHING, MAINTENANCE)
 
 
-def quiet_plan(*, voters: Literal[3, 5, 7] = 3, followers: int = 0, backends: int = 1) -> TrialPlan:
-    """The processes of a trial without load, faults and operators of its own."""
+def idle_plan(*, voters: Literal[3, 5, 7] = 3, followers: int = 0, backends: int = 1) -> TrialPlan:
+    """Returns the plan of a trial that applies no load, faults or operator calls of its own."""
     return TrialPlan(
         "measured",
         1.0,
@@ -47,31 +47,36 @@
     )
 
 
-class QuietHarness(TrialHarness):
-    """A trial in which nothing happens but what is measured."""
+class BenchmarkHarness(TrialHarness):
+    """Runs the processes of a trial for one measurement, without the trial's own load and faults."""
 
-    async def measure(self, what: Callable[[Self], Awaitable[Result]]) -> Result:
-        """Start the processes, measure, and end them."""
+    async def measure(self, measurement: Callable[[Self], Awaitable[Result]]) -> Result:
+        """Starts the processes, returns the result of the measurement, and shuts the processes down."""
         await self.prepare()
         try:
             await self.start()
-            return await what(self)
+            return await measurement(self)
         finally:
             await self.shut_down()
 
     async def publish_once(self, number: int, name: str) -> float:
-        """Milliseconds from a publish until it is active at that process and all others know of that.
+        """Publishes once through a process and measures how long the version takes to be active everywhere.
+
+        Args:
+            number: Number of the publish; it makes the call id unique and alternates the content.
+            name: Process that receives the publish.
 
         Returns:
-            -1 if that did not come about.
+            Milliseconds until the version is active and no member lags behind; -1 if the publish was not
+            accepted or members still lag.
         """
-        known = (await self.admin.call(name, "agreed/settings")).content
+        document = (await self.admin.call(name, "agreed/settings")).content
         body = {
             "call": f"{number}-{name}",
-            "made-from": known["newest"],
+            "made-from": document["newest"],
             "wait": 20,
             "reason": "measured",
-            "text": {**known["versions"][-1]["text"], "revenue-per": ("request", "work")[number % 2]},
+            "text": {**document["versions"][-1]["text"], "revenue-per": ("request", "work")[number % 2]},
         }
         began = time.monotonic()
         response = await http_call(
@@ -86,29 +91,31 @@
 # --- publish ---
 
 
-class PublishTimes:
-    """Publishes at a cluster that is calm, loses messages, and loses its leader."""
+class PublishBenchmark:
+    """Measures publishes without faults, with message loss, and after the leader was killed."""
 
-    def __init__(self, harness: QuietHarness) -> None:
+    def __init__(self, harness: BenchmarkHarness) -> None:
         self.harness = harness
-        self.count = 0
+        self.publish_count = 0
 
     async def measure(self) -> dict[str, list[float]]:
-        """Milliseconds, by condition."""
-        await asyncio.sleep(2.0)  # the first leader waits for leases that it knows nothing of
+        """Returns the durations of the publishes in ms, by condition."""
+        await asyncio.sleep(2.0)  # a new leader first waits until leases of an earlier one have expired
         return {
             "calm": await self._publish_with_losses(0.0),
             "a twentieth lost": await self._publish_with_losses(LOSS_SHARE),
-            "leader killed": [await self._publish_without_leader() for _ in range(DEATHS)],
+            "leader killed": [await self._publish_without_leader() for _ in range(LEADER_KILLS)],
         }
 
     async def _publish_with_losses(self, share: float) -> list[float]:
         self._set_losses(share)
         durations = []
         names = self.harness.process_names
-        for _ in range(PUBLISHES):
-            self.count += 1
-            durations.append(await self.harness.publish_once(self.count, names[self.count % len(names)]))
+        for _ in range(PUBLISHES_PER_CONDITION):
+            self.publish_count += 1
+            durations.append(
+                await self.harness.publish_once(self.publish_count, names[self.publish_count % len(names)])
+            )
             await asyncio.sleep(0.05)
         self._set_losses(0.0)
         return durations
@@ -120,45 +127,45 @@
     async def _publish_without_leader(self) -> float:
         harness = self.harness
         leader = await harness.admin.find_leader(harness.voters)
-        other = next(name for name in harness.process_names if name != leader)
+        survivor = next(name for name in harness.process_names if name != leader)
         await asyncio.sleep(2.0)
         await harness.processes[leader].kill()
-        self.count += 1
+        self.publish_count += 1
         began = time.monotonic()
-        while (await harness.publish_once(self.count, other)) < 0:
-            if time.monotonic() - began >= RECOVERY_TIMEOUT:
+        while (await harness.publish_once(self.publish_count, survivor)) < 0:
+            if time.monotonic() - began >= RECOVERY_TIMEOUT_SECONDS:
                 break
-            self.count += 1
+            self.publish_count += 1
         duration = (time.monotonic() - began) * 1000
         await harness.processes[leader].start()
-        await harness.wait_until_consistent(RECOVERY_TIMEOUT)
+        await harness.wait_until_consistent(RECOVERY_TIMEOUT_SECONDS)
         return duration
 
 
-def publish() -> None:
-    """How long a publish takes until all act on it."""
+def measure_publish() -> None:
+    """Measures how long a publish takes until all members act on it."""
     rows: list[tuple[int, str, str]] = []
     for voters in VOTER_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
-            harness = QuietHarness(quiet_plan(voters=voters, followers=2), 1, Path(folder))
-            durations = asyncio.run(harness.measure(lambda running: PublishTimes(running).measure()))
-        for condition, spans in durations.items():
-            known = [span for span in spans if span >= 0]
-            unknown = len(spans) - len(known)
+            harness = BenchmarkHarness(idle_plan(voters=voters, followers=2), 1, Path(folder))
+            durations = asyncio.run(harness.measure(lambda running: PublishBenchmark(running).measure()))
+        for condition, durations_ms in durations.items():
+            completed = [duration for duration in durations_ms if duration >= 0]
+            unknown = len(durations_ms) - len(completed)
             note = f", {unknown} without an outcome" if unknown else ""
-            say(
+            print_line(
                 f"publish until all act, {voters} voters and 2 followers, {condition}: "
-                f"{quantiles(known)}{note}"
+                f"{quantiles(completed)}{note}"
             )
-            rows += [(voters, condition, f"{span:.1f}") for span in spans]
+            rows += [(voters, condition, f"{duration:.1f}") for duration in durations_ms]
     write_table("publish", ["voters", "how", "ms"], rows)
 
 
 # --- serve ---
 
 
-class ServedHarness(QuietHarness):
-    """Three dispatchers under load, in one of `MODES`."""
+class ServeHarness(BenchmarkHarness):
+    """Runs three dispatchers under load in one of `MODES`."""
 
     def __init__(self, plan: TrialPlan, seed: int, folder: Path, mode: str) -> None:
         self.mode = mode
@@ -170,7 +177,7 @@
             del configuration["peers"]
 
     async def wait_until_consistent(self, seconds: float) -> dict[str, str]:
-        """Without peers there is nothing to agree on; the processes have a while to start."""
+        """Waits until the processes agree; without peers, only gives them a fixed time to start."""
         if self.mode != PEERS_OFF:
             return await super().wait_until_consistent(seconds)
         await asyncio.sleep(1.5)
@@ -179,21 +186,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeFigures:
-    """What one run of the load showed."""
+    """Results of one run of the load.
+
+    Attributes:
+        cpu_us: CPU time of the dispatcher per request.
+    """
 
     requests_per_second: float
     p99_ms: float
-    cpu_us: float  # of the process, for a request
+    cpu_us: float
     memory_mb: float
 
     def columns(self) -> list[str]:
-        """As the table has them."""
+        """Returns the figures as they stand in the table."""
         figures = (self.requests_per_second, self.p99_ms, self.cpu_us, self.memory_mb)
         return [f"{figure:.2f}" for figure in figures]
 
 
-async def _load(port: int, seconds: float) -> list[float]:
-    """Closed loop from a few clients; milliseconds of each request."""
+async def _run_clients(port: int, seconds: float) -> list[float]:
+    """Runs closed-loop clients against a port and returns the latency of each request in ms."""
     durations: list[float] = []
     end = time.monotonic() + seconds
 
@@ -225,7 +236,7 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-async def _publish_each_second(harness: ServedHarness) -> None:
+async def _publish_each_second(harness: ServeHarness) -> None:
     number = 0
     while True:
         number += 1
@@ -233,56 +244,58 @@
         await asyncio.sleep(1)
 
 
-async def _submit_job(harness: ServedHarness) -> None:
+async def _submit_job(harness: ServeHarness) -> None:
     job = {"way": "command", "command": ["true"], "watch": 0.2, "least-answers": 0, "stays": 0.0}
     body = {"call": "w", "made-from": 0, "text": {"works": {"w": job}}, "reason": "measured"}
     response = await harness.admin.call("n1", "agreed/works", body)
     assert response.ok
 
 
-async def _measure_load(harness: ServedHarness) -> ServeFigures:
+async def _measure_load(harness: ServeHarness) -> ServeFigures:
     running = harness.processes["n0"].running
     assert running
-    await _load(harness.client_ports["n0"], 0.5)
+    await _run_clients(harness.client_ports["n0"], 0.5)
     if harness.mode == MAINTENANCE:
         await _submit_job(harness)
-    publishing = None
+    publisher = None
     if harness.mode == PUBLISHING:
-        publishing = asyncio.ensure_future(_publish_each_second(harness))
-    before = _cpu_seconds(running.pid)
-    durations = sorted(await _load(harness.client_ports["n0"], LOAD_SECONDS))
-    used = _cpu_seconds(running.pid) - before
-    if publishing:
-        publishing.cancel()
+        publisher = asyncio.ensure_future(_publish_each_second(harness))
+    cpu_seconds_before = _cpu_seconds(running.pid)
+    durations = sorted(await _run_clients(harness.client_ports["n0"], LOAD_SECONDS))
+    cpu_seconds = _cpu_seconds(running.pid) - cpu_seconds_before
+    if publisher:
+        publisher.cancel()
     return ServeFigures(
         requests_per_second=len(durations) / LOAD_SECONDS,
         p99_ms=durations[len(durations) * 99 // 100],
-        cpu_us=used / len(durations) * 1e6,
+        cpu_us=cpu_seconds / len(durations) * 1e6,
         memory_mb=_memory_mb(running.pid),
     )
 
 
-def serve() -> None:
-    """The same load at one of three dispatchers: what a request costs, and what clients see."""
+def measure_serve() -> None:
+    """Measures CPU time, memory and latency under the same load at one of three dispatchers, in each mode."""
     figures: dict[str, list[ServeFigures]] = {mode: [] for mode in MODES}
     rows = []
     for repetition in range(REPETITIONS):
         for mode in MODES:
             with tempfile.TemporaryDirectory() as folder:
-                harness = ServedHarness(quiet_plan(backends=4), repetition + 1, Path(folder), mode)
+                harness = ServeHarness(idle_plan(backends=4), repetition + 1, Path(folder), mode)
                 run = asyncio.run(harness.measure(_measure_load))
             figures[mode].append(run)
             rows.append([repetition, mode, *run.columns()])
     for mode in MODES:
-        _say_served(mode, figures[mode], figures[PEERS_OFF])
+        _print_serve_figures(mode, figures[mode], figures[PEERS_OFF])
     write_table("serve", ["turn", "peers", "units_a_second", "p99_ms", "us_a_unit", "mb"], rows)
 
 
-def _say_served(mode: str, runs: Sequence[ServeFigures], without: Sequence[ServeFigures]) -> None:
-    pairs = list(zip(runs, without, strict=True))
+def _print_serve_figures(
+    mode: str, runs: Sequence[ServeFigures], runs_without_peers: Sequence[ServeFigures]
+) -> None:
+    pairs = list(zip(runs, runs_without_peers, strict=True))
     rate_ratio = median(run.requests_per_second / off.requests_per_second for run, off in pairs)
     cpu_ratio = median(run.cpu_us / off.cpu_us for run, off in pairs)
-    say(
+    print_line(
         f"serve, peers {mode}: {median(run.requests_per_second for run in runs):.0f} units a second, "
         f"99th percentile {median(run.p99_ms for run in runs):.1f} ms, "
         f"{median(run.cpu_us for run in runs):.0f} us of processor a unit, "
--- a/benchmarks/agreement_report.py
+++ b/benchmarks/agreement_report.py
@@ -1,4 +1,4 @@
-"""Where the benchmark of the consensus writes its tables and lines."""
+"""Tables, printed lines and statistics of the consensus benchmark."""
 
 import csv
 import re
@@ -6,17 +6,17 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-LINES: list[str] = []  # that were printed in this run
+PRINTED_LINES: list[str] = []
 
 
-def say(text: str) -> None:
-    """Print a line, and keep it for `agreement.txt`."""
-    LINES.append(text)
+def print_line(text: str) -> None:
+    """Prints a line and records it for `agreement.txt`."""
+    PRINTED_LINES.append(text)
     print(text, flush=True)
 
 
 def write_table(part: str, columns: Sequence[str], rows: Iterable[Iterable[object]]) -> None:
-    """Write `agreement-PART.csv`."""
+    """Writes `agreement-PART.csv`."""
     with (HERE / f"agreement-{part}.csv").open("w", newline="") as out:
         writer = csv.writer(out, lineterminator="\n")
         writer.writerow(columns)
@@ -24,13 +24,13 @@
 
 
 def read_table(part: str) -> list[dict[str, str]]:
-    """The rows of `agreement-PART.csv`, by column."""
+    """Returns the rows of `agreement-PART.csv`, each as a mapping from column to value."""
     with (HERE / f"agreement-{part}.csv").open() as file:
         return list(csv.DictReader(file))
 
 
 def quantiles(values_ms: Iterable[float]) -> str:
-    """Median, 95th percentile and maximum of durations, in words."""
+    """Returns a phrase with the median, 95th percentile and maximum of durations in ms."""
     ordered = sorted(values_ms)
     return (
         f"median {ordered[len(ordered) // 2]:.0f}, "
@@ -40,20 +40,20 @@
 
 
 def median(values: Iterable[float]) -> float:
-    """The upper one of two."""
+    """Returns the median; of an even number of values, the upper of the middle two."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2]
 
 
-def save_lines() -> None:
-    """Put this run's lines into `agreement.txt`, in place of earlier ones that begin alike."""
+def save_printed_lines() -> None:
+    """Saves this run's lines in `agreement.txt`, in place of earlier lines with the same prefix."""
     path = HERE / "agreement.txt"
-    former = path.read_text().splitlines() if path.exists() else []
-    beginnings = {_beginning(line) for line in LINES}
-    remaining = [line for line in former if _beginning(line) not in beginnings]
-    path.write_text("\n".join(remaining + LINES) + "\n")
+    saved_lines = path.read_text().splitlines() if path.exists() else []
+    prefixes = {_line_prefix(line) for line in PRINTED_LINES}
+    kept_lines = [line for line in saved_lines if _line_prefix(line) not in prefixes]
+    path.write_text("\n".join(kept_lines + PRINTED_LINES) + "\n")
 
 
-def _beginning(line: str) -> str:
-    """What stands before the first figure."""
+def _line_prefix(line: str) -> str:
+    """Returns the text before the first digit, which names what a line reports."""
     return re.split(r"\d", line)[0]
--- a/benchmarks/agreement_simulated.py
+++ b/benchmarks/agreement_simulated.py
@@ -1,4 +1,4 @@
-"""The parts of the consensus benchmark in simulated time, and the recovery of a voter from its disk."""
+"""Runs the parts of the consensus benchmark in simulated time, and measures recovery of a voter from disk."""
 
 import tempfile
 import time
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.agreement_report import median, quantiles, say, write_table
+from benchmarks.agreement_report import median, print_line, quantiles, write_table
 from crankfold.cluster.raft_storage import RaftStorage
 from crankfold.consensus.log_entries import EntryKind
 from crankfold.consensus.messages import LogEntry, Snapshot
@@ -28,23 +28,23 @@
 from crankfold.simulation.maintenance.fleet import MaintenanceFleet
 
 VOTER_COUNTS = (3, 5, 7)
-SEEDS = 100
-DEATH = 30_000  # ticks, when the leader dies
-LONG_AFTER = 200_000  # ticks
-NEVER = 99.0  # seconds between publishes, longer than a case
-LOOK_INTERVAL = 10  # ticks, a millisecond
+SEED_COUNT = 100
+LEADER_KILL_TICK = 30_000
+KILL_END_TICK = 200_000  # past the end of the case, so that the leader stays down
+NO_PUBLISH_SECONDS = 99.0  # publish interval longer than a case, so that nothing is published
+SAMPLE_INTERVAL_TICKS = 10  # 1 ms
 CLUSTER_SIZES = (3, 50, 200, 1000)
 TRAFFIC_SECONDS = 10.0
 MAINTENANCE_SIZES = (3, 50, 200)
-MACHINES = 9
+MACHINE_COUNT = 9
 JOB = {"way": "list", "at-once": 3, "stays": 0.0, "watch": 1.0, "least-answers": 0}
 ENTRY_COUNTS = (10, 100, 1000, 10_000)
 ENTRIES_PER_WRITE = 10
-RECOVERIES = 5
-COMPACTED_AT = 256  # entries
+RECOVERY_RUNS = 5
+COMPACTION_ENTRIES = 256
 
 
-def _leader(cluster: SimulatedCluster) -> str | None:
+def _find_leader(cluster: SimulatedCluster) -> str | None:
     return next(
         (
             name
@@ -60,69 +60,75 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderlessRow:
-    """What followed the death of a leader."""
+    """How long a cluster was without a leader and members without a lease after the leader was killed.
+
+    Attributes:
+        ms_without_lease: Time during which at least one member had no lease.
+    """
 
     voters: int
     seed: int
     ms_until_led: float
-    ms_without_lease: float  # in which somebody had none
+    ms_without_lease: float
 
 
-class LeaderlessWatch:
-    """Looks at a cluster each millisecond after its leader's death."""
+class LeaderlessSampler:
+    """Samples the leader and the leases of a cluster each millisecond after its leader was killed."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
         self.ms_until_led = 0.0
         self.ms_without_lease = 0.0
 
-    def look(self) -> None:
-        """Look, and again."""
+    def sample(self) -> None:
+        """Takes a sample and schedules the next one."""
         now = self.cluster.events.now
-        if now > DEATH:
-            if not self.ms_until_led and _leader(self.cluster):
-                self.ms_until_led = (now - DEATH) / LOOK_INTERVAL
+        if now > LEADER_KILL_TICK:
+            if not self.ms_until_led and _find_leader(self.cluster):
+                self.ms_until_led = (now - LEADER_KILL_TICK) / SAMPLE_INTERVAL_TICKS
             if not all(
                 process.member.has_lease(process.local_time())
                 for process in self.cluster.processes.values()
                 if process.member
             ):
                 self.ms_without_lease += 1.0
-        self.cluster.events.schedule(LOOK_INTERVAL, self.look)
+        self.cluster.events.schedule(SAMPLE_INTERVAL_TICKS, self.sample)
 
 
-def _measure_leaderless(job: tuple[int, int]) -> LeaderlessRow:
-    voters, seed = job
-    calm = ClusterCase(voter_count=voters, seconds=3.0, seed=seed, with_load=False, publish_every=NEVER)
-    leader = _leader(SimulatedCluster(calm).run()) or "v0"
+def _measure_leaderless_case(parameters: tuple[int, int]) -> LeaderlessRow:
+    voters, seed = parameters
+    faultless_case = ClusterCase(
+        voter_count=voters, seconds=3.0, seed=seed, with_load=False, publish_every=NO_PUBLISH_SECONDS
+    )
+    leader = _find_leader(SimulatedCluster(faultless_case).run()) or "v0"
     case = ClusterCase(
         voter_count=voters,
         seconds=9.0,
         seed=seed,
         with_load=False,
-        publish_every=NEVER,
-        faults=(ClusterFault(ClusterFaultKind.KILL, DEATH, LONG_AFTER, leader),),
+        publish_every=NO_PUBLISH_SECONDS,
+        faults=(ClusterFault(ClusterFaultKind.KILL, LEADER_KILL_TICK, KILL_END_TICK, leader),),
     )
     cluster = SimulatedCluster(case)
-    watch = LeaderlessWatch(cluster)
-    cluster.events.schedule(0, watch.look)
+    sampler = LeaderlessSampler(cluster)
+    cluster.events.schedule(0, sampler.sample)
     cluster.run()
     assert not cluster.violations
-    return LeaderlessRow(voters, seed, watch.ms_until_led, watch.ms_without_lease)
+    return LeaderlessRow(voters, seed, sampler.ms_until_led, sampler.ms_without_lease)
 
 
-def leaderless() -> None:
-    """How long a cluster is without a leader after its leader's death."""
-    jobs = [(voters, seed) for voters in VOTER_COUNTS for seed in range(SEEDS)]
+def measure_leaderless() -> None:
+    """Measures how long a cluster is without a leader after its leader was killed."""
+    cases = [(voters, seed) for voters in VOTER_COUNTS for seed in range(SEED_COUNT)]
     with ProcessPoolExecutor() as pool:
-        rows = list(pool.map(_measure_leaderless, jobs))
+        rows = list(pool.map(_measure_leaderless_case, cases))
     for voters in VOTER_COUNTS:
-        own = [row for row in rows if row.voters == voters]
-        without = [row.ms_without_lease for row in own]
-        say(
+        rows_of_size = [row for row in rows if row.voters == voters]
+        gaps_ms = [row.ms_without_lease for row in rows_of_size]
+        print_line(
             f"emulated: without a leader after its death, {voters} voters: "
-            f"{quantiles(row.ms_until_led for row in own)}; somebody without "
-            f"a lease in {sum(ms > 0 for ms in without)} of {len(without)}, for {max(without):.0f} ms at most"
+            f"{quantiles(row.ms_until_led for row in rows_of_size)}; somebody without "
+            f"a lease in {sum(ms > 0 for ms in gaps_ms)} of {len(gaps_ms)}, for {max(gaps_ms):.0f} ms at most"
         )
     write_table(
         "leaderless",
@@ -136,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficRow:
-    """What a member of a kind sends in a second, on average."""
+    """What a member of a kind sends per second on average, in a cluster of `size` dispatchers."""
 
     size: int
     activity: str
@@ -145,9 +151,9 @@
     bytes_sent: float
 
 
-def _measure_traffic(size: int) -> list[TrafficRow]:
+def _measure_traffic_at_size(size: int) -> list[TrafficRow]:
     rows = []
-    for interval, activity in ((NEVER, "nothing published"), (1.0, "a publish each second")):
+    for interval, activity in ((NO_PUBLISH_SECONDS, "nothing published"), (1.0, "a publish each second")):
         case = ClusterCase(
             follower_count=size - 3,
             seconds=TRAFFIC_SECONDS,
@@ -158,7 +164,7 @@
         )
         cluster = SimulatedCluster(case).run()
         assert not cluster.violations
-        leader = _leader(cluster)
+        leader = _find_leader(cluster)
         kinds = {
             "leader": [leader] if leader else [],
             "voter": [name for name in cluster.voters if name != leader],
@@ -168,18 +174,22 @@
             if names:
                 counts = [cluster.message_counts.get(name, MessageCount()) for name in names]
                 messages = sum(count.messages for count in counts)
-                size_sent = sum(count.bytes_sent for count in counts)
-                divisor = len(names) * TRAFFIC_SECONDS
-                rows.append(TrafficRow(size, activity, kind, messages / divisor, size_sent / divisor))
+                bytes_sent = sum(count.bytes_sent for count in counts)
+                member_seconds = len(names) * TRAFFIC_SECONDS
+                rows.append(
+                    TrafficRow(size, activity, kind, messages / member_seconds, bytes_sent / member_seconds)
+                )
     return rows
 
 
-def traffic() -> None:
-    """What members send each other."""
+def measure_traffic() -> None:
+    """Measures the messages and bytes that members send each other, by size of the cluster."""
     with ProcessPoolExecutor() as pool:
-        rows = [row for part in pool.map(_measure_traffic, CLUSTER_SIZES) for row in part]
+        rows = [
+            row for rows_of_size in pool.map(_measure_traffic_at_size, CLUSTER_SIZES) for row in rows_of_size
+        ]
     for row in rows:
-        say(
+        print_line(
             f"emulated: {row.size} dispatchers, {row.activity}: a {row.kind} sends "
             f"{row.messages:.0f} messages, {row.bytes_sent / 1000:.1f} kB a second"
         )
@@ -194,7 +204,7 @@
 
 
 def _messages_sent(size: int, jobs: dict[str, Any]) -> dict[str, MessageCount]:
-    """Returns the messages sent by each process of a fleet with these jobs."""
+    """Returns the messages and bytes sent by each process of a fleet with these maintenance jobs."""
     case = ClusterCase(follower_count=size - 3, seconds=40.0, publish_every=1000.0, with_load=True)
     fleet = MaintenanceFleet(MaintenanceCase(case, jobs, request_rate=0.1)).run()
     assert not fleet.violations, fleet.violations
@@ -202,25 +212,30 @@
         member = next(iter(fleet.processes.values())).member
         assert member
         completed = member.documents.replicated.maintenance.completed
-        assert sum(len(machines) for machines in completed.values()) == MACHINES, completed
+        assert sum(len(machines) for machines in completed.values()) == MACHINE_COUNT, completed
     return fleet.message_counts
 
 
-def works() -> None:
-    """What each machine costs that is taken out, worked on and brought back, in messages."""
+def measure_maintenance() -> None:
+    """Measures the additional messages for each machine that is drained, worked on and put back."""
     rows = []
     for size in MAINTENANCE_SIZES:
         with_job = _messages_sent(size, {"w": JOB})
-        without = _messages_sent(size, {})
+        without_job = _messages_sent(size, {})
         for sender, names in (("all", list(with_job)), ("a follower", ["f0"])):
-            known = [name for name in names if name in with_job]
-            messages = sum(with_job[name].messages - without[name].messages for name in known) / MACHINES
-            size_sent = sum(with_job[name].bytes_sent - without[name].bytes_sent for name in known) / MACHINES
+            members = [name for name in names if name in with_job]
+            messages = (
+                sum(with_job[name].messages - without_job[name].messages for name in members) / MACHINE_COUNT
+            )
+            bytes_sent = (
+                sum(with_job[name].bytes_sent - without_job[name].bytes_sent for name in members)
+                / MACHINE_COUNT
+            )
             if sender == "all" or size > 3:
-                rows.append((size, sender, f"{messages:.1f}", f"{size_sent:.0f}"))
-                say(
+                rows.append((size, sender, f"{messages:.1f}", f"{bytes_sent:.0f}"))
+                print_line(
                     f"works, emulated, {size} dispatchers: {sender} sends {messages:.1f} messages and "
-                    f"{size_sent:.0f} bytes more for each machine"
+                    f"{bytes_sent:.0f} bytes more for each machine"
                 )
     write_table("works", ["dispatchers", "who", "messages", "bytes"], rows)
 
@@ -228,7 +243,7 @@
 # --- recovery ---
 
 
-def _entries(first: int) -> Iterator[LogEntry]:
+def _publish_entries(first: int) -> Iterator[LogEntry]:
     content = settings_document("safe")
     for index in range(first, first + ENTRIES_PER_WRITE):
         publish = {
@@ -244,7 +259,7 @@
 
 
 def _write_log(folder: Path, count: int) -> int:
-    """Store so many entries; the bytes that the log takes."""
+    """Stores `count` entries and returns the size of the log in bytes."""
     storage = RaftStorage(folder, "n0")
     snapshot = Snapshot(0, 0, {"n0": ""}, b"")
     storage.save(Ready(term=1, vote="n0", founding_member=True, hard_state_changed=True, snapshot=snapshot))
@@ -256,7 +271,7 @@
                 founding_member=True,
                 hard_state_changed=False,
                 first_index=first,
-                entries=list(_entries(first)),
+                entries=list(_publish_entries(first)),
             )
         )
     storage.close()
@@ -264,7 +279,7 @@
 
 
 def _recover(folder: Path) -> float:
-    """Milliseconds until a voter has read its log and applied it."""
+    """Recovers a voter from its log and returns the milliseconds until all entries are applied."""
     began = time.perf_counter()
     storage = RaftStorage(folder, "n0")
     voter = Voter(
@@ -285,14 +300,16 @@
     return duration
 
 
-def recovery() -> None:
-    """How long a voter takes to read and apply its log."""
+def measure_recovery() -> None:
+    """Measures how long a voter takes to read and apply its log, by the number of entries."""
     rows = []
     for count in ENTRY_COUNTS:
         with tempfile.TemporaryDirectory() as name:
             size = _write_log(Path(name), count)
-            duration = median([_recover(Path(name)) for _ in range(RECOVERIES)])
+            duration = median([_recover(Path(name)) for _ in range(RECOVERY_RUNS)])
         rows.append((count, size, f"{duration:.1f}"))
-        note = "" if count <= COMPACTED_AT else f" (a voter compacts its history at {COMPACTED_AT})"
-        say(f"recovery of {count} entries, {size // 1000} kB: {duration:.1f} ms until applied{note}")
+        note = (
+            "" if count <= COMPACTION_ENTRIES else f" (a voter compacts its history at {COMPACTION_ENTRIES})"
+        )
+        print_line(f"recovery of {count} entries, {size // 1000} kB: {duration:.1f} ms until applied{note}")
     write_table("recovery", ["entries", "bytes", "ms"], rows)
