--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,8 +1,9 @@
-"""Cases of losses, cuts, pauses, deaths and slow disks, drawn by seeds, in simulated time.
+"""Runs simulated cases with random message loss, partitions, pauses, crashes and slow disks.
 
     python -m benchmarks.schedules --agreement 1000 --works 1000 --workers 6
 
-Writes benchmarks/schedules.csv, one row a case, and schedules.txt. A seed makes its case again.
+Writes benchmarks/schedules.csv, with one row for each case, and schedules.txt. The same seed gives the same
+case.
 """
 
 import csv
@@ -23,48 +24,56 @@
 MAINTENANCE = "works"
 CLUSTER_SIZES = ((3, 2), (5, 3), (3, 6))  # voters and followers
 TICKS_PER_MS = 10
-CASES_PER_WORKER = 20  # between two looks at the time
-MAX_SHOWN = 10  # broken cases
+CASES_PER_WORKER_PER_BATCH = 20  # the time limit is checked between batches
+MAX_BROKEN_SHOWN = 10
 
 
-class Job(NamedTuple):
-    """A case to play."""
+class CaseKey(NamedTuple):
+    """The kind and the seed of a case."""
 
     kind: str
     seed: int
 
 
-class Result(NamedTuple):
-    """What came of a case; the last three of maintenance only."""
+class CaseResult(NamedTuple):
+    """The result of a case.
+
+    Attributes:
+        longest_ms: Longest time during which two members acted on versions that differ.
+        broken: Violated invariants, empty if all hold.
+        done: Number of machines whose maintenance is done; maintenance cases only.
+        left: Number of machines not done at the end of the case; maintenance cases only.
+        steps: Number of maintenance transitions; maintenance cases only.
+    """
 
     kind: str
     seed: int
-    longest_ms: int  # that two acted on differing versions
+    longest_ms: int
     broken: str
-    done: int = 0  # machines
+    done: int = 0
     left: int = 0
     steps: str = ""
 
 
-def play(job: Job) -> Result:
-    """Play one case."""
-    if job.kind == AGREEMENT:
-        voters, followers = CLUSTER_SIZES[job.seed % len(CLUSTER_SIZES)]
+def run_case(case_key: CaseKey) -> CaseResult:
+    """Runs one case."""
+    if case_key.kind == AGREEMENT:
+        voters, followers = CLUSTER_SIZES[case_key.seed % len(CLUSTER_SIZES)]
         case = random_scenario(
-            job.seed,
+            case_key.seed,
             voters,
             followers,
-            allocates_quotas=job.seed % 2 == 1,
-            publishes_limits=job.seed % 4 == 0,
+            allocates_quotas=case_key.seed % 2 == 1,
+            publishes_limits=case_key.seed % 4 == 0,
         )
         cluster = SimulatedCluster(case).run()
         longest_ms = cluster.longest_contradiction // TICKS_PER_MS
-        return Result(*job, longest_ms, "; ".join(cluster.violations))
-    fleet = MaintenanceFleet(draw_case(job.seed)).run()
+        return CaseResult(*case_key, longest_ms, "; ".join(cluster.violations))
+    fleet = MaintenanceFleet(draw_case(case_key.seed)).run()
     members = (process.member for process in fleet.processes.values() if process.member)
     state = max(members, key=lambda member: member.last_applied).documents.replicated.maintenance
-    return Result(
-        *job,
+    return CaseResult(
+        *case_key,
         longest_ms=fleet.longest_contradiction // TICKS_PER_MS,
         broken="; ".join(fleet.violations),
         done=sum(map(len, state.completed.values())),
@@ -73,19 +82,19 @@
     )
 
 
-def summarize(kind: str, results: Sequence[Result]) -> list[str]:
-    """Lines that say what came of the cases of a kind."""
-    own = [result for result in results if result.kind == kind]
-    broken = [result for result in own if result.broken]
-    longest_ms = max((result.longest_ms for result in own), default=0)
+def summarize(kind: str, results: Sequence[CaseResult]) -> list[str]:
+    """Returns lines that summarize the cases of a kind."""
+    cases = [result for result in results if result.kind == kind]
+    broken = [result for result in cases if result.broken]
+    longest_ms = max((result.longest_ms for result in cases), default=0)
     text = (
-        f"{kind}: {len(own)} schedules, {len(broken)} broken, longest contradiction {longest_ms} ms of 2000"
+        f"{kind}: {len(cases)} schedules, {len(broken)} broken, longest contradiction {longest_ms} ms of 2000"
     )
     if kind == MAINTENANCE:
-        done = sum(result.done for result in own)
-        left = sum(result.left for result in own)
+        done = sum(result.done for result in cases)
+        left = sum(result.left for result in cases)
         text += f"; {done} machines done, {left} left with the reason told"
-    return [text, *(f"  seed {result.seed}: {result.broken}" for result in broken[:MAX_SHOWN])]
+    return [text, *(f"  seed {result.seed}: {result.broken}" for result in broken[:MAX_BROKEN_SHOWN])]
 
 
 @click.command()
@@ -93,23 +102,23 @@
 @click.option("--works", default=1000, show_default=True)
 @click.option("--first", default=0, show_default=True)
 @click.option("--workers", default=6, show_default=True)
-@click.option("--within", default=3600.0, show_default=True, help="Seconds; what is not begun is left out.")
+@click.option("--within", default=3600.0, show_default=True, help="Seconds; no batch starts later.")
 def main(agreement: int, works: int, first: int, workers: int, within: float) -> None:
-    """Play cases, write their table, and print what came of them."""
-    jobs = [
-        Job(kind, first + number)
+    """Run simulated cases, write a table of their results and print a summary."""
+    keys = [
+        CaseKey(kind, first + number)
         for number in range(max(agreement, works))
         for kind, count in ((AGREEMENT, agreement), (MAINTENANCE, works))
         if number < count
     ]
     end = time.monotonic() + within
-    results: list[Result] = []
-    batch = CASES_PER_WORKER * workers
+    results: list[CaseResult] = []
+    batch_size = CASES_PER_WORKER_PER_BATCH * workers
     with ProcessPoolExecutor(workers) as pool:
-        for begin in range(0, len(jobs), batch):
+        for begin in range(0, len(keys), batch_size):
             if time.monotonic() > end:
                 break
-            results += pool.map(play, jobs[begin : begin + batch])
+            results += pool.map(run_case, keys[begin : begin + batch_size])
     with (HERE / "schedules.csv").open("w", newline="") as out:
         table = csv.writer(out, lineterminator="\n")
         table.writerow(["kind", "seed", "longest_ms", "broken", "done", "left", "steps"])
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -1,8 +1,9 @@
-"""What it costs to take a whole fleet through maintenance, by who goes next. Simulated, paired seeds.
+"""Measures the late requests caused by maintenance of a whole fleet, by the order of the machines.
 
     python -m benchmarks.turns --runners 30 --workers 6
 
-Writes benchmarks/turns-30.csv, .txt and .svg.
+The days are simulated, and all strategies run with the same seeds. With `--runners 30`, writes
+benchmarks/turns-30.csv, turns-30.txt and turns-30.svg.
 """
 
 import csv
@@ -21,11 +22,11 @@
 from crankfold.time_units import TICKS_PER_SECOND
 
 OUTPUT_DIRECTORY = Path(__file__).parent
-WARM_UP_TICKS = 30_000  # a machine is cold for so long
+WARM_UP_TICKS = 30_000
 DAY_SECONDS = 70
 DISCOVERY_DELAY_TICKS = 3000
 SLOTS_PER_BACKEND = 4
-FAULTS = {  # by name
+FAULTS = {
     "calm": (),
     "losses": (Fault(FaultKind.ZONE_LOSS, 20, 28), Fault(FaultKind.DEAD, 40, 55, share=0.05)),
 }
@@ -44,35 +45,40 @@
 )
 
 
-class Size(NamedTuple):
-    """A fleet and its load."""
+class FleetSize(NamedTuple):
+    """The size and the load of a fleet.
+
+    Attributes:
+        mean_service_time: In ticks.
+        load: Share of the slots that are busy on average.
+    """
 
     backend_count: int
     dispatcher_count: int
-    mean_service_time: int  # ticks
-    load: float  # of the slots
+    mean_service_time: int
+    load: float
 
 
 SIZES = (
-    Size(30, 10, 4000, 0.6),
-    Size(30, 10, 4000, 0.75),
-    Size(100, 40, 4000, 0.6),
-    Size(300, 300, 12_000, 0.6),
+    FleetSize(30, 10, 4000, 0.6),
+    FleetSize(30, 10, 4000, 0.75),
+    FleetSize(100, 40, 4000, 0.6),
+    FleetSize(300, 300, 12_000, 0.6),
 )
 
 
 class RunKey(NamedTuple):
-    """One day of the study."""
+    """The parameters of one simulated day of the study."""
 
-    size: Size
+    size: FleetSize
     faults: str
     strategy: Strategy
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
-class Point:
-    """What a strategy costs, for the chart."""
+class ChartPoint:
+    """The result of a strategy in a case, as the chart shows it."""
 
     case: str
     strategy: Strategy
@@ -83,8 +89,8 @@
 Results = Mapping[RunKey, StudyResult]
 
 
-def run_keys(seeds: int, sizes: Sequence[Size]) -> list[RunKey]:
-    """All days, paired by seed."""
+def list_run_keys(seeds: int, sizes: Sequence[FleetSize]) -> list[RunKey]:
+    """Returns the keys of all days; each strategy runs with every seed, so that results can be paired."""
     return [
         RunKey(size, faults, strategy, seed)
         for size in sizes
@@ -94,17 +100,17 @@
     ]
 
 
-def run_one(key: RunKey) -> tuple[RunKey, StudyResult]:
-    """Plays one day."""
+def run_day(key: RunKey) -> tuple[RunKey, StudyResult]:
+    """Simulates one day."""
     size = key.size
-    busy_ticks = size.load * size.backend_count * SLOTS_PER_BACKEND * TICKS_PER_SECOND  # each second
+    busy_ticks_per_second = size.load * size.backend_count * SLOTS_PER_BACKEND * TICKS_PER_SECOND
     scenario = Scenario(
         dispatcher_count=size.dispatcher_count,
         backend_count=size.backend_count,
         mean_service_time=size.mean_service_time,
         seconds=DAY_SECONDS,
         discovery_delay=DISCOVERY_DELAY_TICKS,
-        arrival_rate=busy_ticks / size.mean_service_time / size.dispatcher_count,
+        arrival_rate=busy_ticks_per_second / size.mean_service_time / size.dispatcher_count,
         faults=FAULTS[key.faults],
     )
     config = replace(DEFAULT_CONFIG, warm_up_time=WARM_UP_TICKS)
@@ -112,7 +118,7 @@
 
 
 def write_table(path: Path, results: Results) -> None:
-    """One row a day."""
+    """Writes a table with one row for each day."""
     with path.open("w", newline="") as out:
         table = csv.writer(out, lineterminator="\n")
         table.writerow(TABLE_COLUMNS)
@@ -135,54 +141,63 @@
 
 
 def late_per_machine(
-    results: Results, size: Size, faults: str, strategy: Strategy, seeds: int
+    results: Results, size: FleetSize, faults: str, strategy: Strategy, seeds: int
 ) -> list[float]:
-    """By seed, the requests that came late for each machine that was done, beyond those of an idle day."""
+    """Returns, by seed, the additional late requests for each completed machine.
+
+    They are counted against the day without maintenance and with the same seed.
+    """
     costs = []
     for seed in range(1, seeds + 1):
         result = results[RunKey(size, faults, strategy, seed)]
-        idle = results[RunKey(size, faults, Strategy.NO_MAINTENANCE, seed)]
-        late = (idle.in_time_share - result.in_time_share) * result.request_count
+        baseline = results[RunKey(size, faults, Strategy.NO_MAINTENANCE, seed)]
+        late = (baseline.in_time_share - result.in_time_share) * result.request_count
         costs.append(late / max(result.completed_share * size.backend_count, 1))
     return costs
 
 
-def summarize(results: Results, size: Size, faults: str, seeds: int) -> tuple[list[str], list[Point]]:
-    """The lines of a case, and its points on the chart."""
-    days = range(1, seeds + 1)
-    idle_days = [results[RunKey(size, faults, Strategy.NO_MAINTENANCE, day)] for day in days]
-    idle = sum(result.in_time_share for result in idle_days) / seeds
+def summarize(
+    results: Results, size: FleetSize, faults: str, seeds: int
+) -> tuple[list[str], list[ChartPoint]]:
+    """Returns the lines that summarize a case, and its points on the chart."""
+    seed_range = range(1, seeds + 1)
+    baseline_days = [results[RunKey(size, faults, Strategy.NO_MAINTENANCE, seed)] for seed in seed_range]
+    baseline_share = sum(result.in_time_share for result in baseline_days) / seeds
     lines = [
         f"{size.backend_count} runners, {size.dispatcher_count} dispatchers, load {size.load}, {faults}; "
-        f"share in time without any work {idle:.4f}"
+        f"share in time without any work {baseline_share:.4f}"
     ]
     points = []
-    coordinated = late_per_machine(results, size, faults, Strategy.COORDINATOR, seeds)
+    coordinator_costs = late_per_machine(results, size, faults, Strategy.COORDINATOR, seeds)
     for strategy in Strategy:
         if strategy == Strategy.NO_MAINTENANCE:
             continue
-        played = [results[RunKey(size, faults, strategy, day)] for day in days]
+        days = [results[RunKey(size, faults, strategy, seed)] for seed in seed_range]
         costs = late_per_machine(results, size, faults, strategy, seeds)
-        seconds = sum(result.duration_seconds for result in played) / seeds
-        done = sum(result.completed_share for result in played) / seeds
-        mean = sum(costs) / seeds
-        text = f"  {strategy}: {seconds:.1f} s, {done:.2f} of the machines, {mean:.2f} units late a machine"
+        seconds = sum(result.duration_seconds for result in days) / seeds
+        done = sum(result.completed_share for result in days) / seeds
+        mean_cost = sum(costs) / seeds
+        text = (
+            f"  {strategy}: {seconds:.1f} s, {done:.2f} of the machines, {mean_cost:.2f} units late a machine"
+        )
         if strategy != Strategy.COORDINATOR:
-            text += compare(coordinated, costs)
+            text += compare_with_coordinator(coordinator_costs, costs)
         lines.append(text)
         case = f"{size.backend_count}/{size.dispatcher_count} {size.load} {faults}"
-        points.append(Point(case, strategy, seconds, mean))
+        points.append(ChartPoint(case, strategy, seconds, mean_cost))
     return lines, points
 
 
-def compare(coordinated: Sequence[float], costs: Sequence[float]) -> str:
-    """How the coordinator differs from a strategy, with its interval."""
-    difference, low, high = confidence_interval([-cost for cost in coordinated], [-cost for cost in costs])
+def compare_with_coordinator(coordinator_costs: Sequence[float], costs: Sequence[float]) -> str:
+    """Returns a phrase with the difference of the coordinator from a strategy and its confidence interval."""
+    difference, low, high = confidence_interval(
+        [-cost for cost in coordinator_costs], [-cost for cost in costs]
+    )
     return f"; {Strategy.COORDINATOR} {-difference:+.2f} ({-high:+.2f} to {-low:+.2f}): {verdict(low, high)}"
 
 
-def draw_chart(path: Path, points: Sequence[Point]) -> None:
-    """Late requests by the time that a fleet takes, a panel for each case."""
+def draw_chart(path: Path, points: Sequence[ChartPoint]) -> None:
+    """Draws late requests against the duration of the maintenance, with one panel for each case."""
     import matplotlib
     from matplotlib import pyplot
 
@@ -206,14 +221,14 @@
 @click.option("--workers", default=6, show_default=True)
 @click.option("--runners", type=click.Choice(["30", "100", "300"]), required=True)
 def main(seeds: int, workers: int, runners: str) -> None:
-    """Play all days of the fleets of one size, and write table, summary and chart."""
+    """Simulate all days of fleets with this number of backends, and write table, summary and chart."""
     sizes = [size for size in SIZES if size.backend_count == int(runners)]
     name = f"turns-{runners}"
     with ProcessPoolExecutor(workers) as pool:
-        results = dict(pool.map(run_one, run_keys(seeds, sizes)))
+        results = dict(pool.map(run_day, list_run_keys(seeds, sizes)))
     write_table(OUTPUT_DIRECTORY / f"{name}.csv", results)
     lines: list[str] = []
-    points: list[Point] = []
+    points: list[ChartPoint] = []
     for size in sizes:
         for faults in FAULTS:
             case_lines, case_points = summarize(results, size, faults, seeds)
