--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand-in backends and discovery agents of a soak, with the faults that the pages name."""
+"""Fake backends and discovery agents of a soak, with the faults that the pages list."""
 
 import asyncio
 import json
@@ -11,12 +11,13 @@
 from crankfold.fault_injection.stand_ins import StandInServer
 from tests.fixtures import read_message
 from tests.loopback import ACCEPTED, NOT_PROCESSED
-from tests.soak.observations import AttemptEnd, Observations, SeenAttempt
+from tests.soak.observations import AttemptEnd, Observations, ObservedAttempt
 
-RUN_SECONDS = 0.02
-CALLBACK_TRIES = 10
+MEAN_RUN_SECONDS = 0.02
+MAX_CALLBACK_ATTEMPTS = 10
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-# How a backend treats an attempt, with weights; hanging ones among them stay for the rest of the run.
+# Weights of the ways in which a backend handles an attempt. "hang" holds the connection until the dispatcher
+# closes it.
 TREATMENTS = {
     "run": 70,
     "run, 202 late": 6,
@@ -31,56 +32,56 @@
     "run, then reset the idle connection": 4,
 }
 
-ALWAYS_RUN = {"run": 1}
-OFTEN_REFUSED_LATE = {"run": 1, "never ran, said late": 1}
+ALWAYS_RUN_TREATMENTS = {"run": 1}
+OFTEN_LATE_REJECTION_TREATMENTS = {"run": 1, "never ran, said late": 1}
 
 
 def write_if_open(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Writes, unless the peer has reset the connection: asyncio logs a write after that."""
+    """Writes unless the connection is closing; asyncio logs a warning for writes after a reset."""
     if not writer.is_closing():
         writer.write(data)
 
 
-class Server(StandInServer):
-    """A stand-in with work beside its connections."""
+class FakeServer(StandInServer):
+    """A stand-in server that also runs background tasks."""
 
     def __init__(self) -> None:
         super().__init__()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Any) -> None:
-        """Runs a coroutine as a task that ends with the server."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Runs a coroutine as a task that is cancelled when the server stops."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Closes all connections and cancels all tasks."""
         self.abort()
         for task in self.tasks:
             task.cancel()
 
 
-class Backend(Server):
-    """Runs requests and sends callbacks, in the ways that the pages allow."""
+class FakeBackend(FakeServer):
+    """Runs requests and sends callbacks in the ways that the pages allow."""
 
     def __init__(
-        self, name: str, zone: str, seen: Observations, ports: dict[str, int], rng: random.Random
+        self, name: str, zone: str, observations: Observations, ports: dict[str, int], rng: random.Random
     ) -> None:
         super().__init__()
         self.name = name
         self.zone = zone
-        self.seen = seen
-        self.ports = ports  # by dispatcher
+        self.observations = observations
+        self.ports = ports  # by dispatcher name
         self.rng = rng
         self.treatments = TREATMENTS
         self.hanging = False
-        self.running: dict[str, SeenAttempt] = {}
+        self.running: dict[str, ObservedAttempt] = {}
         self.state = "in_service"
         self.boot_ms = 0
 
     def entry(self) -> dict[str, Any]:
-        """As discovery lists it."""
+        """Returns the backend's entry in the endpoint list."""
         return {
             "uid": self.name,
             "endpoint": f"{HOST}:{self.port}",
@@ -92,10 +93,10 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            first = await reader.readexactly(1)
+            first_byte = await reader.readexactly(1)
             begun_at = time.monotonic()
             head, _ = await read_message(reader)
-            head = first.decode() + head
+            head = first_byte.decode() + head
             if head.startswith("DELETE"):
                 request_id = head.split()[1].rpartition("/")[2]
                 if request_id in self.running:
@@ -103,7 +104,7 @@
                 write_if_open(writer, ACCEPTED)
                 continue
             headers = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
-            attempt = SeenAttempt(
+            attempt = ObservedAttempt(
                 headers["x-request-id"],
                 self.name,
                 self.zone,
@@ -111,7 +112,7 @@
                 time.monotonic(),
                 float(headers.get("x-timeout", "0")),
             )
-            self.seen.attempts.append(attempt)
+            self.observations.attempts.append(attempt)
             self.running[attempt.request_id] = attempt
             if not await self._treat(attempt, reader, writer):
                 return
@@ -122,74 +123,76 @@
         return self.rng.choices([*self.treatments], [*self.treatments.values()])[0]
 
     async def _treat(
-        self, attempt: SeenAttempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, attempt: ObservedAttempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answers an attempt; whether the connection goes on."""
-        how = self._draw_treatment()
-        if how in ("error", "never ran", "never ran, said late"):
-            if how == "never ran, said late":
+        """Responds to an attempt and returns whether the connection stays open."""
+        treatment = self._draw_treatment()
+        if treatment in ("error", "never ran", "never ran, said late"):
+            if treatment == "never ran, said late":
                 await asyncio.sleep(self.rng.uniform(0.1, 0.3))
-            self._end(attempt, AttemptEnd.MAY_HAVE_RUN if how == "error" else AttemptEnd.NEVER_RAN)
-            write_if_open(writer, FAILED if how == "error" else NOT_PROCESSED)
+            self._record_end(
+                attempt, AttemptEnd.MAY_HAVE_RUN if treatment == "error" else AttemptEnd.NEVER_RAN
+            )
+            write_if_open(writer, FAILED if treatment == "error" else NOT_PROCESSED)
             return True
-        if how == "reset":
-            self._end(attempt, AttemptEnd.MAY_HAVE_RUN)
+        if treatment == "reset":
+            self._record_end(attempt, AttemptEnd.MAY_HAVE_RUN)
             writer.transport.abort()
             return False
-        if how == "hang":
-            await reader.read(1)  # until the dispatcher closes the connection
+        if treatment == "hang":
+            await reader.read(1)  # returns when the dispatcher closes the connection
             attempt.cancelled_at = time.monotonic()
             return False
-        state = {"returned": "returned", "failed": "failed"}.get(how, "done")
+        state = {"returned": "returned", "failed": "failed"}.get(treatment, "done")
         self.spawn(self._run(attempt, state))
-        if how == "run, 202 late":
+        if treatment == "run, 202 late":
             await asyncio.sleep(self.rng.uniform(0.05, 0.3))
-        if how == "run, 202 in pieces":
-            for byte in range(0, len(ACCEPTED), 10):
-                write_if_open(writer, ACCEPTED[byte : byte + 10])
+        if treatment == "run, 202 in pieces":
+            for offset in range(0, len(ACCEPTED), 10):
+                write_if_open(writer, ACCEPTED[offset : offset + 10])
                 await asyncio.sleep(0.005)
         else:
             write_if_open(writer, ACCEPTED)
-        if how == "run, then reset the idle connection":
+        if treatment == "run, then reset the idle connection":
             await asyncio.sleep(self.rng.uniform(0.0, 0.2))
             writer.transport.abort()
             return False
         return True
 
-    def _end(self, attempt: SeenAttempt, end: AttemptEnd) -> None:
+    def _record_end(self, attempt: ObservedAttempt, end: AttemptEnd) -> None:
         attempt.end = end
         attempt.ended_at = time.monotonic()
 
-    async def _run(self, attempt: SeenAttempt, state: str) -> None:
-        await asyncio.sleep(self.rng.expovariate(1 / RUN_SECONDS))
+    async def _run(self, attempt: ObservedAttempt, state: str) -> None:
+        await asyncio.sleep(self.rng.expovariate(1 / MEAN_RUN_SECONDS))
         ends = {
             "done": AttemptEnd.DONE,
             "returned": AttemptEnd.NEVER_RAN,
             "failed": AttemptEnd.MAY_HAVE_RUN,
         }
-        self._end(attempt, ends[state])
+        self._record_end(attempt, ends[state])
         fields = {"id": attempt.request_id, "from": self.name, "state": state}
         if state == "done":
             fields["result"] = attempt.request_id
         body = json.dumps(fields).encode()
         port = self.ports[attempt.request_id.partition("-")[0]]
-        for _ in range(CALLBACK_TRIES):
+        for _ in range(MAX_CALLBACK_ATTEMPTS):
             try:
                 async with asyncio.timeout(0.5):
                     reader, writer = await asyncio.open_connection(HOST, port)
                     head = f"POST /v1/job-events HTTP/1.1\r\nHost: b\r\nContent-Length: {len(body)}\r\n\r\n"
                     writer.write(head.encode() + body)
-                    answer, _ = await read_message(reader)
+                    response_head, _ = await read_message(reader)
                 writer.close()
-                if answer.split()[1] in ("200", "204"):
+                if response_head.split()[1] in ("200", "204"):
                     return
             except (OSError, TimeoutError, asyncio.IncompleteReadError):
                 pass
             await asyncio.sleep(0.1)
 
 
-class Discovery(Server):
-    """The agent on the machine of one dispatcher."""
+class FakeDiscoveryAgent(FakeServer):
+    """The discovery agent on one dispatcher's machine."""
 
     def __init__(self, entries: Callable[[], list[dict[str, Any]]], rng: random.Random) -> None:
         super().__init__()
@@ -198,16 +201,16 @@
         self.revision = 1
         self.changed = asyncio.Event()
         self.silent = False
-        self.silent_calls = 0  # that came in a silence, and are never answered
+        self.unanswered_requests = 0  # received while silent
         self.in_pieces = False
 
     def reset_connections(self) -> None:
-        """Resets all connections, and goes on listening."""
+        """Resets all connections but keeps listening."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def change(self) -> None:
-        """Changes the revision and answers the watches that wait for it."""
+        """Increments the revision and completes the pending watches."""
         self.revision += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -216,14 +219,14 @@
         while True:
             head, _ = await read_message(reader)
             if self.silent:
-                self.silent_calls += 1
+                self.unanswered_requests += 1
                 await reader.read()
                 return
             if "after=" in head:
-                known, _, wait = head.split("after=")[1].split()[0].partition("&wait_ms=")
-                if int(known) >= self.revision:
+                known_revision, _, wait_ms = head.split("after=")[1].split()[0].partition("&wait_ms=")
+                if int(known_revision) >= self.revision:
                     try:
-                        async with asyncio.timeout(int(wait or 0) / 1000):
+                        async with asyncio.timeout(int(wait_ms or 0) / 1000):
                             await self.changed.wait()
                     except TimeoutError:
                         pass
@@ -231,8 +234,8 @@
                     await reader.read()
                     return
             body = json.dumps({"rev": self.revision, "all": True, "targets": self.entries()}).encode()
-            data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-            step = self.rng.randint(20, 400) if self.in_pieces else len(data)
-            for begin in range(0, len(data), step):
-                write_if_open(writer, data[begin : begin + step])
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+            piece_size = self.rng.randint(20, 400) if self.in_pieces else len(response)
+            for offset in range(0, len(response), piece_size):
+                write_if_open(writer, response[offset : offset + piece_size])
                 await asyncio.sleep(0.002 if self.in_pieces else 0)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they keep connections, leave, stop in the middle, and crowd."""
+"""Clients of a soak, which keep connections open, disconnect early, send partial requests or stay idle."""
 
 import asyncio
 import contextlib
@@ -7,15 +7,15 @@
 
 from crankfold.fault_injection.http_client import HOST
 from tests.fixtures import read_message
-from tests.soak.observations import Observations, RequestClass, SeenRequest, StalledClient
+from tests.soak.observations import Observations, ObservedRequest, RequestClass, StalledClient
 
-PAUSE = 0.05  # seconds between the requests of one client, in the mean
-LEAVE_SHARE = 0.08  # of requests whose client closes its connection before the answer
-STALLED_FOR = 4.5  # seconds that a client that stopped stays
-RESPONSE_GRACE = 1.5  # seconds after a request's deadline until its client closes the connection
+MEAN_PAUSE_SECONDS = 0.05  # between the requests of one client
+LEAVE_SHARE = 0.08  # share of requests whose client closes its connection before the response
+STALL_SECONDS = 4.5  # for which a client that stopped sending keeps its connection open
+RESPONSE_GRACE_SECONDS = 1.5  # from a request's deadline until its client closes the connection
 
 
-class Front:
+class ConnectionBalancer:
     """Distributes new connections over the dispatchers that are in service."""
 
     def __init__(self, ports: dict[str, int], rng: random.Random) -> None:
@@ -24,7 +24,7 @@
         self.serving = set(ports)
 
     async def connect(self) -> tuple[str, asyncio.StreamReader, asyncio.StreamWriter]:
-        """A new connection, and the dispatcher that it leads to."""
+        """Opens a connection and returns the name of its dispatcher and the streams."""
         while True:
             names = sorted(self.serving)
             if names:
@@ -42,17 +42,17 @@
     def __init__(
         self,
         number: int,
-        front: Front,
+        balancer: ConnectionBalancer,
         classes: list[RequestClass],
-        seen: Observations,
+        observations: Observations,
         rng: random.Random,
         leave_share: float,
     ) -> None:
         self.leave_share = leave_share
         self.number = number
-        self.front = front
+        self.balancer = balancer
         self.classes = classes
-        self.seen = seen
+        self.observations = observations
         self.rng = rng
         self.count = 0
         self.reader: asyncio.StreamReader | None = None
@@ -61,26 +61,26 @@
         self.is_new = True
 
     async def run(self, until: float) -> None:
-        """Sends requests until that time."""
+        """Sends requests until that time of the monotonic clock."""
         while time.monotonic() < until:
-            await asyncio.sleep(self.rng.expovariate(1 / PAUSE))
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_PAUSE_SECONDS))
             try:
                 await self._send_one()
             except OSError:
-                self._forget()
-        self._forget()
+                self._close_connection()
+        self._close_connection()
 
-    def _forget(self) -> None:
+    def _close_connection(self) -> None:
         if self.writer:
             self.writer.close()
         self.reader = self.writer = None
 
     async def _send_one(self) -> None:
         if self.reader is None or self.writer is None:
-            self.dispatcher, self.reader, self.writer = await self.front.connect()
+            self.dispatcher, self.reader, self.writer = await self.balancer.connect()
             self.is_new = True
         self.count += 1
-        request = SeenRequest(
+        request = ObservedRequest(
             f"{self.dispatcher}-{self.number}-{self.count}",
             self.dispatcher,
             self.rng.choice(self.classes),
@@ -89,46 +89,46 @@
         )
         self.is_new = False
         data = _encode(request)
-        if self.rng.random() < 0.1:  # in two pieces
+        if self.rng.random() < 0.1:  # sends the request in two pieces
             cut = self.rng.randrange(1, len(data))
             self.writer.write(data[:cut])
             await asyncio.sleep(self.rng.uniform(0, 0.1))
             data = data[cut:]
         if self.reader.at_eof() or self.writer.is_closing():
-            self._forget()  # it ended while nothing was under way
+            self._close_connection()  # the dispatcher closed it before the request was complete
             return
         self.writer.write(data)
         request.sent_at = time.monotonic()
-        self.seen.requests[request.request_id] = request
+        self.observations.requests[request.request_id] = request
         if self.rng.random() < self.leave_share:
             await self._leave(request)
         else:
             await self._receive(request, self.reader)
 
-    async def _leave(self, request: SeenRequest) -> None:
+    async def _leave(self, request: ObservedRequest) -> None:
         await asyncio.sleep(self.rng.choice([0.0, 0.001, 0.01, 0.05, 0.2]))
-        self._forget()
+        self._close_connection()
         request.left_at = time.monotonic()
 
-    async def _receive(self, request: SeenRequest, reader: asyncio.StreamReader) -> None:
+    async def _receive(self, request: ObservedRequest, reader: asyncio.StreamReader) -> None:
         try:
-            async with asyncio.timeout(request.request_class.timeout + RESPONSE_GRACE):
+            async with asyncio.timeout(request.request_class.timeout + RESPONSE_GRACE_SECONDS):
                 head, body = await read_message(reader)
         except TimeoutError:
-            self._forget()
-            return  # no answer: the judge finds it
+            self._close_connection()
+            return  # the judge reports the missing response
         except (asyncio.IncompleteReadError, OSError):
             request.closed_at = time.monotonic()
-            self._forget()
+            self._close_connection()
             return
         request.answered_at = time.monotonic()
         request.status = int(head.split()[1])
         request.body = body
         if "connection: close" in head.lower():
-            self._forget()
+            self._close_connection()
 
 
-def _encode(request: SeenRequest) -> bytes:
+def _encode(request: ObservedRequest) -> bytes:
     request_class = request.request_class
     key = f"Idempotency-Key: {request.request_id}\r\n" if request_class.effect == "keyed" else ""
     return (
@@ -138,26 +138,28 @@
     ).encode()
 
 
-async def stall(front: Front, request_class: RequestClass, seen: Observations, rng: random.Random) -> None:
-    """Stops in the middle of a request, and stays."""
-    name, reader, writer = await front.connect()
-    request = SeenRequest(f"{name}-stalled-{rng.random()}", name, request_class, True, 0.0)
+async def send_partial_request(
+    balancer: ConnectionBalancer, request_class: RequestClass, observations: Observations, rng: random.Random
+) -> None:
+    """Sends a part of a request and keeps the connection open."""
+    name, reader, writer = await balancer.connect()
+    request = ObservedRequest(f"{name}-stalled-{rng.random()}", name, request_class, True, 0.0)
     data = _encode(request)
     writer.write(data[: rng.randrange(1, len(data))])
     client = StalledClient(time.monotonic())
-    seen.stalled.append(client)
+    observations.stalled.append(client)
     with contextlib.suppress(OSError, TimeoutError):
-        async with asyncio.timeout(STALLED_FOR):
+        async with asyncio.timeout(STALL_SECONDS):
             await reader.read()
     client.ended_at = time.monotonic()
     writer.close()
 
 
-async def crowd(front: Front, size: int, seconds: float) -> None:
-    """Connects many times, says nothing, and stays."""
+async def open_idle_connections(balancer: ConnectionBalancer, size: int, seconds: float) -> None:
+    """Opens connections, sends nothing on them and aborts them after some seconds."""
     writers = []
     for _ in range(size):
-        _, _, writer = await front.connect()
+        _, _, writer = await balancer.connect()
         writers.append(writer)
     await asyncio.sleep(seconds)
     for writer in writers:
--- a/tests/soak/configuration.py
+++ b/tests/soak/configuration.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from crankfold.fault_injection.http_client import HOST
-from tests.soak.judge import ColdStart
+from tests.soak.judge import SlowStartSettings
 from tests.soak.observations import RequestClass
 from tests.soak.plan import RunPlan
 
@@ -57,8 +57,8 @@
 def _rule_settings() -> dict[str, Any]:
     return {
         "drain-grace": 300_000,
-        "cold-from": ColdStart.initial_capacity,
-        "warm-after": int(ColdStart.warm_up * MICROSECONDS),
-        "overload-factor": ColdStart.factor,
-        "overload-for": int(ColdStart.span * MICROSECONDS),
+        "cold-from": SlowStartSettings.initial_capacity,
+        "warm-after": int(SlowStartSettings.warm_up * MICROSECONDS),
+        "overload-factor": SlowStartSettings.factor,
+        "overload-for": int(SlowStartSettings.span * MICROSECONDS),
     }
--- a/tests/soak/dispatcher.py
+++ b/tests/soak/dispatcher.py
@@ -18,7 +18,7 @@
 from tests.soak.observations import Observations
 
 ROOT = Path(__file__).parents[2]
-READY_TIMEOUT = 15.0  # seconds
+READY_TIMEOUT_SECONDS = 15.0
 EARLY_SIGNAL_DELAY = 0.15  # seconds from the start of a process that is ended before it is ready
 # Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
 # the schema, holds it up for 0.1 s of processor time in place of 15 ms.
@@ -38,7 +38,7 @@
     )
 
 
-class Dispatcher:
+class DispatcherProcess:
     """One process of the program, restarted under the same name and address."""
 
     def __init__(self, name: str, port: int, folder: Path, faults: ProcessFaults) -> None:
@@ -51,30 +51,32 @@
         self.ready = False  # it has said so, and is not told to end
         self.config_lock = asyncio.Lock()  # held while the file is changed, and while a process starts
 
-    async def start(self, seen: Observations, *, early_signal: bool = False) -> None:
+    async def start(self, observations: Observations, *, early_signal: bool = False) -> None:
         """Starts it and waits until it says that it serves."""
         begin = time.monotonic()
         if early_signal:
-            await self._end_before_ready(seen)
+            await self._end_before_ready(observations)
         self.process = await self._spawn()
         while not await self._is_ready():
-            if time.monotonic() - begin > READY_TIMEOUT or self.process.returncode is not None:
-                seen.exits.append(f"{self.name} did not start: {self.process.returncode}")
+            if time.monotonic() - begin > READY_TIMEOUT_SECONDS or self.process.returncode is not None:
+                observations.exits.append(f"{self.name} did not start: {self.process.returncode}")
                 return
             await asyncio.sleep(0.02)
         self.ready = True
-        seen.slowest_start = max(seen.slowest_start, time.monotonic() - begin)
-        seen.starts.append((self.name, begin, time.monotonic()))
+        observations.slowest_start = max(observations.slowest_start, time.monotonic() - begin)
+        observations.starts.append((self.name, begin, time.monotonic()))
 
-    async def _end_before_ready(self, seen: Observations) -> None:
+    async def _end_before_ready(self, observations: Observations) -> None:
         process = await self._spawn()
         await asyncio.sleep(EARLY_SIGNAL_DELAY)
         process.send_signal(signal.SIGTERM)  # before it is ready, and twice
         process.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(process.wait(), READY_TIMEOUT)
+            await asyncio.wait_for(process.wait(), READY_TIMEOUT_SECONDS)
         except TimeoutError:
-            seen.exits.append(f"{self.name} did not end by an early SIGTERM within {READY_TIMEOUT:.0f} s")
+            observations.exits.append(
+                f"{self.name} did not end by an early SIGTERM within {READY_TIMEOUT_SECONDS:.0f} s"
+            )
             process.kill()
             await process.wait()
 
@@ -103,12 +105,12 @@
             return False
         return head.split()[1] == "200"
 
-    async def end(self, kill_after: float, rng: random.Random, seen: Observations) -> None:
+    async def stop(self, kill_after: float, rng: random.Random, observations: Observations) -> None:
         """SIGTERM, other signals that cross it, and SIGKILL at the earliest moment."""
         assert self.process
         self.ready = False
         if self.process.returncode is not None:
-            seen.exits.append(f"{self.name} ended by itself: {self.process.returncode}")
+            observations.exits.append(f"{self.name} ended by itself: {self.process.returncode}")
             return
         for number in rng.sample([signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP, signal.SIGTERM], 3):
             self.process.send_signal(number)
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from math import sqrt
 
-from tests.soak.observations import AttemptEnd, Observations, RequestClass, SeenAttempt, SeenRequest
+from tests.soak.observations import AttemptEnd, Observations, ObservedAttempt, ObservedRequest, RequestClass
 
 SOCKET_SLACK = 0.05
 ANSWER_SLACK = 0.5  # up to so long after its time an answer only earns nothing
@@ -17,7 +17,7 @@
 SHED = (429, 503)
 
 
-class ColdStart:
+class SlowStartSettings:
     """The settings of slow start, and how much a backend carries."""
 
     initial_capacity = 0.2
@@ -27,28 +27,30 @@
     requests_per_second = 80.0  # of a warm backend, of the mean work
 
 
-def judge(seen: Observations) -> list[str]:
+def judge(observations: Observations) -> list[str]:
     """What was broken, a line each; none where all clauses hold."""
-    by_request: dict[str, list[SeenAttempt]] = defaultdict(list)
-    for attempt in sorted(seen.attempts, key=lambda one: one.begun_at):
+    by_request: dict[str, list[ObservedAttempt]] = defaultdict(list)
+    for attempt in sorted(observations.attempts, key=lambda one: one.begun_at):
         by_request[attempt.request_id].append(attempt)
-    broken = [f"process: {exit_line}" for exit_line in seen.exits]
-    if seen.slowest_start > START_LIMIT:
-        broken.append(f"process: ready after {seen.slowest_start:.1f} s")
-    for request in seen.requests.values():
+    broken = [f"process: {exit_line}" for exit_line in observations.exits]
+    if observations.slowest_start > START_LIMIT:
+        broken.append(f"process: ready after {observations.slowest_start:.1f} s")
+    for request in observations.requests.values():
         attempts = by_request.get(request.request_id, [])
-        broken += _judge_answer(request, attempts, seen)
-        broken += _judge_attempts(request, attempts, seen)
-    broken += _judge_drains(seen)
-    broken += _judge_slow_start(seen)
-    for client in seen.stalled:
-        end = client.ended_at or seen.ended_at
+        broken += _judge_answer(request, attempts, observations)
+        broken += _judge_attempts(request, attempts, observations)
+    broken += _judge_drains(observations)
+    broken += _judge_slow_start(observations)
+    for client in observations.stalled:
+        end = client.ended_at or observations.ended_at
         if end - client.begun_at > STALL_LIMIT + SOCKET_SLACK:
             broken.append(f"stalled: a client that stopped was kept for {end - client.begun_at:.2f} s")
     return broken
 
 
-def _judge_answer(request: SeenRequest, attempts: list[SeenAttempt], seen: Observations) -> list[str]:
+def _judge_answer(
+    request: ObservedRequest, attempts: list[ObservedAttempt], observations: Observations
+) -> list[str]:
     name = f"{request.request_id} ({request.request_class.effect})"
     if request.left_at:
         return []
@@ -63,34 +65,40 @@
             broken.append(f"duplicate: {name} was shed though it may have run")
         return broken
     if not request.closed_at:
-        return [f"lost: {name} got no answer"] if seen.ended_at > due + ANSWER_SLACK + SOCKET_SLACK else []
+        return (
+            [f"lost: {name} got no answer"]
+            if observations.ended_at > due + ANSWER_SLACK + SOCKET_SLACK
+            else []
+        )
     if attempts:
         return [f"lost: {name} was forwarded, and its connection closed"]
-    if request.on_new_connection and not seen.crowded:
+    if request.on_new_connection and not observations.crowded:
         return [f"lost: {name} was closed on without an answer on a new connection"]
     return []  # a close between requests that crosses one: the client sends it once more
 
 
-def _may_be_shed(request_class: RequestClass, attempts: list[SeenAttempt]) -> bool:
+def _may_be_shed(request_class: RequestClass, attempts: list[ObservedAttempt]) -> bool:
     if request_class.effect == "safe":
         return True
     return all(attempt.end is AttemptEnd.NEVER_RAN for attempt in attempts)
 
 
-def _judge_attempts(request: SeenRequest, attempts: list[SeenAttempt], seen: Observations) -> list[str]:
+def _judge_attempts(
+    request: ObservedRequest, attempts: list[ObservedAttempt], observations: Observations
+) -> list[str]:
     broken = []
     name = f"{request.request_id} ({request.request_class.effect})"
     deadline = request.sent_at + request.request_class.timeout
     for number, attempt in enumerate(attempts):
-        delay = seen.delay_between(request.left_at or request.sent_at, attempt.begun_at)
+        delay = observations.delay_between(request.left_at or request.sent_at, attempt.begun_at)
         left_for = attempt.begun_at - request.left_at
-        if request.left_at and seen.is_late(left_for, CLIENT_GONE_GRACE + SOCKET_SLACK, delay):
+        if request.left_at and observations.is_late(left_for, CLIENT_GONE_GRACE + SOCKET_SLACK, delay):
             broken.append(f"gone: {name} sent {left_for:.3f} s after its client left")
         over = attempt.timeout - (deadline - attempt.begun_at)
-        if seen.is_late(over, TIMEOUT_SLACK + SOCKET_SLACK, delay):
+        if observations.is_late(over, TIMEOUT_SLACK + SOCKET_SLACK, delay):
             broken.append(f"time: {name} passed on {over:.3f} s more than was left")
         answered = request.answered_at or float("inf")
-        if seen.is_late(attempt.begun_at - answered, SOCKET_SLACK, delay):
+        if observations.is_late(attempt.begun_at - answered, SOCKET_SLACK, delay):
             broken.append(f"answered: {name} sent {attempt.begun_at - answered:.3f} s after its answer")
         for earlier in attempts[:number]:
             broken += _judge_pair(name, request.request_class, earlier, attempt)
@@ -98,7 +106,7 @@
 
 
 def _judge_pair(
-    name: str, request_class: RequestClass, earlier: SeenAttempt, later: SeenAttempt
+    name: str, request_class: RequestClass, earlier: ObservedAttempt, later: ObservedAttempt
 ) -> list[str]:
     over = min(earlier.ended_at, earlier.cancelled_at)
     if earlier.backend == later.backend and over > later.begun_at + SOCKET_SLACK:
@@ -115,16 +123,18 @@
     return []
 
 
-def _judge_drains(seen: Observations, grace: float = 0.3) -> list[str]:
+def _judge_drains(observations: Observations, grace: float = 0.3) -> list[str]:
     broken = []
-    for attempt in seen.attempts:
-        request = seen.requests.get(attempt.request_id)
+    for attempt in observations.attempts:
+        request = observations.requests.get(attempt.request_id)
         if request is None:
             continue
-        announced_at = seen.drain_announced_at.get((request.dispatcher, attempt.backend), float("inf"))
-        delay = seen.delay_between(announced_at, attempt.begun_at)
+        announced_at = observations.drain_announced_at.get(
+            (request.dispatcher, attempt.backend), float("inf")
+        )
+        delay = observations.delay_between(announced_at, attempt.begun_at)
         late = attempt.begun_at - announced_at
-        if seen.is_late(late, grace + SOCKET_SLACK, delay):
+        if observations.is_late(late, grace + SOCKET_SLACK, delay):
             broken.append(
                 f"drain: {attempt.request_id} to {attempt.backend} {late:.2f} s after it was told, "
                 f"{delay:.2f} s of it without a processor"
@@ -132,21 +142,29 @@
     return broken
 
 
-def _judge_slow_start(seen: Observations) -> list[str]:
+def _judge_slow_start(observations: Observations) -> list[str]:
     broken = []
-    for backend, announced_at in seen.start_announced_at.items():
+    for backend, announced_at in observations.start_announced_at.items():
         times = sorted(
             one.received_at
-            for one in seen.attempts
+            for one in observations.attempts
             if one.backend == backend and one.received_at > announced_at
         )
         for first, begin in enumerate(times):
-            within = [at for at in times[first:] if at - begin < ColdStart.span]
+            within = [at for at in times[first:] if at - begin < SlowStartSettings.span]
             age = within[-1] - announced_at
-            if age > ColdStart.warm_up:
+            if age > SlowStartSettings.warm_up:
                 break
-            share = ColdStart.initial_capacity + (1 - ColdStart.initial_capacity) * age / ColdStart.warm_up
-            allowed = ColdStart.factor * share * ColdStart.requests_per_second * ColdStart.span
+            share = (
+                SlowStartSettings.initial_capacity
+                + (1 - SlowStartSettings.initial_capacity) * age / SlowStartSettings.warm_up
+            )
+            allowed = (
+                SlowStartSettings.factor
+                * share
+                * SlowStartSettings.requests_per_second
+                * SlowStartSettings.span
+            )
             chance = 2 * sqrt(allowed) + 2 if allowed >= 30 else 3 * sqrt(allowed) + 3
             if len(within) > allowed + chance:
                 broken.append(
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class SeenAttempt:
+class ObservedAttempt:
     """A request that a backend received completely."""
 
     request_id: str
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class SeenRequest:
+class ObservedRequest:
     """A request that a client wrote whole."""
 
     request_id: str
@@ -68,8 +68,8 @@
 class Observations:
     """Everything that the stand-ins of one run recorded."""
 
-    requests: dict[str, SeenRequest] = field(default_factory=dict)
-    attempts: list[SeenAttempt] = field(default_factory=list)
+    requests: dict[str, ObservedRequest] = field(default_factory=dict)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
     stalled: list[StalledClient] = field(default_factory=list)
     drain_announced_at: dict[tuple[str, str], float] = field(
         default_factory=dict
--- a/tests/soak/service_signals.py
+++ b/tests/soak/service_signals.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from tests.soak.dispatcher import Dispatcher
+from tests.soak.dispatcher import DispatcherProcess
 
 PAUSE = 0.4  # seconds between two series, in the mean
 MAX_SERIES = 4  # signals
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        dispatchers: dict[str, Dispatcher],
+        dispatchers: dict[str, DispatcherProcess],
         rng: random.Random,
         move_discovery: Callable[[str], Awaitable[int]],
     ) -> None:
@@ -66,19 +66,19 @@
     def _draw(self) -> signal.Signals:
         return self.rng.choice([signal.SIGHUP, signal.SIGUSR1])
 
-    def _send(self, dispatcher: Dispatcher, number: signal.Signals) -> None:
+    def _send(self, dispatcher: DispatcherProcess, number: signal.Signals) -> None:
         if dispatcher.ready and dispatcher.process and dispatcher.process.returncode is None:
             dispatcher.process.send_signal(number)
             self.sent += 1
 
     @staticmethod
-    def _change_settings(dispatcher: Dispatcher) -> None:
+    def _change_settings(dispatcher: DispatcherProcess) -> None:
         document: dict[str, Any] = json.loads(dispatcher.config.read_text())
         allowed = document["settings"]["allowed"]
         allowed["most-dispatches"] = 7 - allowed["most-dispatches"]  # 3 and 4 by turns
         dispatcher.config.write_text(json.dumps(document))
 
-    async def _reload_invalid_file(self, dispatcher: Dispatcher) -> None:
+    async def _reload_invalid_file(self, dispatcher: DispatcherProcess) -> None:
         text = dispatcher.config.read_text()
         dispatcher.config.write_text(text[: self.rng.randrange(len(text) - 1)])
         self._send(dispatcher, signal.SIGHUP)
--- a/tests/soak/silence.py
+++ b/tests/soak/silence.py
@@ -1,6 +1,6 @@
-"""Forced plays: discovery falls silent, comes back with a drain, and something else happens in the silence.
+"""Runs in which discovery stops responding, then announces a drain, with one other event in between.
 
-`python -m tests.soak.silence COUNT [CASE ...]` plays each case that often and reports the latest attempts.
+`python -m tests.soak.silence COUNT [CASE ...]` plays each case COUNT times and reports the latest attempts.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 from typing import Any
 
 from crankfold.fault_injection.http_client import HOST, find_free_port
-from tests.soak.backends import ALWAYS_RUN, Discovery
-from tests.soak.clients import Client, Front
-from tests.soak.dispatcher import Dispatcher, compile_program
+from tests.soak.backends import ALWAYS_RUN_TREATMENTS, FakeDiscoveryAgent
+from tests.soak.clients import Client, ConnectionBalancer
+from tests.soak.dispatcher import DispatcherProcess, compile_program
 from tests.soak.faulty_process import ProcessFaults
 from tests.soak.observations import RequestClass
 from tests.soak.plan import RunPlan
@@ -27,14 +27,14 @@
 
 CLASSES = (RequestClass("safe", "safe", 1.0),)
 CLIENTS = 8
-LEAD_SECONDS = 0.4  # of load before the silence
-SILENCE_SECONDS = (0.5, 1.5)  # shortest and longest, before the event of the case
+LEAD_SECONDS = 0.4  # of load before the agent falls silent
+SILENCE_SECONDS = (0.5, 1.5)  # minimum and maximum, before the event of the case
 LOAD_AFTER_RETURN_SECONDS = 0.8
 FIRST, SUCCESSOR, MOVED = "d0", "successor", "moved"
 
 
 class SilencePlay(SoakRun):
-    """One dispatcher and two backends, of which the first drains at the end of the silence."""
+    """A run of one dispatcher and two backends; the first backend drains at the end of the silence."""
 
     def __init__(self, case: str, seed: int, folder: Path) -> None:
         super().__init__(
@@ -53,33 +53,38 @@
         )
         self.case = case
         self.latest_attempt = 0.0  # seconds from the drain to the last attempt at the drained backend
-        self.more_clients: list[asyncio.Task[None]] = []
+        self.client_tasks: list[asyncio.Task[None]] = []
         for backend in self.backends:
-            backend.treatments = ALWAYS_RUN
+            backend.treatments = ALWAYS_RUN_TREATMENTS
 
     async def _start_and_play_load(self) -> None:
         await self._start_dispatcher(FIRST, admin_port=find_free_port())
-        self.front.serving = {FIRST}
-        watching = asyncio.create_task(self._watch_stalls())
+        self.balancer.serving = {FIRST}
+        stall_watcher = asyncio.create_task(self._watch_stalls())
         async with asyncio.TaskGroup() as tasks:
-            self._send_load(tasks, self.front)
+            self._send_load(tasks, self.balancer)
             await asyncio.sleep(LEAD_SECONDS)
             self._set_silent(True)
             await asyncio.sleep(self.rng.uniform(*SILENCE_SECONDS))
             await CASES[self.case](self, tasks)
-            self._return_with_a_drain()
+            self._end_silence_with_drain()
             await asyncio.sleep(LOAD_AFTER_RETURN_SECONDS)
             self.load_ended = True
-        watching.cancel()
-        self._measure()
+        stall_watcher.cancel()
+        self._record_latest_attempt()
 
-    def _send_load(self, tasks: asyncio.TaskGroup, front: Front) -> None:
+    def _send_load(self, tasks: asyncio.TaskGroup, balancer: ConnectionBalancer) -> None:
         self.load_ended = False
         for number in range(CLIENTS):
             client = Client(
-                len(self.more_clients) + number, front, list(CLASSES), self.seen, self.rng, leave_share=0.0
+                len(self.client_tasks) + number,
+                balancer,
+                list(CLASSES),
+                self.observations,
+                self.rng,
+                leave_share=0.0,
             )
-            self.more_clients.append(tasks.create_task(self._send_until_ended(client)))
+            self.client_tasks.append(tasks.create_task(self._send_until_ended(client)))
 
     async def _send_until_ended(self, client: Client) -> None:
         while not self.load_ended:
@@ -89,41 +94,41 @@
         for discovery in self.discoveries.values():
             discovery.silent = silent
 
-    def _return_with_a_drain(self) -> None:
+    def _end_silence_with_drain(self) -> None:
         drained = self.backends[0]
         drained.state = "terminating"
         self._set_silent(False)
         self._announce_change()
         for name in self.dispatchers:
-            self.seen.drain_announced_at[name, drained.name] = time.monotonic()
+            self.observations.drain_announced_at[name, drained.name] = time.monotonic()
 
-    def _measure(self) -> None:
-        drained_at = min(self.seen.drain_announced_at.values())
-        late = [
+    def _record_latest_attempt(self) -> None:
+        drained_at = min(self.observations.drain_announced_at.values())
+        delays = [
             attempt.begun_at - drained_at
-            for attempt in self.seen.attempts
+            for attempt in self.observations.attempts
             if attempt.backend == self.backends[0].name
         ]
-        self.latest_attempt = max([0.0, *late])
+        self.latest_attempt = max([0.0, *delays])
 
-    # --- what happens in the silence ---
+    # --- events during the silence ---
 
-    async def send_signals(self, numbers: tuple[signal.Signals, ...], _tasks: asyncio.TaskGroup) -> None:
-        """Signals in series, the last one 0.05 to 0.15 s before the return."""
+    async def send_signals(self, signals: tuple[signal.Signals, ...], _tasks: asyncio.TaskGroup) -> None:
+        """Sends signals one after the other, the last one 0.05 to 0.15 s before the silence ends."""
         process = self.dispatchers[FIRST].process
         assert process
-        for number in numbers:
-            process.send_signal(number)
+        for signal_number in signals:
+            process.send_signal(signal_number)
             await asyncio.sleep(self.rng.uniform(0.05, 0.15))
 
     async def reload_invalid_file(self, tasks: asyncio.TaskGroup) -> None:
-        """SIGHUP with a file that is cut short."""
+        """Sends SIGHUP after truncating the configuration file."""
         config = self.dispatchers[FIRST].config
         config.write_text(config.read_text()[:100])
         await self.send_signals((signal.SIGHUP,), tasks)
 
     async def reload_changed_settings(self, tasks: asyncio.TaskGroup) -> None:
-        """SIGHUP with other settings and the same address."""
+        """Sends SIGHUP after changing settings, with the same discovery address."""
         config = self.dispatchers[FIRST].config
         document = json.loads(config.read_text())
         document["settings"]["allowed"]["most-dispatches"] += 1
@@ -131,7 +136,7 @@
         await self.send_signals((signal.SIGHUP,), tasks)
 
     async def reload_changed_address(self, _tasks: asyncio.TaskGroup) -> None:
-        """SIGHUP moves the watch to another agent, which is silent too."""
+        """Sends SIGHUP after changing the discovery address to another agent, which is silent too."""
         agent = await self._open_silent_agent(MOVED)
         config = self.dispatchers[FIRST].config
         document = json.loads(config.read_text())
@@ -140,49 +145,51 @@
         process = self.dispatchers[FIRST].process
         assert process
         process.send_signal(signal.SIGHUP)
-        await self._until_called(agent)
+        await self._wait_for_request(agent)
 
-    async def reset_the_watch(self, _tasks: asyncio.TaskGroup) -> None:
-        """The agent resets all connections; the watch is repeated in the silence."""
+    async def reset_watch(self, _tasks: asyncio.TaskGroup) -> None:
+        """Resets the agent's connections, so that the dispatcher repeats its watch during the silence."""
         agent = self.discoveries[FIRST]
-        agent.silent_calls = 0
+        agent.unanswered_requests = 0
         agent.reset_connections()
-        await self._until_called(agent)
+        await self._wait_for_request(agent)
 
-    async def start_another(self, tasks: asyncio.TaskGroup) -> None:
-        """Another dispatcher starts, and has clients as soon as it serves."""
+    async def start_second_dispatcher(self, tasks: asyncio.TaskGroup) -> None:
+        """Starts another dispatcher, which receives load as soon as it serves."""
         name = "d1"
         agent = await self._open_silent_agent(name)
-        tasks.create_task(self._start_with_load(tasks, name, agent))
-        await self._until_called(agent)
+        tasks.create_task(self._start_dispatcher_with_load(tasks, name, agent))
+        await self._wait_for_request(agent)
 
     async def take_over(self, tasks: asyncio.TaskGroup) -> None:
-        """A successor takes the clients' address over; its predecessor is told to end once it serves."""
+        """Starts a successor on the same address, which ends its predecessor once it serves."""
         agent = await self._open_silent_agent(SUCCESSOR)
         predecessor = self.dispatchers[FIRST]
-        tasks.create_task(self._replace(predecessor, agent))
-        await self._until_called(agent)
+        tasks.create_task(self._replace_dispatcher(predecessor, agent))
+        await self._wait_for_request(agent)
 
-    async def _open_silent_agent(self, name: str) -> Discovery:
+    async def _open_silent_agent(self, name: str) -> FakeDiscoveryAgent:
         agent = self.discoveries[name] = self._discovery(name)
         agent.silent = True
         await agent.open()
         return agent
 
-    async def _until_called(self, agent: Discovery) -> None:
-        while not agent.silent_calls:  # noqa: ASYNC110 - a call sets no event
+    async def _wait_for_request(self, agent: FakeDiscoveryAgent) -> None:
+        while not agent.unanswered_requests:  # noqa: ASYNC110 - a request sets no event
             await asyncio.sleep(0.002)
         await asyncio.sleep(self.rng.uniform(0.01, 0.08))
 
-    async def _start_with_load(self, tasks: asyncio.TaskGroup, name: str, agent: Discovery) -> None:
+    async def _start_dispatcher_with_load(
+        self, tasks: asyncio.TaskGroup, name: str, agent: FakeDiscoveryAgent
+    ) -> None:
         await self._start_dispatcher(name, agent=agent)
-        front = Front(self.ports, self.rng)
-        front.serving = {name}
-        self._send_load(tasks, front)
+        balancer = ConnectionBalancer(self.ports, self.rng)
+        balancer.serving = {name}
+        self._send_load(tasks, balancer)
 
-    async def _replace(self, predecessor: Dispatcher, agent: Discovery) -> None:
+    async def _replace_dispatcher(self, predecessor: DispatcherProcess, agent: FakeDiscoveryAgent) -> None:
         assert predecessor.process
-        successor = Dispatcher(FIRST, predecessor.port, self.folder, predecessor.faults)
+        successor = DispatcherProcess(FIRST, predecessor.port, self.folder, predecessor.faults)
         successor.config = self.folder / f"{SUCCESSOR}.json"
         document = json.loads(predecessor.config.read_text())
         document["admin_addr"] = f"{HOST}:{find_free_port()}"
@@ -190,9 +197,9 @@
         successor.config.write_text(json.dumps(document))
         self.dispatchers[FIRST] = successor
         try:
-            await successor.start(self.seen)
+            await successor.start(self.observations)
             predecessor.process.send_signal(signal.SIGTERM)
-            with contextlib.suppress(TimeoutError):  # it may be killed then
+            with contextlib.suppress(TimeoutError):  # is killed below
                 await asyncio.wait_for(predecessor.process.wait(), self.kill_after)
         finally:
             if predecessor.process.returncode is None:
@@ -203,8 +210,8 @@
 Case = Callable[[SilencePlay, asyncio.TaskGroup], Awaitable[None]]
 
 
-def _signals(*numbers: signal.Signals) -> Case:
-    return lambda play, tasks: play.send_signals(numbers, tasks)
+def _signals(*signals: signal.Signals) -> Case:
+    return lambda play, tasks: play.send_signals(signals, tasks)
 
 
 CASES: dict[str, Case] = {
@@ -215,21 +222,21 @@
     "SIGHUP, changed settings": SilencePlay.reload_changed_settings,
     "SIGHUP, changed address": SilencePlay.reload_changed_address,
     "SIGHUP, invalid file": SilencePlay.reload_invalid_file,
-    "watch reset": SilencePlay.reset_the_watch,
-    "start": SilencePlay.start_another,
+    "watch reset": SilencePlay.reset_watch,
+    "start": SilencePlay.start_second_dispatcher,
     "takeover": SilencePlay.take_over,
 }
 
 
 def play_silence(case: str, seed: int) -> tuple[list[str], float]:
-    """Plays a case.
+    """Plays a case with a seed.
 
     Returns:
         The broken clauses, and how many seconds after the drain the last attempt at the backend began.
     """
     compile_program()
     with tempfile.TemporaryDirectory(prefix="crankfold-soak-") as folder:
-        os.environ["TMPDIR"] = folder  # where a dispatcher leaves its handover socket
+        os.environ["TMPDIR"] = folder  # the directory of a dispatcher's handover socket
         play = SilencePlay(case, seed, Path(folder))
         return asyncio.run(play.play()), play.latest_attempt
 
@@ -238,19 +245,19 @@
     """Plays the cases and reports each with its latest attempts."""
     count = int(sys.argv[1])
     cases = sys.argv[2:] or list(CASES)
-    all_broken = 0
+    broken_count = 0
     with process_pool() as pool:
         for case in cases:
             results: list[Any] = list(pool.map(partial(play_silence, case), range(1, count + 1)))
             broken = [lines for lines, _ in results if lines]
             latest = sorted(late for _, late in results)
-            all_broken += len(broken)
+            broken_count += len(broken)
             print(
                 f"{case}: {count - len(broken)} of {count} held; latest attempts after the drain "
                 f"{', '.join(f'{late:.2f}' for late in latest[-5:])} s; {broken[:2]}",
                 flush=True,
             )
-    sys.exit(all_broken > 0)
+    sys.exit(broken_count > 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from tests.soak.dispatcher import Dispatcher
+from tests.soak.dispatcher import DispatcherProcess
 from tests.soak.faulty_process import ProcessFaults
 from tests.soak.observations import Observations
 from tests.soak.plan import RunPlan
@@ -40,7 +40,7 @@
 
 class EarlySignal(unittest.IsolatedAsyncioTestCase):
     async def test_a_process_that_outlives_early_signals_is_recorded_and_killed(self) -> None:
-        async def spawn_deaf(_dispatcher: Dispatcher) -> asyncio.subprocess.Process:
+        async def spawn_deaf(_dispatcher: DispatcherProcess) -> asyncio.subprocess.Process:
             self.process = await asyncio.create_subprocess_exec(
                 *("sh", "-c", "trap '' TERM; echo deaf; exec sleep 60"), stdout=asyncio.subprocess.PIPE
             )
@@ -48,14 +48,14 @@
             await self.process.stdout.readline()
             return self.process
 
-        seen = Observations()
-        dispatcher = Dispatcher("d0", 0, Path(), ProcessFaults())
+        observations = Observations()
+        dispatcher = DispatcherProcess("d0", 0, Path(), ProcessFaults())
         with (
-            patch.object(Dispatcher, "_spawn", spawn_deaf),
-            patch("tests.soak.dispatcher.READY_TIMEOUT", 0.1),
+            patch.object(DispatcherProcess, "_spawn", spawn_deaf),
+            patch("tests.soak.dispatcher.READY_TIMEOUT_SECONDS", 0.1),
         ):
-            await dispatcher._end_before_ready(seen)
-        self.assertEqual(seen.exits, ["d0 did not end by an early SIGTERM within 0 s"])
+            await dispatcher._end_before_ready(observations)
+        self.assertEqual(observations.exits, ["d0 did not end by an early SIGTERM within 0 s"])
         self.assertIsNotNone(self.process.returncode)
 
 
@@ -67,7 +67,7 @@
         with (
             tempfile.TemporaryDirectory() as folder,
             patch.object(SoakRun, "_start_dispatcher", hang),
-            patch("tests.soak.run.RUN_TIMEOUT", 0.1),
+            patch("tests.soak.run.RUN_TIMEOUT_SECONDS", 0.1),
         ):
             broken = await SoakRun(RunPlan.draw(SEEDS[0]), Path(folder)).play()
         self.assertEqual(len(broken), 1, broken)
--- a/tests/terms/test_discovery.py
+++ b/tests/terms/test_discovery.py
@@ -9,7 +9,7 @@
 from crankfold.network.discovery_watcher import LONG_POLL_MS, DiscoveryWatcher
 from crankfold.network.metrics import Metrics
 from tests.loopback import LoopbackTestCase
-from tests.soak.backends import Discovery
+from tests.soak.backends import FakeDiscoveryAgent
 
 DRAIN_GRACE = 0.3  # seconds
 
@@ -18,9 +18,9 @@
     async def test_a_drain_at_the_end_of_a_short_silence_is_heard_within_the_grace(self) -> None:
         """The wait of the watch ends while the agent is silent: the answer to it never comes."""
         entries: list[dict[str, Any]] = [{"uid": "a", "endpoint": f"{HOST}:9", "state": "in_service"}]
-        agent = Discovery(lambda: entries, random.Random(1))
+        agent = FakeDiscoveryAgent(lambda: entries, random.Random(1))
         await agent.open()
-        self.addCleanup(agent.end)
+        self.addCleanup(agent.stop)
         loop = asyncio.get_running_loop()
         changed_at: list[float] = []
         watcher = DiscoveryWatcher(
