--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A seeded soak: real processes over loopback under many faults, judged by the users' pages alone.
+"""A seeded soak: dispatcher processes on loopback under many faults, checked only against the users' pages.
 
-`python -m tests.soak FIRST LAST` plays those seeds and reports each; CI plays a few (`test_soak.py`).
+`python -m tests.soak FIRST LAST` plays those seeds and reports on each; CI plays a few (`test_soak.py`).
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soak FIRST LAST`: plays those seeds, a few at a time, and reports each."""
+"""`python -m tests.soak FIRST LAST` plays those seeds, a few in parallel, and reports on each."""
 
 import sys
 
@@ -8,13 +8,13 @@
 def main() -> None:
     """Plays the seeds from the first to the last."""
     first, last = int(sys.argv[1]), int(sys.argv[2])
-    held = 0
+    held_count = 0
     with process_pool() as pool:
-        for line, all_held in pool.map(report, range(first, last + 1)):
+        for line, held in pool.map(report, range(first, last + 1)):
             print(line, flush=True)
-            held += all_held
-    print(f"{held} of {last - first + 1} seeds held")
-    sys.exit(held != last - first + 1)
+            held_count += held
+    print(f"{held_count} of {last - first + 1} seeds held")
+    sys.exit(held_count != last - first + 1)
 
 
 if __name__ == "__main__":
--- a/tests/soak/configuration.py
+++ b/tests/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of a dispatcher of the soak."""
+"""The configuration file of a dispatcher in a soak."""
 
 from typing import Any
 
@@ -8,16 +8,16 @@
 from tests.soak.plan import RunPlan
 
 DISPATCHERS = ("d0", "d1")
-MICROSECONDS = 1e6  # of a second
-LATENCY_OBJECTIVE_SHARE = 0.9  # of a class's deadline
+MICROSECONDS_PER_SECOND = 1e6
+LATENCY_OBJECTIVE_SHARE = 0.9  # share of the deadline of a class
 SOCKET_LIMIT = 512
-CROWDED_SOCKET_LIMIT = 128  # which a crowd of connections reaches
+CROWDED_SOCKET_LIMIT = 128  # reached by the idle connections of a crowd
 
 
 def dispatcher_configuration(
     plan: RunPlan, name: str, *, listen_port: int, discovery_port: int, endpoints: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """The configuration of the dispatcher of that name; `endpoints` are known at its start."""
+    """Returns the configuration of a dispatcher, which knows `endpoints` when it starts."""
     return {
         "name": name,
         "listen": f"{HOST}:{listen_port}",
@@ -48,9 +48,9 @@
         "name": request_class.name,
         "effect": request_class.effect,
         "group": "zone",
-        "repeat-window": int(request_class.window * MICROSECONDS),
-        "cut-off": int(request_class.timeout * MICROSECONDS),
-        "expected-time": int(request_class.timeout * MICROSECONDS * LATENCY_OBJECTIVE_SHARE),
+        "repeat-window": int(request_class.window * MICROSECONDS_PER_SECOND),
+        "cut-off": int(request_class.timeout * MICROSECONDS_PER_SECOND),
+        "expected-time": int(request_class.timeout * MICROSECONDS_PER_SECOND * LATENCY_OBJECTIVE_SHARE),
     }
 
 
@@ -58,7 +58,7 @@
     return {
         "drain-grace": 300_000,
         "cold-from": SlowStartSettings.initial_capacity,
-        "warm-after": int(SlowStartSettings.warm_up * MICROSECONDS),
+        "warm-after": int(SlowStartSettings.warm_up * MICROSECONDS_PER_SECOND),
         "overload-factor": SlowStartSettings.factor,
-        "overload-for": int(SlowStartSettings.span * MICROSECONDS),
+        "overload-for": int(SlowStartSettings.span * MICROSECONDS_PER_SECOND),
     }
--- a/tests/soak/dispatcher.py
+++ b/tests/soak/dispatcher.py
@@ -1,4 +1,4 @@
-"""The processes of the program that a soak starts and ends."""
+"""The dispatcher processes that a soak starts and stops."""
 
 import asyncio
 import json
@@ -19,9 +19,9 @@
 
 ROOT = Path(__file__).parents[2]
 READY_TIMEOUT_SECONDS = 15.0
-EARLY_SIGNAL_DELAY = 0.15  # seconds from the start of a process that is ended before it is ready
-# Code compiled ahead, as the deploy file's build has it: else the first SIGHUP of each process, which imports
-# the schema, holds it up for 0.1 s of processor time in place of 15 ms.
+EARLY_SIGNAL_DELAY_SECONDS = 0.15  # from the start of a process until its SIGTERM, before it is ready
+# The code is compiled ahead, as in the deploy file's build. Otherwise the first SIGHUP of each process, which
+# imports the schema, stalls it for 0.1 s of processor time instead of 15 ms.
 COMPILED_CODE = {
     "PYTHONPYCACHEPREFIX": str(Path(tempfile.gettempdir()) / "crankfold-soak-bytecode"),
     "PYTHONDONTWRITEBYTECODE": "",
@@ -29,7 +29,7 @@
 
 
 def compile_program() -> None:
-    """Compiles the program for the processes that are started."""
+    """Compiles the program before its processes are started."""
     subprocess.run(
         [sys.executable, "-O", "-m", "compileall", "-q", "crankfold"],
         env={**os.environ, **COMPILED_CODE},
@@ -39,7 +39,7 @@
 
 
 class DispatcherProcess:
-    """One process of the program, restarted under the same name and address."""
+    """A dispatcher process that can be restarted under the same name and address."""
 
     def __init__(self, name: str, port: int, folder: Path, faults: ProcessFaults) -> None:
         self.name = name
@@ -48,14 +48,16 @@
         self.log = folder / f"{name}.log"
         self.faults = faults
         self.process: asyncio.subprocess.Process | None = None
-        self.ready = False  # it has said so, and is not told to end
-        self.config_lock = asyncio.Lock()  # held while the file is changed, and while a process starts
+        self.ready = False  # from its first successful health check until it is stopped
+        self.config_lock = (
+            asyncio.Lock()
+        )  # held while the configuration file changes and while a process starts
 
     async def start(self, observations: Observations, *, early_signal: bool = False) -> None:
-        """Starts it and waits until it says that it serves."""
+        """Starts the process and waits until its health check succeeds."""
         begin = time.monotonic()
         if early_signal:
-            await self._end_before_ready(observations)
+            await self._terminate_before_ready(observations)
         self.process = await self._spawn()
         while not await self._is_ready():
             if time.monotonic() - begin > READY_TIMEOUT_SECONDS or self.process.returncode is not None:
@@ -66,10 +68,10 @@
         observations.slowest_start = max(observations.slowest_start, time.monotonic() - begin)
         observations.starts.append((self.name, begin, time.monotonic()))
 
-    async def _end_before_ready(self, observations: Observations) -> None:
+    async def _terminate_before_ready(self, observations: Observations) -> None:
         process = await self._spawn()
-        await asyncio.sleep(EARLY_SIGNAL_DELAY)
-        process.send_signal(signal.SIGTERM)  # before it is ready, and twice
+        await asyncio.sleep(EARLY_SIGNAL_DELAY_SECONDS)
+        process.send_signal(signal.SIGTERM)  # sent twice
         process.send_signal(signal.SIGTERM)
         try:
             await asyncio.wait_for(process.wait(), READY_TIMEOUT_SECONDS)
@@ -106,7 +108,7 @@
         return head.split()[1] == "200"
 
     async def stop(self, kill_after: float, rng: random.Random, observations: Observations) -> None:
-        """SIGTERM, other signals that cross it, and SIGKILL at the earliest moment."""
+        """Sends SIGTERM among other signals, and SIGKILL if it still runs after `kill_after` seconds."""
         assert self.process
         self.ready = False
         if self.process.returncode is not None:
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -1,9 +1,12 @@
-"""What the stand-ins of a soak see. Times are seconds of the monotonic clock of the soak's own process."""
+"""What the fake servers and clients of a soak observe.
+
+Times are in seconds by the monotonic clock of the soak's own process.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-STALL_MARGIN = 0.05  # seconds; what stood still just before a moment delays what follows it
+STALL_MARGIN = 0.05  # seconds; a stall that ends just before a moment still delays what follows it
 
 
 class AttemptEnd(Enum):
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """One class, as the settings promise it."""
+    """A request class with the guarantees of its settings; times are in seconds."""
 
     name: str
     effect: str
@@ -32,9 +35,9 @@
     request_id: str
     backend: str
     zone: str
-    begun_at: float  # its first byte
+    begun_at: float  # when its first byte arrived
     received_at: float
-    timeout: float  # of its X-Timeout
+    timeout: float  # from its X-Timeout header
     end: AttemptEnd = AttemptEnd.NOTHING
     ended_at: float = float("inf")
     cancelled_at: float = float("inf")
@@ -42,7 +45,7 @@
 
 @dataclass
 class ObservedRequest:
-    """A request that a client wrote whole."""
+    """A request that a client sent completely."""
 
     request_id: str
     dispatcher: str
@@ -52,13 +55,13 @@
     status: int = 0
     body: bytes = b""
     answered_at: float = 0.0
-    closed_at: float = 0.0  # the connection ended without a whole answer
-    left_at: float = 0.0  # the client closed it
+    closed_at: float = 0.0  # when the connection ended before a complete response
+    left_at: float = 0.0  # when the client closed the connection
 
 
 @dataclass
 class StalledClient:
-    """A client that stopped in the middle of a request and stayed."""
+    """A client that sent a part of a request and kept the connection open."""
 
     begun_at: float
     ended_at: float = 0.0
@@ -66,7 +69,7 @@
 
 @dataclass
 class Observations:
-    """Everything that the stand-ins of one run recorded."""
+    """Everything that the fake servers and clients of one run recorded."""
 
     requests: dict[str, ObservedRequest] = field(default_factory=dict)
     attempts: list[ObservedAttempt] = field(default_factory=list)
@@ -75,29 +78,29 @@
         default_factory=dict
     )  # by dispatcher and backend
     start_announced_at: dict[str, float] = field(default_factory=dict)  # by backend
-    exits: list[str] = field(default_factory=list)  # of processes that ended without being asked to
+    exits: list[str] = field(default_factory=list)  # processes that failed to start or to end as asked
     slowest_start: float = 0.0
-    starts: list[tuple[str, float, float]] = field(default_factory=list)  # dispatcher, begun, ready
-    crowded: bool = False  # new connections may be shut unread
+    starts: list[tuple[str, float, float]] = field(default_factory=list)  # dispatcher, begun at, ready at
+    crowded: bool = False  # the dispatcher may close new connections without reading them
     ended_at: float = 0.0
-    stalls: list[tuple[float, float]] = field(default_factory=list)  # in which a process got no processor
+    stalls: list[tuple[float, float]] = field(default_factory=list)  # begin and end, without processor time
     excused: list[float] = field(default_factory=list)
-    """Seconds by which judged times were over their bound, for want of a processor."""
+    """Seconds by which times exceeded their bound because a process got no processor time."""
 
     def is_late(self, value: float, bound: float, delay: float) -> bool:
-        """Whether a time is over its bound by more than the delay of processes without a processor.
+        """Returns whether a time exceeds its bound by more than the delay from processor stalls.
 
-        All in seconds. One that the delay excuses is recorded.
+        All values are in seconds. Records an excess that the delay excuses.
         """
         if bound < value <= bound + delay:
             self.excused.append(value - bound)
         return value > bound + delay
 
     def delay_between(self, begin: float, end: float) -> float:
-        """For how long processes got no processor between two moments.
+        """Returns for how many seconds processes got no processor time between two moments.
 
-        The pages hold for a dispatcher that is held up for 0.15 s at most, and the soak sees late what comes
-        while it stands still itself.
+        The pages hold for a dispatcher that is stalled for 0.15 s at most, and a stall of the soak's own
+        process delays what it observes.
         """
         return sum(
             max(min(stall_end, end) - max(stall_begin, begin - STALL_MARGIN), 0.0)
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed of the soak draws: request classes, load, and faults."""
+"""The plan of a soak run, drawn from its seed: request classes, load and faults."""
 
 import random
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class RunPlan:
-    """One run: its load and its faults."""
+    """The load and the faults of one run."""
 
     seed: int
     classes: tuple[RequestClass, ...]
@@ -23,20 +23,21 @@
 
     @classmethod
     def draw(cls, seed: int, plant: str = "") -> "RunPlan":
-        """The plan of a seed."""
+        """Returns the plan of a seed, with a planted fault if `plant` names one."""
         rng = random.Random(seed)
-        short = rng.choice([0.25, 0.5, 1.0])
+        short_timeout = rng.choice([0.25, 0.5, 1.0])
         classes = (
-            RequestClass("safe", "safe", short),
-            RequestClass("keyed", "keyed", 2 * short, window=short),
-            RequestClass("unsafe", "unsafe", 2 * short),
+            RequestClass("safe", "safe", short_timeout),
+            RequestClass("keyed", "keyed", 2 * short_timeout, window=short_timeout),
+            RequestClass("unsafe", "unsafe", 2 * short_timeout),
         )
-        alone = plant == "slow start"  # one backend and a new one: else its share is under the budget anyway
+        # Among more backends the share of the new one stays within its slow-start budget anyway.
+        has_one_backend = plant == "slow start"
         return cls(
             seed=seed,
             classes=classes,
-            clients=30 if alone else rng.choice([6, 10, 14]),
-            backends=1 if alone else rng.randint(4, 6),
+            clients=30 if has_one_backend else rng.choice([6, 10, 14]),
+            backends=1 if has_one_backend else rng.randint(4, 6),
             faults=ProcessFaults(
                 seed=seed,
                 accept=rng.choice([0.0, 0.1, 0.4]),
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the program, one for each clause that the judge of a soak looks at."""
+"""Faults planted in the program, one for each clause that the judge of a soak checks."""
 
 from dataclasses import replace
 from itertools import count
@@ -14,95 +14,95 @@
 from crankfold.service.requests import attempts
 from crankfold.service.requests.handler import RequestHandler
 
-EVERY = 10  # requests, of which one is hit
-EXTRA_TIMEOUT = 10_000  # ticks
+FAULT_INTERVAL = 10  # requests, one of which gets the fault
+EXTRA_TIMEOUT_TICKS = 10_000
 
 
-def put(owner: Any, name: str, value: Any) -> None:
+def replace_attribute(owner: Any, name: str, value: Any) -> None:
     """Replaces an attribute of a class or module."""
     setattr(owner, name, value)
 
 
 def send_to_draining_backends() -> None:
-    """The list's states count for nothing."""
-    put_in_force = BackendRegistry._update_effective_endpoint
+    """Treats every backend as ready, whatever state discovery lists."""
+    original = BackendRegistry._update_effective_endpoint
 
-    def ready(self: BackendRegistry, backend: int) -> Any:
-        endpoint = put_in_force(self, backend)
+    def always_ready(self: BackendRegistry, backend: int) -> Any:
+        endpoint = original(self, backend)
         self.records[backend].state = EndpointState.READY
         return replace(endpoint, state=EndpointState.READY)
 
-    put(BackendRegistry, "_update_effective_endpoint", ready)
+    replace_attribute(BackendRegistry, "_update_effective_endpoint", always_ready)
 
 
-def forget_no_client() -> None:
-    """Clients that have gone are served on."""
-    put(RequestHandler, "client_disconnected", lambda *_: None)
-    put(AcceptedConnection, "peer_has_closed", lambda _: False)
+def ignore_client_disconnects() -> None:
+    """Continues the requests of clients that disconnected."""
+    replace_attribute(RequestHandler, "client_disconnected", lambda *_: None)
+    replace_attribute(AcceptedConnection, "peer_has_closed", lambda _: False)
 
 
-def pass_on_more_time() -> None:
-    """Backends are told that a client waits a second longer."""
-    from crankfold.protocol.backend_connection import attempt_headers as genuine
+def extend_attempt_timeout() -> None:
+    """Sends backends a timeout that is a second too long."""
+    from crankfold.protocol.backend_connection import attempt_headers as original
 
-    def longer(headers: Any, left: int) -> Any:
-        return genuine(headers, left + EXTRA_TIMEOUT)
+    def headers_with_longer_timeout(headers: Any, remaining_ticks: int) -> Any:
+        return original(headers, remaining_ticks + EXTRA_TIMEOUT_TICKS)
 
-    put(attempts, "attempt_headers", longer)
+    replace_attribute(attempts, "attempt_headers", headers_with_longer_timeout)
 
 
-def take_every_end_for_never_executed() -> None:
-    """Whatever ended may be sent again anywhere."""
+def treat_every_failure_as_never_executed() -> None:
+    """Allows a retry on any backend after every outcome except completion."""
     outcomes = tuple(outcome for outcome in Outcome if outcome is not Outcome.COMPLETED)
-    put(attempts, "NEVER_EXECUTED", outcomes)
-    put(router, "NEVER_EXECUTED", outcomes)
+    replace_attribute(attempts, "NEVER_EXECUTED", outcomes)
+    replace_attribute(router, "NEVER_EXECUTED", outcomes)
 
 
-def answer_not_all() -> None:
-    """One result in so many is not passed on."""
-    respond = ClientConnection.respond
-    numbers = count(1)
+def drop_some_responses() -> None:
+    """Drops one response of every `FAULT_INTERVAL` results."""
+    original = ClientConnection.respond
+    request_numbers = count(1)
 
-    def seldom(self: ClientConnection, status: int, *rest: Any) -> None:
-        if status == 200 and self.identified and next(numbers) % EVERY == 0:
+    def respond_to_most(self: ClientConnection, status: int, *rest: Any) -> None:
+        if status == 200 and self.identified and next(request_numbers) % FAULT_INTERVAL == 0:
             return
-        respond(self, status, *rest)
+        original(self, status, *rest)
 
-    put(ClientConnection, "respond", seldom)
+    replace_attribute(ClientConnection, "respond", respond_to_most)
 
 
-def close_after_reading() -> None:
-    """One request in so many is read, and its connection closed."""
-    route = ClientConnection._route_request
-    numbers = count(1)
+def close_instead_of_routing() -> None:
+    """Closes the connection of one request of every `FAULT_INTERVAL` instead of routing the request."""
+    original = ClientConnection._route_request
+    request_numbers = count(1)
 
-    def closing(self: ClientConnection, head: Any) -> None:
-        if next(numbers) % EVERY == 0:
+    def close_some(self: ClientConnection, head: Any) -> None:
+        if next(request_numbers) % FAULT_INTERVAL == 0:
             self.awaiting_response = False
             self.closing = True
         else:
-            route(self, head)
+            original(self, head)
 
-    put(ClientConnection, "_route_request", closing)
+    replace_attribute(ClientConnection, "_route_request", close_some)
 
 
 def skip_slow_start() -> None:
-    """Every start is long ago."""
-    put(BackendStarts, "_plausible_age", lambda *_: 1 << 40)
+    """Treats every backend as started long ago."""
+    replace_attribute(BackendStarts, "_plausible_age", lambda *_: 1 << 40)
 
 
 def keep_stalled_clients() -> None:
-    """Connections are never timed out."""
-    put(Listener, "_is_timed_out", staticmethod(lambda *_: False))
+    """Never times a connection out."""
+    replace_attribute(Listener, "_is_timed_out", staticmethod(lambda *_: False))
 
 
 PLANTS = {
     "drain": send_to_draining_backends,
-    "gone": forget_no_client,
-    "time": pass_on_more_time,
-    "duplicate": take_every_end_for_never_executed,
-    "lost: no answer": answer_not_all,
-    "lost: closed": close_after_reading,
+    "gone": ignore_client_disconnects,
+    "time": extend_attempt_timeout,
+    "duplicate": treat_every_failure_as_never_executed,
+    "lost: no answer": drop_some_responses,
+    "lost: closed": close_instead_of_routing,
     "slow start": skip_slow_start,
     "stalled": keep_stalled_clients,
 }
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -244,7 +244,7 @@
             self._drain(self.backends[1])
 
     def _restart_drain_clock_after_silence(self) -> None:
-        """Counts drains from now for dispatchers that started while their discovery agent was silent, for up to 6 s."""
+        """Counts drains from now for dispatchers started while discovery was silent, for up to 6 s."""
         for name, backend in [*self.observations.drain_announced_at]:
             if name in self.started_in_silence:
                 self.observations.drain_announced_at[name, backend] = time.monotonic()
--- a/tests/soak/service_signals.py
+++ b/tests/soak/service_signals.py
@@ -1,4 +1,4 @@
-"""Signals to dispatchers in service: in series and crossing, some with another configuration file."""
+"""Series of signals to dispatchers in service, some after a change of the configuration file."""
 
 import asyncio
 import json
@@ -9,12 +9,12 @@
 
 from tests.soak.dispatcher import DispatcherProcess
 
-PAUSE = 0.4  # seconds between two series, in the mean
-MAX_SERIES = 4  # signals
-MAX_SERIES_PAUSE = 0.05  # seconds between two signals of a series
-INVALID_FOR = 0.1  # seconds until an invalid file is mended
-# What a series is, with weights.
-SERIES = {"same file": 6, "changed settings": 2, "changed address": 1, "invalid file": 1}
+MEAN_PAUSE_SECONDS = 0.4  # between two series
+MAX_SERIES_LENGTH = 4  # signals
+MAX_SIGNAL_PAUSE_SECONDS = 0.05  # between two signals of a series
+INVALID_FILE_SECONDS = 0.1  # until an invalid file is replaced by the valid one
+# Weights of what happens to the configuration file before a series.
+SERIES_WEIGHTS = {"same file": 6, "changed settings": 2, "changed address": 1, "invalid file": 1}
 
 
 class ServiceSignals:
@@ -26,28 +26,28 @@
         rng: random.Random,
         move_discovery: Callable[[str], Awaitable[int]],
     ) -> None:
-        """`move_discovery` opens another agent for the dispatcher of a name, and gives its port."""
+        """Takes `move_discovery`, which opens another agent for a named dispatcher and returns its port."""
         self.dispatchers = dispatchers
         self.rng = rng
         self.move_discovery = move_discovery
         self.sent = 0
 
     async def run(self) -> None:
-        """Sends one series after the other, until it is cancelled."""
+        """Sends one series after another until it is cancelled."""
         while True:
-            await asyncio.sleep(self.rng.expovariate(1 / PAUSE))
+            await asyncio.sleep(self.rng.expovariate(1 / MEAN_PAUSE_SECONDS))
             await self.send_series(self.rng.choice(sorted(self.dispatchers)))
 
     async def send_to_all(self) -> None:
-        """Sends a series to each dispatcher, at the moment of another event."""
+        """Sends a series to each dispatcher, so that it coincides with another event."""
         for name in sorted(self.dispatchers):
             await self.send_series(name)
 
     async def send_series(self, name: str) -> None:
-        """Sends a series to one dispatcher, if its process runs."""
+        """Sends a series to one dispatcher, unless its process is starting or stopped."""
         dispatcher = self.dispatchers[name]
         async with dispatcher.config_lock:
-            kind = self.rng.choices([*SERIES], [*SERIES.values()])[0]
+            kind = self.rng.choices([*SERIES_WEIGHTS], [*SERIES_WEIGHTS.values()])[0]
             if kind == "invalid file":
                 await self._reload_invalid_file(dispatcher)
                 return
@@ -58,29 +58,29 @@
                 host = document["discovery"].partition(":")[0]
                 document["discovery"] = f"{host}:{await self.move_discovery(name)}"
                 dispatcher.config.write_text(json.dumps(document))
-            self._send(dispatcher, signal.SIGHUP if kind != "same file" else self._draw())
-            for _ in range(self.rng.randrange(MAX_SERIES)):
-                await asyncio.sleep(self.rng.uniform(0, MAX_SERIES_PAUSE))
-                self._send(dispatcher, self._draw())
+            self._send(dispatcher, signal.SIGHUP if kind != "same file" else self._draw_signal())
+            for _ in range(self.rng.randrange(MAX_SERIES_LENGTH)):
+                await asyncio.sleep(self.rng.uniform(0, MAX_SIGNAL_PAUSE_SECONDS))
+                self._send(dispatcher, self._draw_signal())
 
-    def _draw(self) -> signal.Signals:
+    def _draw_signal(self) -> signal.Signals:
         return self.rng.choice([signal.SIGHUP, signal.SIGUSR1])
 
-    def _send(self, dispatcher: DispatcherProcess, number: signal.Signals) -> None:
+    def _send(self, dispatcher: DispatcherProcess, signal_number: signal.Signals) -> None:
         if dispatcher.ready and dispatcher.process and dispatcher.process.returncode is None:
-            dispatcher.process.send_signal(number)
+            dispatcher.process.send_signal(signal_number)
             self.sent += 1
 
     @staticmethod
     def _change_settings(dispatcher: DispatcherProcess) -> None:
         document: dict[str, Any] = json.loads(dispatcher.config.read_text())
         allowed = document["settings"]["allowed"]
-        allowed["most-dispatches"] = 7 - allowed["most-dispatches"]  # 3 and 4 by turns
+        allowed["most-dispatches"] = 7 - allowed["most-dispatches"]  # alternates between 3 and 4
         dispatcher.config.write_text(json.dumps(document))
 
     async def _reload_invalid_file(self, dispatcher: DispatcherProcess) -> None:
         text = dispatcher.config.read_text()
         dispatcher.config.write_text(text[: self.rng.randrange(len(text) - 1)])
         self._send(dispatcher, signal.SIGHUP)
-        await asyncio.sleep(INVALID_FOR)
+        await asyncio.sleep(INVALID_FILE_SECONDS)
         dispatcher.config.write_text(text)
--- a/tests/soak/silence.py
+++ b/tests/soak/silence.py
@@ -162,7 +162,7 @@
         await self._wait_for_request(agent)
 
     async def take_over(self, tasks: asyncio.TaskGroup) -> None:
-        """Starts a successor on the same address, which ends its predecessor once it serves."""
+        """Starts a successor on the clients' address and sends SIGTERM to the predecessor once it serves."""
         agent = await self._open_silent_agent(SUCCESSOR)
         predecessor = self.dispatchers[FIRST]
         tasks.create_task(self._replace_dispatcher(predecessor, agent))
