--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages point to is there: files, folders, commands with their options; and no line is too long."""
+"""Checks that the files, folders, commands and options that the pages name exist, and line lengths."""
 
 import ast
 import re
@@ -14,15 +14,15 @@
 
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))]
-RECORDS = ("results.md",)  # what was measured, by the names of its day
+RECORD_PAGES = ("results.md",)  # measurements, under the names in use when they were taken
 FOLDERS = ("crankfold/", "docs/", "tests/", "examples/", "deploy/", "benchmarks/", "trials/", ".ci/")
 PACKAGES = tuple(path.name for path in (ROOT / "crankfold").iterdir() if (path / "__init__.py").exists())
-MADE_BY_READERS = ("days.csv", "fleet-10.csv")
-WIDTH = 110
+READER_CREATED_FILES = ("days.csv", "fleet-10.csv")
+MAX_LINE_LENGTH = 110
 
 
 def paths_in(page: Path) -> Iterator[str]:
-    """All that looks like a path of the repository; a package's file may be named without `crankfold/`."""
+    """Yields the repository paths that a page names; `crankfold/` may be left out for a package's file."""
     for word in re.findall(r"[\w.*/-]+", page.read_text()):
         word = word.rstrip(".")
         if word.startswith(FOLDERS) and len(word.split("/")) > 1:
@@ -34,7 +34,7 @@
 
 
 def commands_in(text: str) -> Iterator[list[str]]:
-    """The words behind `crankfold`, from code blocks and from code within lines."""
+    """Yields the arguments of each `crankfold` command in code blocks and inline code."""
     spans = [match[1] for match in re.finditer(r"`([^`\n]+)`", text)]
     spans += [line for line in text.replace("\\\n", " ").splitlines() if line.startswith("    ")]
     for span in spans:
@@ -44,8 +44,8 @@
                 yield shlex.split(re.sub(r"[><].*|&$", "", found[1]), comments=True)
 
 
-def fault_of(words: list[str]) -> str:
-    """What of a command is not there, or nothing."""
+def unknown_part(words: list[str]) -> str:
+    """Returns what of a command does not exist, or an empty string."""
     command: click.Command = main
     context = click.Context(main)
     while isinstance(command, click.Group) and words:
@@ -60,35 +60,35 @@
     return f"no option {unknown[0]}" if unknown else ""
 
 
-class Pages(unittest.TestCase):
-    def test_every_file_and_folder_named_is_there(self) -> None:
+class PagesTest(unittest.TestCase):
+    def test_every_named_file_and_folder_exists(self) -> None:
         for page in PAGES:
-            if page.name in RECORDS:
+            if page.name in RECORD_PAGES:
                 continue
             for path in paths_in(page):
-                if Path(path).name not in MADE_BY_READERS:
+                if Path(path).name not in READER_CREATED_FILES:
                     with self.subTest(page=page.name, path=path):
-                        self.assertTrue([*ROOT.glob(path.rstrip("/"))], "named, but not there")
+                        self.assertTrue([*ROOT.glob(path.rstrip("/"))], "named, but does not exist")
 
-    def test_every_command_named_is_there_with_its_options(self) -> None:
-        seen = 0
+    def test_every_named_command_exists_with_its_options(self) -> None:
+        checked = 0
         for page in PAGES:
-            for words in commands_in(page.read_text()) if page.name not in RECORDS else ():
-                seen += 1
+            for words in commands_in(page.read_text()) if page.name not in RECORD_PAGES else ():
+                checked += 1
                 with self.subTest(page=page.name, command=" ".join(words)):
-                    self.assertEqual(fault_of(words), "")
-        self.assertGreater(seen, 40)
+                    self.assertEqual(unknown_part(words), "")
+        self.assertGreater(checked, 40)
 
-    def test_a_command_that_is_not_there_is_found(self) -> None:
-        self.assertEqual(fault_of(["serfs"]), "no command 'serfs'")
-        self.assertEqual(fault_of(["settings", "shows"]), "no command 'shows'")
-        self.assertEqual(fault_of(["emulate", "--dispatcher", "3"]), "no option --dispatcher")
+    def test_unknown_commands_and_options_are_found(self) -> None:
+        self.assertEqual(unknown_part(["serfs"]), "no command 'serfs'")
+        self.assertEqual(unknown_part(["settings", "shows"]), "no command 'shows'")
+        self.assertEqual(unknown_part(["emulate", "--dispatcher", "3"]), "no option --dispatcher")
         self.assertEqual(
             [*commands_in("a `crankfold check FILE`\n    x && .venv/bin/python -m crankfold fleet &\n")],
             [["check", "FILE"], ["fleet"]],
         )
 
-    def test_pages_that_the_code_and_other_readmes_name_are_there(self) -> None:
+    def test_pages_named_in_code_and_readmes_exist(self) -> None:
         files = [
             *(ROOT / "crankfold").rglob("*.py"),
             *(ROOT / "tests").rglob("*.py"),
@@ -102,7 +102,7 @@
                     with self.subTest(file=str(file.relative_to(ROOT)), page=page):
                         self.assertTrue((ROOT / page).exists())
 
-    def test_each_crossing_names_a_test_that_is_there(self) -> None:
+    def test_each_crossing_names_existing_test(self) -> None:
         files = [path.read_text() for path in (ROOT / "tests").rglob("test_*.py")]
         tests = [name for text in files for name in re.findall(r"def test_(\w+)", text)]
         page = (ROOT / "docs" / "crossings.md").read_text()
@@ -114,7 +114,7 @@
             with self.subTest(phrase):
                 self.assertTrue([name for name in tests if words in name])
 
-    def test_owners_of_state_are_classes_of_the_files_beside_them(self) -> None:
+    def test_each_state_owner_is_class_of_file_in_its_row(self) -> None:
         page = (ROOT / "docs" / "architecture.md").read_text()
         table = page.partition("## Who owns which state")[2].partition("\n## ")[0]
         rows = [line.split("|")[2] for line in table.splitlines() if line.startswith("| ")][2:]
@@ -127,7 +127,7 @@
             for name in names:
                 self.assertRegex(code, rf"(?m)^class {name}\b", owner)
 
-    def test_each_clause_of_the_audit_has_a_mark_and_names_tests_that_are_there(self) -> None:
+    def test_each_audit_clause_has_status_and_names_existing_tests(self) -> None:
         files = [path.read_text() for path in (ROOT / "tests").rglob("test_*.py")]
         tests = {name for text in files for name in re.findall(r"def test_(\w+)", text)}
         page = (ROOT / "docs" / "terms-audit.md").read_text()
@@ -142,7 +142,7 @@
                 self.assertTrue(named or row[-1].startswith(("open", "not reached")))
                 self.assertLessEqual(set(named), tests)
 
-    def test_ci_installs_and_tests_by_the_commands_of_the_readme(self) -> None:
+    def test_ci_uses_install_and_test_commands_of_readme(self) -> None:
         section = (ROOT / "README.md").read_text().partition("## Test\n")[2]
         install, run = [line.strip() for line in section.splitlines() if line.startswith("    ")][:2]
         script = (ROOT / ".ci" / "run").read_text()
@@ -150,24 +150,26 @@
         self.assertEqual(installs, re.findall(r"pip install (.*)", install))
         self.assertIn(run, script.splitlines())
 
-    def test_lines_outside_tables_are_short(self) -> None:
+    def test_lines_outside_tables_keep_maximum_width(self) -> None:
         pages = [*PAGES, ROOT / "CHANGELOG.md", *sorted((ROOT / "docs" / "incidents").glob("*.md"))]
         for page in pages:
             for number, line in enumerate(page.read_text().splitlines(), 1):
                 if not line.startswith("|"):
-                    self.assertLessEqual(len(line), WIDTH, f"{page.name}:{number}")
+                    self.assertLessEqual(len(line), MAX_LINE_LENGTH, f"{page.name}:{number}")
 
 
-class OnCall(unittest.TestCase):
+class OnCallPageTest(unittest.TestCase):
     def setUp(self) -> None:
         self.page = (ROOT / "docs" / "on-call.md").read_text()
         trees = [ast.parse(path.read_text()) for path in (ROOT / "crankfold").rglob("*.py")]
         nodes = [node for tree in trees for node in ast.walk(tree)]
-        docs = {id(n.value) for n in nodes if isinstance(n, ast.Expr) and isinstance(n.value, ast.Constant)}
+        docstrings = {
+            id(n.value) for n in nodes if isinstance(n, ast.Expr) and isinstance(n.value, ast.Constant)
+        }
         self.texts = {
             n.value
             for n in nodes
-            if isinstance(n, ast.Constant) and isinstance(n.value, str) and id(n) not in docs
+            if isinstance(n, ast.Constant) and isinstance(n.value, str) and id(n) not in docstrings
         }
         self.formats = [
             [str(part.value) if isinstance(part, ast.Constant) else "" for part in n.values]
@@ -175,21 +177,21 @@
             if isinstance(n, ast.JoinedStr)
         ]
         calls = [n for n in nodes if isinstance(n, ast.Call) and isinstance(n.func, ast.Attribute)]
-        counting = [n for n in calls if ast.unparse(n.func).endswith((".increment", ".record_maximum"))]
+        counter_calls = [n for n in calls if ast.unparse(n.func).endswith((".increment", ".record_maximum"))]
         self.counters = {
             part.value
-            for call in counting
+            for call in counter_calls
             for part in ast.walk(call.args[0])
             if isinstance(part, ast.Constant) and isinstance(part.value, str) and part.value[0] not in "-_"
         }
 
-    def is_there(self, counter: str) -> bool:
-        """Whole, or composed of a beginning that the program has and something that differs."""
+    def has_counter(self, counter: str) -> bool:
+        """Returns whether the program has the whole name, or a text ending in "-" that starts it."""
         name = counter.rstrip(".N")
-        begins = [text for text in self.texts if text.endswith("-") and len(text) > 3]
-        return name in self.texts or any(name.startswith(text) for text in begins)
+        prefixes = [text for text in self.texts if text.endswith("-") and len(text) > 3]
+        return name in self.texts or any(name.startswith(text) for text in prefixes)
 
-    def test_every_counter_named_is_in_the_program(self) -> None:
+    def test_every_named_counter_exists_in_program(self) -> None:
         counters = self.page.partition("## Counters")[2].partition("\n## ")[0]
         named = [
             word
@@ -204,34 +206,38 @@
         self.assertGreater(len(named), 100)
         for word in named:
             with self.subTest(word):
-                self.assertTrue(self.is_there(word))
+                self.assertTrue(self.has_counter(word))
 
-    def test_every_counter_of_the_program_is_named(self) -> None:
+    def test_page_names_every_counter_of_program(self) -> None:
         self.assertGreater(len(self.counters), 40)
         for counter in self.counters:
             with self.subTest(counter):
                 self.assertRegex(self.page, rf"`{re.escape(counter)}[\w.-]*`")
 
-    def test_every_line_of_the_log_that_is_quoted_is_in_the_program(self) -> None:
+    def test_every_quoted_log_line_exists_in_program(self) -> None:
         formats = [*self.formats, *(re.split(r"%[sr]", text) for text in self.texts)]
         formats = [parts for parts in formats if sum(len(part) for part in parts) >= 4]
         patterns = [re.compile(".*".join(re.escape(part) for part in parts), re.DOTALL) for parts in formats]
         samples = ["_".join(parts) for parts in formats]
         samples += [sample.partition(": ")[2] for sample in samples]
 
-        def is_there(line: str) -> bool:
-            """A text of the program with its gaps filled, or one that fills the gaps of the quoted line."""
+        def is_logged(line: str) -> bool:
+            """Returns whether a line matches a format of the program; either may contain placeholders."""
             category, _, rest = line.partition(": ")
             if rest == "..." and category in self.texts:
                 return True
             rest = rest if rest != "..." else ""
-            filled = any(pattern.fullmatch(text) for text in (line, rest) for pattern in patterns)
+            matches_format = any(pattern.fullmatch(text) for text in (line, rest) for pattern in patterns)
             quoted = [
                 re.sub(r"\\\.\\\.\\\.|\b[A-Z]{2,}\b|\bN\b", ".*", re.escape(text)) for text in (line, rest)
             ]
-            fills = any(re.fullmatch(text, sample) for text in quoted if text for sample in samples)
+            matches_sample = any(re.fullmatch(text, sample) for text in quoted if text for sample in samples)
             parts = rest.split("; ")
-            return filled or fills or (len(parts) > 1 and all(is_there(part) for part in parts))
+            return (
+                matches_format
+                or matches_sample
+                or (len(parts) > 1 and all(is_logged(part) for part in parts))
+            )
 
         lines = self.page.partition("## Log lines")[2].partition("\n## ")[0]
         quoted = [
@@ -243,13 +249,13 @@
         self.assertGreater(len(quoted), 30)
         for text in quoted:
             with self.subTest(text):
-                self.assertTrue(is_there(text))
+                self.assertTrue(is_logged(text))
         for text in ("discovery: the new list stands", "serving under ...", "rumour: ..."):
-            self.assertFalse(is_there(text), text)
+            self.assertFalse(is_logged(text), text)
 
 
-class Layers(unittest.TestCase):
-    def test_each_package_imports_only_from_those_above_it_in_the_readme(self) -> None:
+class LayersTest(unittest.TestCase):
+    def test_each_package_imports_only_from_packages_above_it_in_readme(self) -> None:
         table = re.findall(r"^\| `crankfold/(\w+)/` \|", (ROOT / "README.md").read_text(), re.MULTILINE)
         self.assertEqual(sorted(table), sorted(PACKAGES))
         for path in (ROOT / "crankfold").rglob("*.py"):
@@ -262,22 +268,22 @@
                             table.index(imported), table.index(package), f"{path}: {node.module}"
                         )
 
-    def test_files_that_the_deploy_file_names_are_there(self) -> None:
+    def test_files_named_in_deploy_file_exist(self) -> None:
         deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
         for path in [*deploy["policy"], *deploy["node"]]:
             self.assertTrue((ROOT / path).exists(), path)
 
 
-class Exceptions(unittest.TestCase):
-    def test_each_exception_from_a_lint_rule_names_the_rule_and_a_reason(self) -> None:
+class LintExceptionsTest(unittest.TestCase):
+    def test_each_lint_exception_names_rule_and_reason(self) -> None:
         files = [
             path for folder in ("crankfold", "tests", "benchmarks") for path in (ROOT / folder).rglob("*.py")
         ]
         files += [*(ROOT / "examples").glob("*.py")]
-        seen = 0
+        checked = 0
         for path in files:
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 if re.search(r"#\s*(noqa|ruff|flake8)", line) and path != Path(__file__):
-                    seen += 1
+                    checked += 1
                     self.assertRegex(line, r"# noqa: [A-Z]+\d+ - \w+", f"{path}:{number}")
-        self.assertGreater(seen, 10)
+        self.assertGreater(checked, 10)
