--- a/tests/terms/test_discovery.py
+++ b/tests/terms/test_discovery.py
@@ -9,7 +9,7 @@
 from crankfold.network.discovery_watcher import LONG_POLL_MS, DiscoveryWatcher
 from crankfold.network.metrics import Metrics
 from tests.loopback import LoopbackTestCase
-from tests.soak.backends import Discovery
+from tests.soak.backends import FakeDiscoveryAgent
 
 DRAIN_GRACE_SECONDS = 0.3
 
@@ -18,9 +18,9 @@
     async def test_drain_at_end_of_short_silence_is_seen_within_grace(self) -> None:
         """The long poll times out while the agent is silent, so that its response never arrives."""
         entries: list[dict[str, Any]] = [{"uid": "a", "endpoint": f"{HOST}:9", "state": "in_service"}]
-        agent = Discovery(lambda: entries, random.Random(1))
+        agent = FakeDiscoveryAgent(lambda: entries, random.Random(1))
         await agent.open()
-        self.addCleanup(agent.end)
+        self.addCleanup(agent.stop)
         loop = asyncio.get_running_loop()
         changed_at: list[float] = []
         watcher = DiscoveryWatcher(
