--- a/benchmarks/compare_versions.py
+++ b/benchmarks/compare_versions.py
@@ -1,13 +1,14 @@
-"""Compares this checkout with another one: in one cluster, at one address in turn, and for speed.
+"""Compares this checkout with another one: in a mixed cluster, in handovers, and in speed.
 
     python -m benchmarks.compare_versions OTHER_CHECKOUT > benchmarks/compare_versions.txt
 
-Three parts, each on loopback with the stand-ins of `benchmarks.upgrades`:
+Each of the three parts runs on loopback with the fake backends and discovery of `benchmarks.upgrades`:
 
-- cluster: three voters, one of them from the other checkout, agree on a published document; then two of them
-  swap checkouts over the same voter folders, and agree on another one.
-- handover: processes of the two checkouts replace each other at one address, under load.
-- speed: both serve the same load in turn; processor time per request, latency, memory, start, modules.
+- cluster: Three voters, one of them from the other checkout, agree on a published document. Then two of them
+  swap checkouts, keep their storage folders, and agree on another document.
+- handover: Processes of the two checkouts replace each other at one address under load.
+- speed: Both checkouts serve the same load in turn. The part prints processor time per request, latency,
+  memory, start time and imported modules.
 """
 
 import argparse
@@ -24,17 +25,20 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.upgrades import HOST, Rig, free_port, read_message
+from benchmarks.upgrades import HOST, UpgradeFixture, free_port, read_message
 
-HERE = Path(__file__).resolve().parent.parent
-DEADLINE = 20.0  # seconds until a cluster has to agree
+THIS_CHECKOUT = Path(__file__).resolve().parent.parent
+AGREEMENT_TIMEOUT_SECONDS = 20.0
 LOAD_SECONDS = 8.0
 IMPORT_RUNS = 5
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 async def admin_call(port: int, path: str, body: dict[str, Any] | None = None) -> tuple[int, Any]:
-    """Calls the admin server of a dispatcher; the status and the decoded body of the response."""
+    """Calls the admin server of a dispatcher and returns the status and the decoded body of its response.
+
+    The method is GET without a body, and POST with one.
+    """
     reader, writer = await asyncio.open_connection(HOST, port)
     content = json.dumps(body).encode() if body is not None else b""
     method = "POST" if body is not None else "GET"
@@ -42,13 +46,13 @@
         f"{method} /control/{path} HTTP/1.1\r\nHost: b\r\nContent-Length: {len(content)}\r\n\r\n".encode()
         + content
     )
-    head, answer = await read_message(reader)
+    head, response_body = await read_message(reader)
     writer.close()
-    return int(head.split()[1]), json.loads(answer) if answer else None
+    return int(head.split()[1]), json.loads(response_body) if response_body else None
 
 
 class Cluster:
-    """Three voters on loopback; each is started from a checkout of its own."""
+    """Runs three voters on loopback, each started from a given checkout."""
 
     def __init__(self, discovery_config: dict[str, Any]) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -83,23 +87,30 @@
         )
 
     async def stop(self, name: str) -> None:
-        """Ends one voter by SIGTERM and waits for its end."""
+        """Stops one voter by SIGTERM and waits until it has ended."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         await process.wait()
 
     async def publish(self, settings: dict[str, Any], reason: str) -> int:
-        """Publishes until it is accepted and every member acts on it; the version's number."""
-        begun = time.monotonic()
-        while time.monotonic() < begun + DEADLINE:
+        """Publishes settings repeatedly until a version is accepted and every member acts on it.
+
+        Returns:
+            The number of the version.
+
+        Raises:
+            SystemExit: No version was active everywhere within AGREEMENT_TIMEOUT_SECONDS.
+        """
+        began = time.monotonic()
+        while time.monotonic() < began + AGREEMENT_TIMEOUT_SECONDS:
             await asyncio.sleep(0.2)
             try:
-                status, known = await admin_call(self.admin_ports["n0"], "agreed/settings")
-                if status != 200 or not known["newest"]:
+                status, document = await admin_call(self.admin_ports["n0"], "agreed/settings")
+                if status != 200 or not document["newest"]:
                     continue
                 request = {
-                    "call": f"{reason} {known['newest']}",
-                    "made-from": known["newest"],
+                    "call": f"{reason} {document['newest']}",
+                    "made-from": document["newest"],
                     "text": settings,
                     "author": "benchmark",
                     "reason": reason,
@@ -110,7 +121,7 @@
                 continue
             if status == 200 and published["counts"] and not published["lag"]:
                 return int(published["number"])
-        raise SystemExit(f"{reason}: no agreement within {DEADLINE} s")
+        raise SystemExit(f"{reason}: no agreement within {AGREEMENT_TIMEOUT_SECONDS} s")
 
     async def active_versions(self) -> list[tuple[int, Any]]:
         """Returns each member's active version and the idempotency of its request class."""
@@ -122,17 +133,17 @@
 
 
 async def compare_in_cluster(other: Path) -> None:
-    """Has three voters of both checkouts agree, swaps two of them, and has them agree again."""
-    rig = Rig(is_shared=True)
-    await rig.open()
-    config = json.loads(rig.config.read_text())
+    """Publishes to three voters of both checkouts, swaps the checkouts of two, and publishes again."""
+    fixture = UpgradeFixture(hands_over=True)
+    await fixture.open()
+    config = json.loads(fixture.config.read_text())
     settings = {name: config["settings"][name] for name in ("service-grades", "allowed")}
     cluster = Cluster(config)
 
     def with_effect(effect: str) -> dict[str, Any]:
         return settings | {"service-grades": [{**settings["service-grades"][0], "effect": effect}]}
 
-    for name, checkout in (("n0", HERE), ("n1", other), ("n2", HERE)):
+    for name, checkout in (("n0", THIS_CHECKOUT), ("n1", other), ("n2", THIS_CHECKOUT)):
         await cluster.start(name, checkout)
     number = await cluster.publish(with_effect("unsafe"), "one of three is the other checkout")
     active = await cluster.active_versions()
@@ -140,7 +151,7 @@
     for name in ("n0", "n1"):
         await cluster.stop(name)
     await cluster.start("n0", other)
-    await cluster.start("n1", HERE)
+    await cluster.start("n1", THIS_CHECKOUT)
     number = await cluster.publish(with_effect("safe"), "two have swapped checkouts over their folders")
     active = await cluster.active_versions()
     print(f"cluster: n0 is the other checkout, folders kept; version {number} active: {active}")
@@ -148,56 +159,56 @@
         await cluster.stop(name)
 
 
-class VersionedRig(Rig):
-    """A rig whose dispatcher is started from a given checkout."""
+class CheckoutFixture(UpgradeFixture):
+    """Starts the dispatcher from the checkout in the `checkout` attribute."""
 
-    checkout = HERE
+    checkout = THIS_CHECKOUT
 
     async def start(self) -> float:
-        """Starts the dispatcher in its checkout; the seconds until it is ready."""
-        before = Path.cwd()
+        """Starts a dispatcher in the checkout and returns the seconds until it is ready."""
+        previous_directory = Path.cwd()
         os.chdir(self.checkout)
         try:
             return await super().start()
         finally:
-            os.chdir(before)
+            os.chdir(previous_directory)
 
 
 async def compare_handover(other: Path, rounds: int) -> None:
-    """Replaces the dispatcher under load by the two checkouts in turn, and prints what clients saw."""
-    rig = VersionedRig(is_shared=True)
-    await rig.open()
-    rig.checkout = other
-    await rig.start()
-    over = asyncio.Event()
-    activities = (rig.load, rig.poll_readiness)
-    running = [asyncio.create_task(activity(over)) for activity in activities]
+    """Replaces the dispatcher by the two checkouts in turn under load, and prints request outcomes."""
+    fixture = CheckoutFixture(hands_over=True)
+    await fixture.open()
+    fixture.checkout = other
+    await fixture.start()
+    finished = asyncio.Event()
+    activities = (fixture.generate_load, fixture.poll_readiness)
+    running = [asyncio.create_task(activity(finished)) for activity in activities]
     await asyncio.sleep(1.0)
     for number in range(rounds):
-        rig.checkout = (HERE, other)[number % 2]
-        await rig.replace()
+        fixture.checkout = (THIS_CHECKOUT, other)[number % 2]
+        await fixture.replace()
         await asyncio.sleep(0.5)
-    over.set()
+    finished.set()
     await asyncio.gather(*running)
     await asyncio.sleep(4.0)
-    rig.processes[0].terminate()
-    await rig.processes[0].wait()
-    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(rig.outcomes.items()))
+    fixture.processes[0].terminate()
+    await fixture.processes[0].wait()
+    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(fixture.outcomes.items()))
     print(
         f"handover: {rounds} times in turn, beginning with the other checkout; requests: {outcomes}",
         flush=True,
     )
 
 
-class SpeedRig(VersionedRig):
-    """Backends that call back at once; records each request's latency in seconds."""
+class SpeedFixture(CheckoutFixture):
+    """Runs backends without execution time and records the latency of each request in seconds."""
 
     def __init__(self) -> None:
-        super().__init__(is_shared=True)
+        super().__init__(hands_over=True)
         self.latencies: list[float] = []
 
-    async def work(self, request_id: str, name: str) -> None:
-        """Calls back at once that a request is done."""
+    async def execute_request(self, request_id: str, name: str) -> None:
+        """Sends the callback of a completed request at once."""
         body = json.dumps({"id": request_id, "from": name, "state": "done", "result": request_id}).encode()
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(
@@ -207,66 +218,66 @@
         await read_message(reader)
         writer.close()
 
-    async def client(self, request_id: str, keep: bool) -> None:
+    async def send_request(self, request_id: str, keep_alive: bool) -> None:
         """Sends a request and records its latency in seconds."""
-        begun = time.monotonic()
-        await super().client(request_id, keep)
-        self.latencies.append(time.monotonic() - begun)
+        began = time.monotonic()
+        await super().send_request(request_id, keep_alive)
+        self.latencies.append(time.monotonic() - began)
 
     def processor_seconds(self) -> float:
-        """Returns the processor time of the dispatcher since its start."""
+        """Returns the processor time of the dispatcher since its start, in seconds."""
         fields = Path(f"/proc/{self.processes[0].pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     def memory_kilobytes(self) -> int:
-        """Returns the dispatcher's proportional memory."""
+        """Returns the proportional set size of the dispatcher, in kB."""
         rollup = Path(f"/proc/{self.processes[0].pid}/smaps_rollup").read_text()
         return int(rollup.partition("\nPss:")[2].split()[0])
 
 
 async def measure_speed(checkout: Path) -> dict[str, float]:
-    """Serves a load from a checkout; figures by their name and unit."""
+    """Serves a load from a checkout and returns the figures, keyed by name and unit."""
     random.seed(1)
-    rig = SpeedRig()
-    rig.checkout = checkout
-    await rig.open()
-    start = await rig.start()
+    fixture = SpeedFixture()
+    fixture.checkout = checkout
+    await fixture.open()
+    start_seconds = await fixture.start()
     await asyncio.sleep(0.5)
-    used = rig.processor_seconds()
-    over = asyncio.Event()
-    load = asyncio.create_task(rig.load(over))
+    processor_seconds = fixture.processor_seconds()
+    finished = asyncio.Event()
+    load = asyncio.create_task(fixture.generate_load(finished))
     await asyncio.sleep(LOAD_SECONDS)
-    over.set()
+    finished.set()
     await load
     await asyncio.sleep(0.5)
-    used = rig.processor_seconds() - used
-    memory = rig.memory_kilobytes()
-    rig.processes[0].terminate()
-    await rig.processes[0].wait()
-    latencies = sorted(rig.latencies)
+    processor_seconds = fixture.processor_seconds() - processor_seconds
+    memory_kilobytes = fixture.memory_kilobytes()
+    fixture.processes[0].terminate()
+    await fixture.processes[0].wait()
+    latencies = sorted(fixture.latencies)
     return {
-        "processor, ms a request": 1000 * used / len(latencies),
+        "processor, ms a request": 1000 * processor_seconds / len(latencies),
         "median latency, ms": 1000 * latencies[len(latencies) // 2],
         "99th percentile, ms": 1000 * latencies[int(len(latencies) * 0.99)],
-        "memory, MB": memory / 1024,
-        "start until ready, s": start,
-        "answered otherwise": sum(count for outcome, count in rig.outcomes.items() if outcome != "done"),
+        "memory, MB": memory_kilobytes / 1024,
+        "start until ready, s": start_seconds,
+        "answered otherwise": sum(count for outcome, count in fixture.outcomes.items() if outcome != "done"),
     }
 
 
 def imported_modules(checkout: Path) -> tuple[set[str], float]:
-    """Returns what `serve` imports before it reads a configuration, and its shortest duration in ms."""
+    """Returns the modules that `serve` imports before it reads a configuration; its shortest run in ms."""
     names: set[str] = set()
     durations = []
     for _ in range(IMPORT_RUNS):
-        begun = time.perf_counter()
+        began = time.perf_counter()
         result = subprocess.run(
             [sys.executable, "-O", "-X", "importtime", "-m", "crankfold", "serve", "--config", "/nowhere"],
             cwd=checkout,
             capture_output=True,
             text=True,
         )
-        durations.append(1000 * (time.perf_counter() - begun))
+        durations.append(1000 * (time.perf_counter() - began))
         lines = result.stderr.splitlines()
         names = {line.rpartition("|")[2].strip() for line in lines if line.startswith("import time:")}
     return names, min(durations)
@@ -274,7 +285,7 @@
 
 async def compare_speed(other: Path, rounds: int) -> None:
     """Measures both checkouts in turn and prints medians and pairwise ratios."""
-    checkouts = {"other": other, "this": HERE}
+    checkouts = {"other": other, "this": THIS_CHECKOUT}
     runs: dict[str, list[dict[str, float]]] = {name: [] for name in checkouts}
     for number in range(rounds):
         for name in sorted(checkouts, reverse=number % 2 == 1):
@@ -307,8 +318,8 @@
 
 
 async def compare(other: Path, rounds: int) -> None:
-    """Makes all three comparisons."""
-    for checkout in (other, HERE):
+    """Compiles both checkouts and runs the three parts of the comparison."""
+    for checkout in (other, THIS_CHECKOUT):
         compile_checkout(checkout)
     await compare_in_cluster(other)
     await compare_handover(other, rounds)
@@ -316,13 +327,13 @@
 
 
 def main() -> None:
-    """Reads the arguments and compares."""
+    """Compares this checkout with the one that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("other", type=Path, help="the root of the other checkout")
     parser.add_argument("--rounds", type=int, default=6)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     random.seed(1)
-    asyncio.run(compare(given.other.resolve(), given.rounds))
+    asyncio.run(compare(arguments.other.resolve(), arguments.rounds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -1,11 +1,12 @@
-"""Replaces a dispatcher again and again under load, on loopback, and counts the requests that are lost.
+"""Measures the requests that are lost while a dispatcher is replaced repeatedly under load, on loopback.
 
     python -m benchmarks.upgrades --upgrades 10 > benchmarks/upgrades.txt
 
 Discovery and backends run in this process. The load is open loop; half of the requests use a new connection,
-the others a persistent one. Measured twice: with the listening socket handed over (both processes share a
-folder), and with two listeners by SO_REUSEPORT alone (each process has a folder of its own, so neither finds
-the other). Beside the load, idle connections are open at the admin server, and its readiness is polled.
+the others a persistent one. The benchmark runs twice: with a handover of the listening socket, for which both
+processes share a folder, and with two listeners by SO_REUSEPORT alone, where each process has a folder of its
+own and does not find the other. During the load, idle connections to the admin server stay open and its
+readiness is polled.
 """
 
 import argparse
@@ -25,27 +26,27 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-BACKENDS = 4
-RATE = 120.0  # requests a second
+BACKEND_COUNT = 4
+REQUESTS_PER_SECOND = 120.0
 MEAN_RUN_SECONDS = 0.05
 MAX_STALLED_CONNECTIONS = 40  # at the admin server
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, bytes]:
-    """Reads the head and the body of the next HTTP message."""
+    """Returns the head and the body of the next HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     length = [line for line in head.lower().split("\r\n") if line.startswith("content-length:")]
     return head, await reader.readexactly(int(length[0].partition(":")[2]) if length else 0)
 
 
 def free_port() -> int:
-    """Returns a port on which nobody listens at the moment."""
+    """Returns a port on which no socket listens at the moment."""
     with socket.create_server((HOST, 0)) as free:
         return int(free.getsockname()[1])
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Returns the address of a server."""
+    """Returns the host and port on which a server listens."""
     return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
 
@@ -59,22 +60,22 @@
     return int(rollup.partition("\nPss:")[2].split()[0]), len(os.listdir(f"/proc/{pid}/fd"))
 
 
-class Rig:
-    """Stand-ins, load, and the dispatchers that replace each other.
+class UpgradeFixture:
+    """Fake backends and discovery, clients, and the dispatchers that replace each other.
 
     Attributes:
-        is_shared: Whether a process finds the one that it replaces.
+        hands_over: Whether a process finds the one that it replaces and takes over its listening socket.
         outcomes: The number of requests by outcome.
-        readiness_latencies: Seconds of each readiness check that was answered.
-        failed_readiness_checks: Those answered with "not ready", or not at all.
+        readiness_latencies: Latency in seconds of each readiness check that was answered.
+        failed_readiness_checks: The number of checks that were answered with "not ready" or not at all.
         idle_connections: Persistent client connections without a request.
-        peak_memory: Of all processes together, in kB.
-        peak_descriptors: Of all processes together.
-        admin_port: The admin server of the newest process.
+        peak_memory: Peak of the memory of all processes together, in kB.
+        peak_descriptors: Peak of the open descriptors of all processes together.
+        admin_port: Port of the admin server of the newest process.
     """
 
-    def __init__(self, is_shared: bool) -> None:
-        self.is_shared = is_shared
+    def __init__(self, hands_over: bool) -> None:
+        self.hands_over = hands_over
         self.port = free_port()
         self.outcomes: Counter[str] = Counter()
         self.readiness_latencies: list[float] = []
@@ -88,14 +89,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.log_readers: set[asyncio.Task[None]] = set()
 
-    # --- stand-ins ---
+    # --- fake backends and discovery ---
 
     async def open(self) -> None:
-        """Starts the stand-ins and writes the configuration."""
-        targets = [await self.start_backend(f"r{number}") for number in range(BACKENDS)]
+        """Starts the fake backends and discovery, and writes the configuration."""
+        endpoints = [await self.start_backend(f"r{number}") for number in range(BACKEND_COUNT)]
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self.serve_discovery(reader, writer, targets)
+            await self.serve_discovery(reader, writer, endpoints)
 
         discovery = await asyncio.start_server(serve, HOST, 0)
         request_class = {"name": "g", "effect": "safe", "cut-off": 3_000_000, "expected-time": 1_000_000}
@@ -115,7 +116,7 @@
         self.config.write_text(json.dumps(configuration))
 
     async def start_backend(self, name: str) -> dict[str, object]:
-        """Starts a backend and returns its entry in the list of discovery."""
+        """Starts a fake backend and returns its entry in the endpoint list."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
@@ -124,7 +125,7 @@
                     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
                     if head.startswith("POST"):
                         request_id = head.lower().partition("x-request-id: ")[2].split()[0]
-                        self.spawn(self.work(request_id, name))
+                        self.spawn(self.execute_request(request_id, name))
             writer.close()
 
         server = await asyncio.start_server(serve, HOST, 0)
@@ -140,31 +141,31 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        targets: list[dict[str, object]],
+        endpoints: list[dict[str, object]],
     ) -> None:
-        """Answers with all backends; a call for changes waits and is answered with none."""
+        """Answers a poll for changes without a change after a wait, and any other call with all backends."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 head, _ = await read_message(reader)
                 is_poll = "after=" in head
                 if is_poll:
                     await asyncio.sleep(3)
-                entries = [] if is_poll else targets
+                entries = [] if is_poll else endpoints
                 body = json.dumps({"rev": 1, "all": not is_poll, "targets": entries}).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         writer.close()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Starts a task whose end `measure` awaits."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Starts a task; `measure` waits until all of them have ended."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def work(self, request_id: str, name: str) -> None:
-        """Executes a request at a backend, and then calls back."""
+    async def execute_request(self, request_id: str, name: str) -> None:
+        """Executes a request at a backend, and sends its callback up to 10 times until it is accepted."""
         await asyncio.sleep(random.expovariate(1 / MEAN_RUN_SECONDS))
         body = json.dumps({"id": request_id, "from": name, "state": "done", "result": request_id}).encode()
-        for _ in range(10):  # a callback is repeated until it is accepted
+        for _ in range(10):
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, TimeoutError):
                 reader, writer = await asyncio.open_connection(HOST, self.port)
                 writer.write(
@@ -180,54 +181,60 @@
 
     # --- clients and operators ---
 
-    async def client(self, request_id: str, keep: bool) -> None:
-        """Sends a request on a new connection, or on a persistent one if `keep`."""
+    async def send_request(self, request_id: str, keep_alive: bool) -> None:
+        """Sends a request and counts its outcome.
+
+        Args:
+            request_id: Identifies the request; the number of the attempt is appended.
+            keep_alive: Whether to use a persistent connection instead of a new one.
+        """
         for attempt in range(2):
-            is_sent = False
+            sent = False
             try:
-                is_reused = bool(keep and self.idle_connections)
+                is_reused = bool(keep_alive and self.idle_connections)
                 reader, writer = (
                     self.idle_connections.pop()
                     if is_reused
                     else await asyncio.open_connection(HOST, self.port)
                 )
-                close = "" if keep else "Connection: close\r\n"
+                close = "" if keep_alive else "Connection: close\r\n"
                 writer.write(
                     f"POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request_id}-{attempt}\r\n{close}"
                     "X-Priority-Class: g\r\nX-Timeout: 3\r\nContent-Length: 0\r\n\r\n".encode()
                 )
-                is_sent = True
+                sent = True
                 async with asyncio.timeout(4):
                     head, body = await read_message(reader)
             except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as error:
-                # The close of a persistent connection crossed the request: clients repeat it on a new one.
+                # A server may close a persistent connection while a request is on its way; clients then
+                # repeat the request on a new connection.
                 if is_reused and attempt == 0:
                     self.outcomes["crossed"] += 1
                     continue
                 self.outcomes[
-                    f"lost ({'no response' if is_sent else 'not accepted'}, {type(error).__name__})"
+                    f"lost ({'no response' if sent else 'not accepted'}, {type(error).__name__})"
                 ] += 1
                 return
             succeeded = head.split()[1] == "200" and body.decode() == f"{request_id}-{attempt}"
             self.outcomes["done" if succeeded else f"answered {head.split()[1]}"] += 1
-            if keep and "connection: close" not in head.lower():
+            if keep_alive and "connection: close" not in head.lower():
                 self.idle_connections.append((reader, writer))
             else:
                 writer.close()
             return
 
-    async def load(self, over: asyncio.Event) -> None:
-        """Sends requests at random times until `over` is set, whatever became of earlier ones."""
+    async def generate_load(self, finished: asyncio.Event) -> None:
+        """Sends requests at random times, independent of earlier responses, until `finished` is set."""
         count = 0
-        due = time.monotonic()
-        while not over.is_set():
+        next_send_at = time.monotonic()
+        while not finished.is_set():
             count += 1
-            due += random.expovariate(RATE)
-            await asyncio.sleep(max(due - time.monotonic(), 0))
-            self.spawn(self.client(f"u{count}", count % 2 == 0))
+            next_send_at += random.expovariate(REQUESTS_PER_SECOND)
+            await asyncio.sleep(max(next_send_at - time.monotonic(), 0))
+            self.spawn(self.send_request(f"u{count}", count % 2 == 0))
 
     async def check_readiness(self, admin_port: int) -> bool:
-        """Asks the process with that admin port whether it is ready, and records the latency."""
+        """Returns whether the process with this admin port is ready, and records the latency."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(5):
@@ -240,11 +247,11 @@
         self.readiness_latencies.append(time.monotonic() - began)
         return head.split()[1] == "200"
 
-    async def poll_readiness(self, over: asyncio.Event) -> None:
-        """Polls the readiness beside connections that send nothing, or half of a request, and stay open."""
+    async def poll_readiness(self, finished: asyncio.Event) -> None:
+        """Polls the readiness while other admin connections stay open without a complete request."""
         stalled: list[asyncio.StreamWriter] = []
         count = 0
-        while not over.is_set():
+        while not finished.is_set():
             count += 1
             admin_port = self.admin_port
             with contextlib.suppress(ConnectionError):
@@ -257,15 +264,15 @@
                 self.failed_readiness_checks += 1
             await asyncio.sleep(0.02)
 
-    async def sample_usage(self, over: asyncio.Event) -> None:
-        """Records the peak of memory and of descriptors, of all processes together."""
-        while not over.is_set():
+    async def sample_usage(self, finished: asyncio.Event) -> None:
+        """Records the peaks of the memory and of the descriptors of all processes together."""
+        while not finished.is_set():
             memory = descriptors = 0
             for process in self.processes:
                 with contextlib.suppress(OSError):
-                    used = usage_of(process.pid)
-                    memory += used[0]
-                    descriptors += used[1]
+                    usage = usage_of(process.pid)
+                    memory += usage[0]
+                    descriptors += usage[1]
             self.peak_memory = max(self.peak_memory, memory)
             self.peak_descriptors = max(self.peak_descriptors, descriptors)
             await asyncio.sleep(0.02)
@@ -276,10 +283,10 @@
         """Starts a dispatcher and returns the seconds until it is ready.
 
         Raises:
-            SystemExit: It ended before it was ready.
+            SystemExit: The dispatcher ended before its admin server listened.
         """
         began = time.monotonic()
-        folder = self.folder if self.is_shared else Path(tempfile.mkdtemp())
+        folder = self.folder if self.hands_over else Path(tempfile.mkdtemp())
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-O",
@@ -295,7 +302,7 @@
         while not admin_port:
             line = (await process.stderr.readline()).decode()
             if not line:
-                raise SystemExit("the dispatcher did not start")
+                raise SystemExit("the dispatcher ended before its admin server listened")
             if "operators at" in line:
                 admin_port = int(line.rpartition(":")[2])
         self.log_readers.add(asyncio.get_running_loop().create_task(self.discard_log(process)))
@@ -305,77 +312,83 @@
         return time.monotonic() - began
 
     async def discard_log(self, process: asyncio.subprocess.Process) -> None:
-        """Reads the log of a process, which would block once the pipe is full."""
+        """Reads and discards the log of a process, which would otherwise block once the pipe is full."""
         assert process.stderr
         while await process.stderr.readline():
             pass
 
     async def replace(self) -> tuple[float, float]:
-        """Replaces the process; the seconds until the new one is ready, and until the old one has ended."""
-        old = self.processes[0]
+        """Replaces the dispatcher.
+
+        Returns:
+            The seconds until the successor is ready, and from SIGTERM until the predecessor has ended.
+        """
+        predecessor = self.processes[0]
         startup = await self.start()
         began = time.monotonic()
-        old.send_signal(signal.SIGTERM)
-        await old.wait()
-        self.processes.remove(old)
+        predecessor.send_signal(signal.SIGTERM)
+        await predecessor.wait()
+        self.processes.remove(predecessor)
         return startup, time.monotonic() - began
 
 
-async def measure(is_shared: bool, upgrades: int) -> None:
-    """Replaces the process so many times under load, and prints the results."""
-    rig = Rig(is_shared)
-    await rig.open()
-    await rig.start()
-    over = asyncio.Event()
-    activities = (rig.load, rig.poll_readiness, rig.sample_usage)
-    running = [asyncio.create_task(activity(over)) for activity in activities]
+async def measure(hands_over: bool, upgrades: int) -> None:
+    """Replaces the dispatcher `upgrades` times under load, and prints the results."""
+    fixture = UpgradeFixture(hands_over)
+    await fixture.open()
+    await fixture.start()
+    finished = asyncio.Event()
+    activities = (fixture.generate_load, fixture.poll_readiness, fixture.sample_usage)
+    running = [asyncio.create_task(activity(finished)) for activity in activities]
     await asyncio.sleep(2)
     times = []
     for _ in range(upgrades):
-        times.append(await rig.replace())
+        times.append(await fixture.replace())
         await asyncio.sleep(0.5)
-    over.set()
+    finished.set()
     await asyncio.gather(*running)
-    while rig.tasks:  # noqa: ASYNC110 - a task may start another
+    while fixture.tasks:  # noqa: ASYNC110 - a task may start another
         await asyncio.sleep(0.05)
-    rig.processes[0].terminate()
-    await rig.processes[0].wait()
-    print_results(rig, times)
+    fixture.processes[0].terminate()
+    await fixture.processes[0].wait()
+    print_results(fixture, times)
 
 
-def print_results(rig: Rig, times: list[tuple[float, float]]) -> None:
-    """Prints the outcomes of the requests and the durations of the upgrades."""
-    lost = sum(count for outcome, count in rig.outcomes.items() if outcome.startswith("lost"))
-    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(rig.outcomes.items()))
+def print_results(fixture: UpgradeFixture, times: list[tuple[float, float]]) -> None:
+    """Prints the outcomes of the requests and the times of the upgrades."""
+    lost = sum(count for outcome, count in fixture.outcomes.items() if outcome.startswith("lost"))
+    outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(fixture.outcomes.items()))
     ready, ended = zip(*times, strict=True)
-    latencies = sorted(1000 * latency for latency in rig.readiness_latencies)
-    print(f"{'the listening socket handed over' if rig.is_shared else 'two listeners, SO_REUSEPORT alone'}")
+    latencies = sorted(1000 * latency for latency in fixture.readiness_latencies)
+    print(
+        f"{'the listening socket handed over' if fixture.hands_over else 'two listeners, SO_REUSEPORT alone'}"
+    )
     print(
         f"  upgrades {len(times)}; ready after {min(ready):.2f} to {max(ready):.2f} s, the old process ended "
         f"{min(ended):.2f} to {max(ended):.2f} s after SIGTERM"
     )
-    print(f"  requests {sum(rig.outcomes.values())}: {outcomes}")
+    print(f"  requests {sum(fixture.outcomes.values())}: {outcomes}")
     print(f"  requests lost in an upgrade: {lost / len(times):.1f}")
     print(
         f"  readiness checks: {len(latencies)}, median {latencies[len(latencies) // 2]:.1f} ms, "
         f"99th percentile {latencies[int(len(latencies) * 0.99)]:.1f} ms, longest {latencies[-1]:.1f} ms, "
-        f"failed {rig.failed_readiness_checks}"
+        f"failed {fixture.failed_readiness_checks}"
     )
     print(
-        f"  both processes together at most: {rig.peak_memory / 1024:.1f} MB (proportional), "
-        f"{rig.peak_descriptors} descriptors",
+        f"  both processes together at most: {fixture.peak_memory / 1024:.1f} MB (proportional), "
+        f"{fixture.peak_descriptors} descriptors",
         flush=True,
     )
 
 
 def main() -> None:
-    """Measures both ways of listening."""
+    """Measures upgrades with a handover of the listening socket, and then with SO_REUSEPORT alone."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--upgrades", type=int, default=10)
     upgrades = parser.parse_args().upgrades
     random.seed(1)
-    for is_shared in (True, False):
-        asyncio.run(measure(is_shared, upgrades))
+    for hands_over in (True, False):
+        asyncio.run(measure(hands_over, upgrades))
 
 
 if __name__ == "__main__":
