--- a/examples/three.py
+++ b/examples/three.py
@@ -1,4 +1,4 @@
-"""Writes the configurations of three dispatchers that agree with one another, from config.json.
+"""Writes the configurations of a cluster of three dispatchers to a folder, derived from config.json.
 
 python examples/three.py FOLDER
 """
@@ -7,14 +7,14 @@
 import sys
 from pathlib import Path
 
-HERE = Path(__file__).parent
+EXAMPLES_FOLDER = Path(__file__).parent
 FIRST_CLIENT_PORT = 8080
 FIRST_ADMIN_PORT = 8180
 FIRST_MEMBER_PORT = 8280
 
 folder = Path(sys.argv[1])
 folder.mkdir(parents=True, exist_ok=True)
-document = json.loads((HERE / "config.json").read_text())
+document = json.loads((EXAMPLES_FOLDER / "config.json").read_text())
 voters = {f"n{index}": f"127.0.0.1:{FIRST_MEMBER_PORT + index}" for index in range(3)}
 document["settings"]["balancers"] = len(voters)
 for index, name in enumerate(voters):
