--- a/crankfold/cli/admin_client.py
+++ b/crankfold/cli/admin_client.py
@@ -59,7 +59,7 @@
 
     @property
     def reason(self) -> str:
-        """The reason that the server gives for not executing the call; the whole content if it gives none."""
+        """Why the server did not execute the call; the complete content if the server gives no reason."""
         return str(self.content.get("text", self.content))
 
     def require_ok(self) -> JsonObject:
--- a/crankfold/cli/main.py
+++ b/crankfold/cli/main.py
@@ -78,9 +78,9 @@
 ) -> None:
     """Serve until SIGTERM or SIGINT, then drain.
 
-    SIGHUP reloads the file, as a whole or not at all. Request classes, bounds, limits and the address of
-    discovery take effect at once and override the options given here; other changes need a restart. SIGUSR1
-    prints the counters.
+    SIGHUP reloads the file atomically. Request classes, bounds, limits and the address of discovery take
+    effect at once and override the options given here; other changes need a restart. SIGUSR1 prints the
+    counters.
     """
     catch_early_signals()
     configure_logging()
--- a/crankfold/cli/maintenance.py
+++ b/crankfold/cli/maintenance.py
@@ -76,8 +76,8 @@
     Attributes:
         name: The name of the job.
         fields: The changed fields; None to remove the job.
-        reason: The reason for the change, kept in the history.
-        author: Who makes the change, kept in the history.
+        reason: The reason for the change, recorded in the history.
+        author: Who makes the change, recorded in the history.
         is_new: Whether this change submits the job.
     """
 
--- a/crankfold/cli/maintenance_machines.py
+++ b/crankfold/cli/maintenance_machines.py
@@ -121,7 +121,7 @@
         default=0,
         help="Drain number of the machine; the call is rejected if the machine has another one.",
     )
-    @click.option("--why", default="", help="Reason, kept in the history of the machine.")
+    @click.option("--why", default="", help="Reason, recorded in the history of the machine.")
     @author_option
     @call_option
     def report_step(address: str, as_json: bool, call_id: str, **request: Any) -> None:
--- a/crankfold/cli/options.py
+++ b/crankfold/cli/options.py
@@ -30,7 +30,7 @@
     type=click.Choice(DOCUMENTS),
 )
 author_option = click.option("--author", envvar="USER", default="", show_envvar=True)
-reason_option = click.option("--reason", default="", help="Reason, kept in the history.")
+reason_option = click.option("--reason", default="", help="Reason, recorded in the history.")
 required_reason_option = click.option("--reason", required=True)
 wait_option = click.option(
     "--wait",
--- a/crankfold/cli/settings.py
+++ b/crankfold/cli/settings.py
@@ -71,8 +71,8 @@
         document: The name of the document.
         content: The content of the new version.
         made_from: The version that the operator changed; if it is not the newest, the publish is rejected.
-        reason: The reason for the change, kept in the history.
-        author: Who made the change, kept in the history.
+        reason: The reason for the change, recorded in the history.
+        author: Who made the change, recorded in the history.
         wait_seconds: How long to wait until the version is active at each dispatcher.
         call_id: The identifier under which a repeated call takes effect once; random if empty.
     """
--- a/crankfold/cluster/transport.py
+++ b/crankfold/cluster/transport.py
@@ -1,8 +1,8 @@
 """Connections between cluster members.
 
-Each voter opens a connection to every other voter and sends on it. A follower opens a connection to its
-voter, and both send on it. Send buffers are bounded: a connection whose receiver does not read is aborted,
-and the next message opens a new one.
+Each voter opens a connection to every other voter and sends messages over it. A follower opens a connection
+to its voter, and both send over it. Send buffers are bounded: a connection whose receiver does not read is
+aborted, and the next message opens a new one.
 """
 
 import asyncio
--- a/crankfold/config/parser.py
+++ b/crankfold/config/parser.py
@@ -12,9 +12,9 @@
 from crankfold.routing.interface import DeduplicationScope, Idempotency, RequestClass, RoutingConfig
 from crankfold.time_units import MICROSECONDS_PER_TICK
 
-# The settings that a reload may change; the state kept for backends depends on the others.
+# The settings that a reload may change; the state stored for backends depends on the others.
 RELOADABLE = ("service-grades", "allowed", "score-parts", "revenue-per", "orgs")
-# Microseconds. Allows for one retransmission of a lost SYN, which takes place after 1 s (RFC 6298).
+# Microseconds. Allows for one retransmission of the SYN, which the kernel sends after 1 s (RFC 6298).
 DEFAULT_CONNECT_TIMEOUT = 1_100_000
 # Microseconds. A connection that is closed too early costs a handshake, one reused too late a request.
 DEFAULT_IDLE_TIMEOUT = 4_000_000
