--- a/crankfold/consensus/leases.py
+++ b/crankfold/consensus/leases.py
@@ -57,7 +57,7 @@
         heartbeat_sent_at: When the follower sent that heartbeat, on the follower's clock.
         expires_at: The latest time at which its lease expires.
         last_applied: The last log index that it had applied when it sent its newest heartbeat.
-        quiesced_index: The index of the quotas that its open requests kept within at that time.
+        quiesced_index: The index of the quotas that its open requests complied with at that time.
         has_left: Whether it released its lease.
         quota_usage: The number of open and wanted requests at that time, by cluster-wide limit.
         maintenance_report: Its report in that heartbeat; None for none.
--- a/crankfold/consensus/progress.py
+++ b/crankfold/consensus/progress.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection
 
-ROUNDS_RETAINED = 200  # rounds whose send times are kept
+ROUNDS_RETAINED = 200  # number of rounds whose send times are retained
 
 
 def quorum_value(voters: Collection[str], value_of: Callable[[str], int]) -> int:
@@ -51,7 +51,7 @@
         self._acknowledged_round[voter] = max(self._acknowledged_round.get(voter, 0), round_number)
 
     def record_mismatch(self, voter: str, retry_index: int) -> None:
-        """Records that the logs differ; the voter asks for `retry_index` as the next `prev_log_index`."""
+        """Records that the logs differ; the voter requests `retry_index` as the next `prev_log_index`."""
         previous = self.next_index.get(voter, 1) - 1
         self.next_index[voter] = max(min(retry_index + 1, previous), 1)
 
--- a/crankfold/consensus/proposals.py
+++ b/crankfold/consensus/proposals.py
@@ -177,7 +177,7 @@
             data = {**request.data, "call": request.proposal_id}
             self._raft.propose(now, EntryKind.MAINTENANCE, data)
         elif request.proposal_id in self._validations:
-            self._request_validation(request.proposal_id)  # the earlier request may have been lost
+            self._request_validation(request.proposal_id)  # the network may have dropped the earlier request
         else:
             self._begin_validation(now, request)
 
--- a/crankfold/consensus/quotas.py
+++ b/crankfold/consensus/quotas.py
@@ -8,7 +8,7 @@
 
 Allocation = dict[str, dict[str, int]]  # quotas by limit and member
 
-# The leader allocates anew if a member with no quota left would gain more than a tenth of the limit.
+# The leader proposes new quotas if a member that uses all of its quota would gain over a tenth of the limit.
 MIN_GAIN_DIVISOR = 10
 
 
@@ -48,7 +48,7 @@
 def needs_allocation(
     limits: dict[str, int], usage: dict[str, dict[str, int]], current: Allocation, target: Allocation
 ) -> bool:
-    """Whether to allocate anew: members or limits changed, or a member with no quota left would gain enough.
+    """Whether new quotas are due: members or limits changed, or a member at its quota would gain enough.
 
     Args:
         limits: The highest number of open requests in the cluster, by limit.
--- a/crankfold/consensus/raft.py
+++ b/crankfold/consensus/raft.py
@@ -1,14 +1,13 @@
-"""One node of the Raft consensus algorithm, without I/O.
+"""One node of the Raft consensus algorithm, which does no I/O and reads no clock.
 
 Implements Ongaro and Ousterhout 2014, with these parts of Ongaro's dissertation: pre-vote (9.6), a leader
 that steps down when it loses contact with a quorum (6.2), leases by heartbeat rounds (6.4), log compaction
 (5) and changes of one voter at a time (4.1).
 
-The node reads no clock and does no I/O. Its owner calls `tick` at `next_deadline` and `receive` for each
-message. After each call, the owner sends the messages of `take_immediate_messages`, writes the `Ready` of
-`take_ready` to stable storage, sends the messages in that `Ready`, and calls `advance`. An entry counts
-towards a majority only once it is on stable storage. Times and durations are ticks of a tenth of a
-millisecond.
+The owner calls `tick` at `next_deadline` and `receive` for each message. After each call, it sends the
+messages of `take_immediate_messages`, writes the `Ready` of `take_ready` to stable storage, sends the
+messages in that `Ready`, and calls `advance`. An entry counts towards a majority only once it is on stable
+storage. Times and durations are ticks of a tenth of a millisecond.
 """
 
 from crankfold.consensus.election_timer import ElectionTimer
@@ -31,8 +30,7 @@
 from crankfold.consensus.voter_registry import VoterRegistry
 
 MAX_ENTRIES_PER_APPEND = 64
-# A leader steps down after this many election timeouts without contact with a quorum.
-LEADER_CONTACT_TIMEOUTS = 2
+LEADER_CONTACT_TIMEOUTS = 2  # election timeouts without quorum contact until a leader steps down
 
 
 class Raft:
@@ -247,11 +245,7 @@
         return self.log.last_index()
 
     def change_voters(self, now: int, voters: dict[str, str]) -> None:
-        """Proposes to add or remove one voter.
-
-        Args:
-            now: The current time.
-            voters: Addresses of the voters by name, as they are after the change.
+        """Proposes to add or remove one voter; `voters` maps all names after the change to addresses.
 
         Raises:
             MembershipChangeError: This node is not the leader, has not committed an entry of its term, or
@@ -336,7 +330,7 @@
         if self.name not in self.voters:
             self._become_follower(now, self.term)  # the removal of this node is committed
         else:
-            self.broadcast_append(now)  # tells the voters the commit index before the next heartbeat
+            self.broadcast_append(now)  # propagates the commit index before the next heartbeat
 
     def send(self, receiver: str, message: Message) -> None:
         """Queues a message; one that depends on this node's stable storage is sent after the sync."""
--- a/crankfold/consensus/versioned_documents.py
+++ b/crankfold/consensus/versioned_documents.py
@@ -199,7 +199,7 @@
 
     def _apply_publish(self, index: int, data: PublishData) -> str:
         if data.call in self.replicated.outcomes:
-            return ""  # the proposal was appended twice, and the first entry took effect
+            return ""  # the log has this proposal twice, and the first entry is already applied
         document = self.replicated.documents.setdefault(data.doc, Document())
         latest = document.latest_number()
         error = ""
--- a/crankfold/maintenance/fleet_view.py
+++ b/crankfold/maintenance/fleet_view.py
@@ -44,7 +44,7 @@
     # By returned machine: the number of all and of bad responses.
     response_counts: dict[str, tuple[int, int]] = field(default_factory=dict)
     unavailable: Collection[str] = ()  # machines that are not ready on some dispatcher's endpoint list
-    requests_in_flight: int = 0  # in the whole fleet
+    requests_in_flight: int = 0  # sum over all dispatchers
     admitted_count: int = 0  # recently admitted requests
     shed_count: int = 0  # recently shed requests
     executors: dict[str, int] = field(default_factory=dict)  # incarnations, by voter with a lease
--- a/crankfold/maintenance/scheduler.py
+++ b/crankfold/maintenance/scheduler.py
@@ -69,7 +69,7 @@
 class Schedule:
     """The machines to drain now, and why the others wait."""
 
-    departures: list[MachineJob] = field(default_factory=list)  # in the order in which they were chosen
+    departures: list[MachineJob] = field(default_factory=list)  # in the order of selection
     wait_reasons: dict[MachineJob, str] = field(default_factory=dict)  # by machine and job that waits
 
 
--- a/crankfold/maintenance/specification.py
+++ b/crankfold/maintenance/specification.py
@@ -76,7 +76,7 @@
     joint_absence_allowed: bool = field(name="shares", default=True)
     method: WorkMethod = field(name="way", default=WorkMethod.OPERATOR)
     command: list[str] = field(default_factory=list)
-    # Whether the command may be run again if its executor restarted while it ran.
+    # Whether the command may be run again after a restart of its executor during the run.
     command_repeatable: bool = field(name="again", default=False)
     work_seconds: Annotated[float, Meta(gt=0)] = field(name="takes", default=600.0)  # the longest time
     overdue_policy: OverduePolicy = field(name="not-back", default=OverduePolicy.HOLD)
--- a/crankfold/network/admin_server.py
+++ b/crankfold/network/admin_server.py
@@ -79,7 +79,7 @@
                 pass
 
     def _try_admit(self) -> bool:
-        """Makes room for one more connection: at MAX_CALLERS, closes the oldest one without a complete call.
+        """Frees a slot for a connection: at MAX_CALLERS, closes the oldest one without a complete call.
 
         A connection whose call was read is never closed, because the call may already have taken effect.
 
--- a/crankfold/network/connection_pool.py
+++ b/crankfold/network/connection_pool.py
@@ -42,7 +42,7 @@
         self.idle_connections: dict[PooledConnection, None] = {}
 
     def try_admit(self) -> bool:
-        """Makes room for one more connection: at the limit, closes the one that has been idle longest.
+        """Frees a slot for a connection: at the limit, closes the one that has been idle longest.
 
         Returns:
             Whether one more connection may be opened.
--- a/crankfold/network/discovery_watcher.py
+++ b/crankfold/network/discovery_watcher.py
@@ -18,9 +18,9 @@
 logger = logging.getLogger(__name__)
 
 # A change must be applied within 6 s of the moment when discovery has it and is reachable. The connection of
-# a long poll can be lost without notice as soon as the call is sent. Detecting that takes LONG_POLL_MS and
-# OVERDUE_GRACE; the rest of the 6 s is left for further calls. Times are in seconds unless the name says
-# otherwise.
+# a long poll can fail without notice as soon as the call is sent. Detecting that takes LONG_POLL_MS and
+# OVERDUE_GRACE; the remainder of the 6 s is the budget of further calls. Times are in seconds unless the name
+# says otherwise.
 LONG_POLL_MS = 2000  # discovery may wait this long for a change
 OVERDUE_GRACE = 0.5  # from the expected end of a long poll until a further call is started beside it
 # Replaces OVERDUE_GRACE where lists are pushed, for every call. A call can begin or end while the agent is
@@ -187,7 +187,7 @@
     def _least_promising_call(self) -> asyncio.Task[None]:
         """Returns the oldest expired call, else the oldest without response bytes, else the second oldest.
 
-        The oldest call is kept unless it has expired, because discovery may answer it next.
+        The oldest call is retained unless it has expired, because discovery may answer it next.
         """
         expired_before = self.loop.time() - QUEUE_TIMEOUT - LONG_POLL_MS / MILLISECONDS_PER_SECOND
         expired = [task for task, call in self.calls.items() if call.sent_at < expired_before]
@@ -278,8 +278,8 @@
 
     def _record_failure(self, error: OSError | DiscoveryError) -> None:
         self._lost_connection = not isinstance(error, DiscoveryError)
-        # After a lost connection or a rejected call the revision is still valid. It is kept, because a delta
-        # is shorter than a snapshot.
+        # The revision stays valid after a connection failure or a rejected call. It is retained, because a
+        # delta is shorter than a snapshot.
         if isinstance(error, DiscoveryError) and not isinstance(error, RejectedError):
             self.revision = NO_REVISION
         self.metrics.increment("discovery-failed")
--- a/crankfold/network/handover_channel.py
+++ b/crankfold/network/handover_channel.py
@@ -36,7 +36,7 @@
     """Receives the events of a channel. Each connected process has a number that is never reused."""
 
     def successor_found(self, process: int, sock: socket.socket, hello: HandoverMessage) -> None:
-        """Another process has connected; the listening socket may be sent on `sock` during this call only."""
+        """A process has connected; the listening socket may be passed over `sock` only during this call."""
 
     def message_received(self, process: int, message: HandoverMessage) -> None:
         """A process has sent a message."""
--- a/crankfold/network/socket_state.py
+++ b/crankfold/network/socket_state.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-# The peer has half-closed the connection; poll reports errors and resets without being asked for them.
+# The peer has half-closed the connection; poll reports errors and resets even if they are not requested.
 PEER_CLOSED = select.POLLRDHUP
 ANY_INPUT = select.POLLIN | PEER_CLOSED
 
--- a/crankfold/protocol/client_connection.py
+++ b/crankfold/protocol/client_connection.py
@@ -103,7 +103,7 @@
         return not self.awaiting_response and (self.request_head is not None or self.buffered_bytes > 0)
 
     def is_in_body(self) -> bool:
-        """Whether the header of a request was received, but not its whole body."""
+        """Whether the header of a request was received, but its body is incomplete."""
         return not self.awaiting_response and self.request_head is not None
 
     def receive_data(self, data: bytes) -> None:
--- a/crankfold/protocol/discovery.py
+++ b/crankfold/protocol/discovery.py
@@ -68,7 +68,7 @@
 
     Attributes:
         revision: Revision of the list after this update.
-        is_snapshot: Whether this is the whole list; else it is the delta since the revision in the call.
+        is_snapshot: Whether this is the complete list; else it is the delta since the revision in the call.
         endpoints: All endpoints of the list, or those that changed.
     """
 
@@ -115,7 +115,7 @@
 
 
 def encode_entry(entry: DiscoveryEntry) -> _WireEntry:
-    """Returns the entry as it is sent on the wire."""
+    """Returns the wire representation of the entry."""
     return {
         "uid": entry.backend_id,
         "endpoint": f"{entry.host}:{entry.port}",
@@ -217,7 +217,7 @@
                 return True
 
     def is_reusable(self) -> bool:
-        """Whether another call may be sent on this connection."""
+        """Whether the connection may be used for another call."""
         return self.http.our_state is h11.IDLE and not self._peer_closed
 
     def decode_response(self, make_endpoint: EndpointFactory) -> EndpointUpdate:
--- a/crankfold/protocol/handover_messages.py
+++ b/crankfold/protocol/handover_messages.py
@@ -119,7 +119,7 @@
 
 
 class CallbackQuery(NamedTuple):
-    """Asks whether the receiver holds the request of a callback; `callback` is its JSON text."""
+    """Queries whether the receiver holds the request of a callback; `callback` is its JSON text."""
 
     query_id: int
     callback: str
