--- a/crankfold/routing/averages.py
+++ b/crankfold/routing/averages.py
@@ -12,7 +12,7 @@
 
 ARRIVAL_DECAY = 0.975  # factor on the sums of arrivals and values per decay interval
 DECAY_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # a longer pause counts as this, so that the sums are kept
+MAX_DECAY_TICKS = 10 * TICKS_PER_SECOND  # cap on the pause that counts, so that the sums do not decay to 0
 RUN_TIME_DECAY = 0.85  # factor on a backend's sums of running times per run
 MEAN_RUN_WEIGHT = 0.1  # weight of the latest run in the mean running time
 RUN_PER_WORK_WEIGHT = 0.1  # weight of the latest run in the running time per hinted work
--- a/crankfold/routing/interface.py
+++ b/crankfold/routing/interface.py
@@ -1,7 +1,7 @@
 """The interface of the router: the types of its configuration, of its events and of its actions.
 
-Times and durations are whole ticks of a monotonic clock. The work of a request is its running time, in ticks,
-on a slot of a backend of typical speed. Backends, requests and request classes are identified by dense
+Times and durations are integer ticks of a monotonic clock. The work of a request is its running time, in
+ticks, on a slot of a backend of typical speed. Backends, requests and request classes are identified by dense
 indices; the codecs map names to them.
 """
 
--- a/crankfold/routing/router.py
+++ b/crankfold/routing/router.py
@@ -191,10 +191,10 @@
         )
         self.refreshed_at = now
         self.subset.refresh(now)
-        earned_shares = []
+        earned_ratios = []
         for record in state.classes:
             record.offered_value *= decay
             record.earned_value *= decay
-            earned_shares.append(record.earned_value / record.offered_value if record.offered_value else 1.0)
-        state.worst_class = min(range(len(earned_shares)), key=earned_shares.__getitem__, default=0)
+            earned_ratios.append(record.earned_value / record.offered_value if record.offered_value else 1.0)
+        state.worst_class = min(range(len(earned_ratios)), key=earned_ratios.__getitem__, default=0)
         self.reports.refresh(now, self.subset.members)
--- a/crankfold/routing/state.py
+++ b/crankfold/routing/state.py
@@ -66,7 +66,7 @@
         self.set_classes(config.request_classes, new_rows)
 
     def set_classes(self, classes: Sequence[RequestClass], new_rows: Collection[int] = ()) -> None:
-        """Applies the settings of the classes; a typical running time is kept only for unchanged settings."""
+        """Applies the settings of the classes; only an unchanged class retains its typical running time."""
         self.worst_class = 0
         self.mean_objective = sum(request_class.latency_objective for request_class in classes) / max(
             len(classes), 1
--- a/crankfold/service/application.py
+++ b/crankfold/service/application.py
@@ -265,7 +265,7 @@
         loop.add_signal_handler(signal.SIGUSR1, self.report_metrics)
         loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         if take_reload_request():
-            self.reloader.reload()  # the SIGHUP may have come after the start had read the file
+            self.reloader.reload()  # the SIGHUP may have arrived after the initial read of the file
 
     async def _start_discovery(self) -> None:
         """Registers the endpoints of the predecessor or of the configuration, and starts the watcher."""
--- a/crankfold/service/cluster/admin.py
+++ b/crankfold/service/cluster/admin.py
@@ -107,7 +107,7 @@
             return _rejection(HTTPStatus.BAD_REQUEST, str(error))
         member = self.cluster_node.consensus
         if not isinstance(member, Voter):
-            # Tells the caller to send this call to a voter.
+            # Only voters handle this call; the text refers the caller to one.
             return _rejection(HTTPStatus.BAD_REQUEST, "ask at the door of a voter")
         remaining = {name: address for name, address in member.raft.voters.items() if name != request.remove}
         voters = remaining | request.add
--- a/crankfold/service/cluster/document_validation.py
+++ b/crankfold/service/cluster/document_validation.py
@@ -51,9 +51,7 @@
     local_settings: Settings,
     list_machines: Callable[[], Sequence[Machine]],
 ) -> str:
-    """Returns why a new version of a document is not valid; empty if it is valid.
-
-    The text has the path of the first error, the value found there and the allowed values.
+    """Returns the first error of a new version: path, value found and allowed values; empty if it is valid.
 
     Args:
         document: The name of the document.
@@ -74,8 +72,7 @@
             return _maintenance_error(content, previous, list_machines)
     except ValueError as error:
         return str(error)
-    # The only document left is the one of quotas, which the leader publishes.
-    return f"{document}: dealt by whoever leads, not by operators"
+    return f"{document}: dealt by whoever leads, not by operators"  # QUOTAS, which the leader publishes
 
 
 def _maintenance_error(
--- a/crankfold/service/config_file.py
+++ b/crankfold/service/config_file.py
@@ -26,7 +26,8 @@
 
 DEFAULT_SOCKETS = 1024  # socket limit of the process if the configuration file sets none
 MIN_SOCKETS = 64
-# Share of a backend's idle timeout, so that no request is sent on a connection that the backend closes.
+# Fraction of a backend's idle timeout after which an idle connection is closed here, so that the backend does
+# not close it while a request is written to it.
 IDLE_TIMEOUT_SHARE = 0.5
 ADMIN_SPARE_SOCKETS = 4  # for the listening socket of the admin server and sockets being closed
 BACKEND_SOCKETS_DIVISOR = 4  # a quarter of the sockets is for backends
--- a/crankfold/service/maintenance/admin.py
+++ b/crankfold/service/maintenance/admin.py
@@ -126,7 +126,7 @@
         if target == Target.DISPATCHERS:
             member = agent.cluster_node.consensus
             if not isinstance(member, Voter):
-                # Tells the caller to send this call to a voter.
+                # Only voters forecast jobs on dispatchers; the text refers the caller to one.
                 return CallOutcome(False, "ask at the door of a voter")
             machines = agent.dispatchers(member, boottime_ticks())
         jobs_of_target = {name: job for name, job in jobs.items() if job.target == target}
@@ -196,7 +196,7 @@
         if machine_id not in self.agent.state.out_of_rotation():
             return _not_out(machine_id)
         if self.agent.cluster_node.has_lease():
-            # This dispatcher is not isolated; the step `back` restores the machine in the whole cluster.
+            # This dispatcher is not isolated; the step `back` restores the machine cluster-wide.
             return TransitionResult(False, "the fleet is heard here; hand it in as a step of all: back")
         self.agent.restore_locally(machine_id)
         return TransitionResult(True)
--- a/crankfold/service/maintenance/admin_messages.py
+++ b/crankfold/service/maintenance/admin_messages.py
@@ -46,7 +46,7 @@
 
 
 class MachineWait(Struct):
-    """The reason why a machine waits; an empty machine id stands for the whole job."""
+    """The reason why a machine waits; an empty machine id stands for the job itself."""
 
     machine_id: str = field(name="machine")
     job: str = field(name="work")
--- a/crankfold/service/maintenance/machine_inventory.py
+++ b/crankfold/service/maintenance/machine_inventory.py
@@ -10,7 +10,7 @@
 from crankfold.service.backends.registry import BackendRecord, BackendRegistry
 from crankfold.time_units import TICKS_PER_SECOND
 
-MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # a machine that is not listed for longer is left out
+MISSING_MACHINE_PERIOD = 600 * TICKS_PER_SECOND  # a machine missing from the list for longer is omitted
 MAX_LOG_LAG = 50  # log entries; a dispatcher that lags by more is not available
 
 
@@ -58,7 +58,7 @@
         return now - self.missing_since.setdefault(machine_id, now) > MISSING_MACHINE_PERIOD
 
     def _is_drained_manually(self, machine_id: str, state: MaintenanceState) -> bool:
-        """Whether a manual drain, not a maintenance job, drains the machine here or in the whole cluster."""
+        """Whether a manual drain, not a maintenance job, drains the machine here or cluster-wide."""
         registry = self.backend_registry
         if machine_id in registry.manual_drains.drained_since:
             return True
--- a/crankfold/service/reload.py
+++ b/crankfold/service/reload.py
@@ -70,7 +70,7 @@
         self._has_admin_server = bool(document.get("admin_addr"))
 
     def reload(self) -> None:
-        """Reloads the file and logs the result; requests, connections and backends are kept."""
+        """Reloads the file and logs the result; requests, connections and backends are retained."""
         try:
             document = self.read_document()
             parsed = parse_changed_document(document, self.document)
--- a/crankfold/service/requests/handler.py
+++ b/crankfold/service/requests/handler.py
@@ -67,7 +67,7 @@
         timers: Schedules callbacks.
         metrics: Counts events.
         backends: The backends with their connections.
-        lifecycle: Tells whether this process is in service.
+        lifecycle: Reports whether this process is in service.
         cluster: The cluster of dispatchers, or `NoCluster`.
         other_processes: Other processes of this dispatcher, or `NoOtherProcess`.
         poll_endpoints: Starts a poll of the endpoint list.
--- a/crankfold/service/wall_clock.py
+++ b/crankfold/service/wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock, for times shown to operators; durations are measured with monotonic clocks."""
+"""The wall clock, for times shown to operators; durations use monotonic clocks."""
 
 import time
 
