--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -41,7 +41,7 @@
 
     async def asyncSetUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        # A port chosen by the system could, once closed, be assigned to another process or a second time.
+        # Not ephemeral ports: the kernel may reassign one as soon as its probe socket closes.
         self.ports = {name: find_free_port() for name in (*VOTERS, "n3")}
         self.nodes: dict[str, ClusterNode] = {}
 
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -44,7 +44,7 @@
         self.assertEqual((state.term, state.vote, state.founding_member), (2, "", True))
         self.assertEqual(state.entries, [make_entry(1), make_entry(22), make_entry(3)])
 
-    def test_tail_torn_at_any_byte_is_truncated_and_earlier_frames_are_kept(self) -> None:
+    def test_tail_torn_at_any_byte_is_truncated_and_earlier_frames_are_preserved(self) -> None:
         data = self.write_log()
         frame_starts, start = [], 0
         while start < len(data):
@@ -92,10 +92,10 @@
 
     # Guards against a voter that starts with an older term and vote because damage was truncated as a torn
     # tail.
-    def test_flipped_bit_is_not_taken_for_torn_tail(self) -> None:
+    def test_flipped_bit_is_not_treated_as_torn_tail(self) -> None:
         data, frame_starts = self.write_long_log(LogEntry(1, "publish", {"n": 7}))
         bits = [8 * start + bit for start in frame_starts for bit in range(32)]  # of the length of each frame
-        bits += range(8 * frame_starts[-1], 8 * len(data))  # of the whole last frame
+        bits += range(8 * frame_starts[-1], 8 * len(data))  # of the last frame, header and payload
         bits += random.Random(1).sample(range(8 * len(data)), 400)
         accepted = []
         for bit in bits:
@@ -105,7 +105,7 @@
                 accepted.append(bit)
         self.assertEqual(accepted, [])
 
-    def test_each_truncation_of_last_frame_is_taken_for_torn_tail(self) -> None:
+    def test_each_truncation_of_last_frame_is_treated_as_torn_tail(self) -> None:
         data, frame_starts = self.write_long_log(LogEntry(1, "publish", {"n": 7, "zeros": "\0" * 20, "m": 0}))
         for cut in range(frame_starts[-1] + 1, len(data)):
             for unwritten_bytes in (0, 1, 3, len(data) - cut - 1, len(data) - cut, len(data) - cut + 40):
@@ -126,7 +126,7 @@
         with self.assertRaisesRegex(StorageError, "missing, though the folder has a log"):
             RaftStorage(self.folder, "n0")
 
-    # Guards against a damaged identity file that ends the whole process instead of the voter alone.
+    # Guards against a corrupt identity file that terminates the process instead of only disabling the voter.
     def test_flipped_bit_of_identity_raises_error_or_changes_folder_id(self) -> None:
         self.write_log()
         path = self.folder / "identity"
--- a/tests/cluster/test_stored_folders.py
+++ b/tests/cluster/test_stored_folders.py
@@ -12,7 +12,7 @@
 
 
 class StoredFoldersTest(TraceTestCase):
-    def open_copy(self, name: str) -> tuple[RaftStorage, Path]:
+    def open_copied_folder(self, name: str) -> tuple[RaftStorage, Path]:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / name
         shutil.copytree(DATA / "voters" / name, folder)
         storage = RaftStorage(folder, "n0")
@@ -20,7 +20,7 @@
         return storage, folder
 
     def test_storage_loads_entries_of_stored_folder(self) -> None:
-        storage, folder = self.open_copy("grown")
+        storage, folder = self.open_copied_folder("grown")
         state = storage.persistent_state
         self.assertEqual((storage.folder_id, storage.startup_notice), ("0123456789abcdef", ""))
         self.assertEqual((state.term, state.vote, state.founding_member), (2, "n1", True))
@@ -36,7 +36,7 @@
         self.assertEqual((folder / "history").read_bytes(), (DATA / "voters/grown/history").read_bytes())
 
     def test_storage_loads_snapshot_and_later_entries_of_compacted_folder(self) -> None:
-        storage, folder = self.open_copy("compacted")
+        storage, folder = self.open_copied_folder("compacted")
         state = storage.persistent_state
         self.assertEqual((state.term, state.vote, state.founding_member), (3, "n0", True))
         self.assertEqual(state.snapshot, Snapshot(index=2, term=2, voters={"n0": "h0:7000"}, state=b"whole"))
--- a/tests/consensus/test_cluster_safety.py
+++ b/tests/consensus/test_cluster_safety.py
@@ -52,7 +52,7 @@
                 max(longest_contradiction, cluster.longest_contradiction),
                 allocations + cluster.allocation_count() * (seed % 4 == 0),
             )
-        self.assertGreater(longest_contradiction, 5000)  # the faults had an effect
+        self.assertGreater(longest_contradiction, 5000)  # the injected faults took effect
         self.assertGreater(allocations, 20)
 
     def test_invariants_detect_each_injected_fault_and_hold_without_it(self) -> None:
@@ -216,7 +216,7 @@
         most_senders = max(
             len(senders) for (receiver, _), senders in senders_by_interval.items() if receiver != "v2"
         )
-        # In any 10 ms, of the 67 followers that switched and the 67 that each voter had before.
+        # Senders in any 10 ms, out of the 67 followers that switched and the 67 that each voter already had.
         self.assertLess(most_senders, 25)
         self.assertTrue(
             all(
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -112,7 +112,7 @@
         self.publish(voter, "a", 1)
         self.publish(voter, "b", 1)  # from another operator at the same time
         self.record_responses(voter)
-        self.publish(voter, "a", 1)  # sent again, because the response was lost
+        self.publish(voter, "a", 1)  # retransmitted after the response was dropped
         self.record_responses(voter)
         self.record(
             f"then {voter.documents.version_numbers()}, "
--- a/tests/consensus/test_raft_log.py
+++ b/tests/consensus/test_raft_log.py
@@ -59,7 +59,7 @@
             log.install(Snapshot(2, snapshot_term, VOTERS, b""))
             self.assertEqual(log.last_index(), last_index)
 
-    def test_retry_index_skips_whole_conflicting_term(self) -> None:
+    def test_retry_index_skips_all_entries_of_conflicting_term(self) -> None:
         log = self.make_log(1, 3, 3, 3)
         self.assertEqual(log.retry_index(prev_index=4, prev_term=2, commit_index=0), 1)
         self.assertEqual(log.retry_index(prev_index=4, prev_term=2, commit_index=2), 2)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Test cases with fake servers and a whole dispatcher, on loopback ports that the system chooses."""
+"""Test cases with fake servers and a complete dispatcher, on ephemeral loopback ports."""
 
 import asyncio
 import os
@@ -111,7 +111,7 @@
         }
 
     def discovery_answer(self) -> dict[str, Any]:
-        """Returns the present response of discovery, with the whole endpoint list."""
+        """Returns the current discovery response, a full snapshot of the endpoints."""
         return {
             "rev": 1,
             "all": True,
--- a/tests/maintenance/test_coordinator.py
+++ b/tests/maintenance/test_coordinator.py
@@ -96,9 +96,9 @@
 
     def test_stopped_job_returns_machines_without_begun_work_and_finishes_the_others(self) -> None:
         view, coordinator = self.make_view(max_out=2), Coordinator("n0")
-        held_machines = {"m01"}
+        busy_machines = {"m01"}
         view.blocking_holders = lambda machine_id, _index: (
-            "1 units there" if machine_id in held_machines else ""
+            "1 units there" if machine_id in busy_machines else ""
         )
         for second in range(3):
             view.now = 10_000 * second
--- a/tests/maintenance/test_specification.py
+++ b/tests/maintenance/test_specification.py
@@ -22,6 +22,6 @@
             self.record(validation_error({"works": jobs}, {}, MACHINES) or "fits")
         # A job that was submitted before can be put on hold although its machines are no longer listed.
         previous = {"works": {"w": {**valid_job, "machines": ["m99"]}}}
-        held = {"works": {"w": {**valid_job, "machines": ["m99"], "state": "hold", "called": 1}}}
-        self.record(validation_error(held, previous, MACHINES) or "fits")
+        job_on_hold = {"works": {"w": {**valid_job, "machines": ["m99"], "state": "hold", "called": 1}}}
+        self.record(validation_error(job_on_hold, previous, MACHINES) or "fits")
         self.assert_matches_trace("works-forms")
--- a/tests/network/test_listener_races.py
+++ b/tests/network/test_listener_races.py
@@ -32,7 +32,7 @@
             async with asyncio.timeout(2):
                 await self.until(lambda count=number: self.handler.client_disconnected.call_count == count)  # type: ignore[misc]
 
-    async def test_client_that_floods_after_its_request_receives_whole_response(self) -> None:
+    async def test_client_that_floods_after_its_request_receives_complete_response(self) -> None:
         await self.start_listener()
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port())
         writer.write(REQUEST)
@@ -54,7 +54,7 @@
         await asyncio.sleep(0.01)
         writer.write(REQUEST.replace(b"u1", b"u2"))  # in the kernel by now, and not read
         client.close()
-        self.assertEqual((await read_message(reader))[1], b"done")  # not lost to a reset
+        self.assertEqual((await read_message(reader))[1], b"done")  # a TCP reset did not discard the response
         self.assertEqual(await reader.read(), b"")
         self.assertEqual(self.handler.submit.call_count, 1)
         writer.close()
--- a/tests/protocol/test_backend_connection.py
+++ b/tests/protocol/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Connections to backends, and load reports: input that is whole, split or malformed."""
+"""Parsing of backend connections and load reports: complete, fragmented and malformed input."""
 
 from crankfold.protocol import load_reports
 from crankfold.protocol.backend_connection import (
@@ -10,7 +10,7 @@
 
 
 class BackendConnectionTest(TraceTestCase):
-    def test_response_has_same_meaning_whole_and_split(self) -> None:
+    def test_complete_and_fragmented_response_parse_alike(self) -> None:
         headers = attempt_headers([(b"host", b"b"), (b"x-request-id", b"u1")], 4807)
         for response in (
             b"202 Accepted\r\nContent-Length: 0\r\n\r\n",
--- a/tests/protocol/test_client_connection.py
+++ b/tests/protocol/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients and backends: input that is whole, split or malformed."""
+"""Parsing of client and backend connections: complete, fragmented and malformed input."""
 
 from collections.abc import Sequence
 from unittest.mock import Mock
@@ -66,7 +66,7 @@
             self.record("< " + b"".join(connection.outgoing).decode().replace("\r\n", " "))
             connection.outgoing.clear()
 
-    def test_requests_received_whole_split_and_pipelined(self) -> None:
+    def test_complete_fragmented_and_pipelined_requests(self) -> None:
         pipelined, split = self.create_connection(), self.create_connection()
         pipelined.receive_data(REQUEST + REQUEST.replace(b"u1", b"u2"))
         self.record("nothing of the second is read before the first is answered")
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,4 +1,4 @@
-"""Responses of discovery: whole, split and malformed."""
+"""Parsing of discovery responses: complete, fragmented and malformed."""
 
 import unittest
 
@@ -70,7 +70,7 @@
         )
         return Endpoint(0, entry.state, entry.weight, 0, entry.cell, entry.boot_ms)
 
-    def test_endpoint_lists_whole_malformed_and_split(self) -> None:
+    def test_complete_malformed_and_fragmented_endpoint_lists(self) -> None:
         entry = (
             b'{"uid":"a","endpoint":"10.0.0.1:84","az":"n","model":"m","pod_group":3,"state":"in_service",'
             b'"capacity_hint":1.5,"boot_ms":7}'
--- a/tests/routing/test_config_changes.py
+++ b/tests/routing/test_config_changes.py
@@ -1,4 +1,4 @@
-"""Configuration changes: pending requests keep their class, and measurements of backends are kept."""
+"""Configuration changes: pending requests keep their class, and backend measurements are preserved."""
 
 from dataclasses import replace
 
@@ -39,7 +39,7 @@
         self.fail_first_attempt(3)
         self.assert_matches_trace("renewal-units")
 
-    def test_measurements_of_backends_and_classes_are_kept_on_config_change(self) -> None:
+    def test_config_change_preserves_measurements_of_backends_and_classes(self) -> None:
         self.open(backend_count=3)
         self.router.state.classes[0].typical_run, self.router.limit.limit = 77.0, 5.0
         self.backends[1].reported_queue, self.backends[2].ejection_time = 4.5, 10_000
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -20,11 +20,11 @@
             self.router.discovery_failed(self.now)
         delays = [fires_at - self.now for fires_at, token in self.timers if token == POLL_TIMER]
         self.assertEqual(len(delays), 10)
-        # The remaining time is left for the connection and the response.
+        # The rest of the notice interval covers connection setup and the response.
         self.assertLess(max(delays), 60_000 - CONNECT_TIMEOUT * 20_000)
 
     def test_default_timeouts_allow_for_lost_first_packet_and_early_close_by_backend(self) -> None:
         config = read_service_config({})
-        # A lost first packet is retransmitted after one second.
+        # TCP retransmits a dropped SYN after one second.
         self.assertGreater(config.connect_timeout, TICKS_PER_SECOND)
         self.assertLess(config.idle_timeout, 5 * TICKS_PER_SECOND)
--- a/tests/routing/test_request_class_records.py
+++ b/tests/routing/test_request_class_records.py
@@ -1,4 +1,4 @@
-"""Request class records: which measurements are kept on a configuration change."""
+"""Request class records: which measurements a configuration change preserves."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 
 
 class RequestClassRecordTest(RouterTestCase):
-    def test_typical_run_is_not_kept_for_another_class_with_equal_settings(self) -> None:
+    def test_typical_run_is_not_transferred_to_another_class_with_equal_settings(self) -> None:
         self.open()
         class_table = RequestClassTable(["a"], [REQUEST_CLASS])
         self.router.state.classes[0].typical_run = 77.0
--- a/tests/routing/test_rules_admission.py
+++ b/tests/routing/test_rules_admission.py
@@ -28,8 +28,8 @@
 
 class FirstTryTest(RouterFixture):
     def test_unmarked_request_with_less_than_half_of_class_deadline_left_counts_as_first_try(self) -> None:
-        # The class's deadline is 5000 ms. With over half of it left, the request counts as a retry, and its
-        # latency objective as running since an earlier first try.
+        # The class's deadline is 5000 ms. With more than half of it remaining, the request is treated as a
+        # retry whose latency objective started at an earlier first try.
         for time_left_ms, expected_attempts in ((2400, [(0, 0)]), (2600, [])):
             self.start_router(ready_endpoint(0))
             self.receive_request(0, timeout=time_left_ms, work=100)
--- a/tests/routing/test_rules_ejection.py
+++ b/tests/routing/test_rules_ejection.py
@@ -32,11 +32,12 @@
             self.assertLessEqual(interval, min_interval * (1 + MAX_JITTER_SHARE) + STEP_MS)
         self.assertLessEqual(max(intervals), MAX_EJECTION_MS * (1 + MAX_JITTER_SHARE) + STEP_MS)
 
-    # Guards against an ejection that never doubles, so that a hanging backend gets one request after another.
-    def test_ejection_of_backend_with_hanging_trial_attempts_doubles_up_to_maximum(self) -> None:
+    # Guards against an ejection time that never doubles, so that an unresponsive backend gets many requests.
+    def test_ejection_of_backend_with_unresponsive_trial_attempts_doubles_up_to_maximum(self) -> None:
         self.start_router(*[ready_endpoint(backend) for backend in range(3)], max_attempts=1)
         trial_times: list[int] = []
-        hanging: list[tuple[int, int]] = []  # request id, and the ms at which its attempt times out
+        # Request id, and the ms at which its attempt times out.
+        unresponsive_attempts: list[tuple[int, int]] = []
         for step in range(80_000 // STEP_MS):
             request_ids = range(3 * step, 3 * step + 3)
             for request_id in request_ids:  # one for each backend that is not ejected
@@ -44,13 +45,13 @@
             for request_id in request_ids:
                 if self.backends_of(request_id) == [0]:
                     trial_times.append(step * STEP_MS)
-                    hanging.append((request_id, step * STEP_MS + ATTEMPT_TIMEOUT_MS))
+                    unresponsive_attempts.append((request_id, step * STEP_MS + ATTEMPT_TIMEOUT_MS))
                 else:
                     self.end_latest_attempt(request_id)
             self.advance_by(STEP_MS)
-            for request_id, times_out_at in list(hanging):
+            for request_id, times_out_at in list(unresponsive_attempts):
                 if times_out_at <= (step + 1) * STEP_MS:
-                    hanging.remove((request_id, times_out_at))
+                    unresponsive_attempts.remove((request_id, times_out_at))
                     self.end_latest_attempt(request_id, Outcome.TIMED_OUT)
         first_trial = next(trial_time for trial_time in trial_times if trial_time >= 2 * ATTEMPT_TIMEOUT_MS)
         intervals = [
--- a/tests/routing/test_rules_hedging.py
+++ b/tests/routing/test_rules_hedging.py
@@ -20,7 +20,7 @@
         self.advance_by(900)
         hedge_count = self.hedge_count(0, 10)
         self.assertGreaterEqual(hedge_count, 2)
-        # The last hedge may exceed the budget, as any budget left permits it.
+        # The last hedge may exceed the budget: any positive remainder permits one more.
         self.assertLessEqual(hedge_count, HEDGE_SHARE * (10 + hedge_count) + 1)
 
     def test_saved_hedge_budget_is_limited_to_a_few_mean_runs(self) -> None:
@@ -52,7 +52,7 @@
             self.advance_by(2000)
             self.assertEqual(len(self.backends_of(0)), expected_attempts, f"late value {late_value}")
 
-    def test_request_with_two_attempts_in_flight_is_not_hedged_again(self) -> None:
+    def test_request_with_two_attempts_in_flight_gets_no_further_hedge(self) -> None:
         self.start_router(*[ready_endpoint(backend) for backend in range(9)], max_attempts=5)
         for request_id in range(1, 4):  # other work earns the budget for more than one hedge
             self.start_attempt(request_id, self.route_request(request_id, work=4000))
--- a/tests/routing/test_rules_subsetting.py
+++ b/tests/routing/test_rules_subsetting.py
@@ -125,7 +125,7 @@
             self.advance_by(50)
             self.serve(1, LONG_WORK_MS)
         backend_count = len(self.serve(200, LONG_WORK_MS))
-        # A subset is kept until it is a sixth too small or two thirds too large.
+        # A subset is resized only when it is a sixth too small or two thirds too large.
         self.assertGreaterEqual(backend_count, 10 * 5 / 6)
         self.assertLessEqual(backend_count, 10 * 5 / 3)
 
@@ -137,7 +137,7 @@
             backends |= self.serve(1, LONG_WORK_MS)
         return backends
 
-    def test_subset_is_kept_while_traffic_changes_by_a_quarter(self) -> None:
+    def test_subset_is_unchanged_while_traffic_changes_by_a_quarter(self) -> None:
         for index in range(5):
             self.start_instance(index)
             self.serve(1, LONG_WORK_MS, slots=2.0)
@@ -148,7 +148,7 @@
 
 
 class WarmUpTest(SubsetFixture):
-    def test_subset_has_usual_size_again_after_warm_up(self) -> None:
+    def test_subset_returns_to_usual_size_after_warm_up(self) -> None:
         for index in range(INSTANCE_COUNT):
             self.start_instance(index)
             usual_size = len(self.serve(60, LONG_WORK_MS))
@@ -161,7 +161,7 @@
 
 class SlowStartShareTest(SubsetFixture):
     # Guards against instances with random indices whose shares of a slow-start budget overload the backend.
-    def test_slow_start_shares_of_instances_without_index_sum_to_at_most_one(self) -> None:
+    def test_slow_start_fractions_of_instances_without_index_sum_to_at_most_one(self) -> None:
         for instance_count in (8, INSTANCE_COUNT):
             share_sums = [0.0] * FLEET_SIZE
             for seed in range(instance_count):
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -18,9 +18,9 @@
 
 
 class ProcessReplacementTest(DispatcherTestCase):
-    """Real dispatcher processes, with a backend, discovery and clients that the test plays.
+    """Real dispatcher processes, with a backend, discovery and clients that the test simulates.
 
-    The backend finishes each request at once, except those whose id begins with `held`.
+    The backend completes each request immediately, unless its id has the prefix `held`.
     """
 
     async def start(self) -> None:
--- a/tests/service/handover/test_state_machine.py
+++ b/tests/service/handover/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The handover state machine without sockets: processes replace one another, die or hang."""
+"""The handover state machine without sockets: processes replace one another, crash or become unresponsive."""
 
 import json
 from typing import Any
@@ -223,7 +223,7 @@
         process_a.machine.message_received(self.now, connection_to_c, TakeoverRequest())
         self.assertEqual(answers, [False])
 
-    def test_successor_continues_after_predecessor_dies_or_hangs(self) -> None:
+    def test_successor_continues_after_predecessor_crashes_or_is_unresponsive(self) -> None:
         self.add_process("a", "u1")
         process_b = self.add_process("b")
         self.connect("b", "a")
--- a/tests/service/handover/test_takeover.py
+++ b/tests/service/handover/test_takeover.py
@@ -44,7 +44,7 @@
         self.assertEqual(other.socket_name(), IDENTITY.socket_name())
         self.assertRegex(IDENTITY.socket_name(), "^crankfold-[0-9a-f]{8}$")
 
-    def test_state_is_taken_only_from_welcome_of_same_dispatcher(self) -> None:
+    def test_state_is_accepted_only_from_welcome_of_same_dispatcher(self) -> None:
         self.assertEqual(IDENTITY.state_in_welcome(Welcome(STATE), ADDRESS), STATE)
         for message, address in (
             (TakeoverRequest(), ADDRESS),
@@ -122,7 +122,7 @@
         self.assertEqual(self.request_handler.backends.known_ids, {"a"})
         self.assertEqual(self.manual_drain_file.adopt.call_count, 0)
 
-    async def test_takeover_reconnects_and_requests_again_after_refusal(self) -> None:
+    async def test_takeover_reconnects_and_retries_after_refusal(self) -> None:
         await self.takeover.connect()
         self.answer_requests(TakeoverRefusal(), TakeoverGrant(None))
         with patch("crankfold.service.handover.takeover.TAKEOVER_RETRY_DELAY", 0.0):
--- a/tests/service/maintenance/test_agent.py
+++ b/tests/service/maintenance/test_agent.py
@@ -48,7 +48,7 @@
         )
         body = b'{"call": "c", "machine": "%s", "step": "here"}'
         result = await agent.admin.request_transition(body % b"a")
-        self.assertEqual(result.accepted, False)  # with a lease, it must be restored in the whole cluster
+        self.assertEqual(result.accepted, False)  # with a lease, only the cluster may restore the machine
         has_lease[0] = False
         self.assertEqual(
             (await agent.admin.request_transition(body % b"b")).accepted, False
--- a/tests/service/requests/test_callback_handler.py
+++ b/tests/service/requests/test_callback_handler.py
@@ -1,4 +1,4 @@
-"""Each callback for an unknown request is counted once, whatever it reports."""
+"""Each callback for an unknown request increments one counter, regardless of the reported state."""
 
 import asyncio
 
--- a/tests/service/test_admin_service.py
+++ b/tests/service/test_admin_service.py
@@ -50,7 +50,7 @@
         self.assertEqual(await self.call(self.admin_port, "runners/a/online"), "200 online")
         self.assertEqual(((await self.send_request("u3"))[1], self.received_count), (b"done", 2))
         self.assertEqual(self.application.request_handler.request_classes.open_counts, [0])
-        # The connection kept open proves that it has not restarted.
+        # The persistent connection proves that the backend has not restarted.
         self.assertEqual(
             self.application.request_handler.routing.state.table.backends[0].endpoint.started_at, 0
         )
@@ -137,7 +137,7 @@
             self.assertEqual(await self.call(self.admin_port, "in-service"), "200 in service")
         await asyncio.sleep(0.1)
         self.assertEqual((self.application.lifecycle.state.value, await self.health()), ("in service", "200"))
-        # A third drain is ended before it is complete: connections that are still open are kept.
+        # A third drain is cancelled before it completes: connections that are still open stay open.
         client_writer.close()
         client_reader, client_writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(client_writer.close)
--- a/tests/service/test_application.py
+++ b/tests/service/test_application.py
@@ -1,4 +1,4 @@
-"""A whole dispatcher in the process of the test, with a fake client, backend and discovery on loopback."""
+"""A complete dispatcher in the test process, with a fake client, backend and discovery on loopback."""
 
 import asyncio
 from unittest.mock import patch
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -174,7 +174,7 @@
         self.process.terminate()
         self.assertIn("callbacks-unknown-request=1", await output)
 
-    async def test_unusable_configuration_is_reported_in_one_line(self) -> None:
+    async def test_invalid_configuration_is_reported_in_one_line(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -1,4 +1,4 @@
-"""Races in a whole dispatcher on real sockets: disconnects, drains, deadlines and signals."""
+"""Races in a complete dispatcher on real sockets: disconnects, drains, deadlines and signals."""
 
 import asyncio
 import signal
@@ -123,7 +123,7 @@
 
     async def test_retry_is_not_sent_if_deduplication_window_ends_while_connecting(self) -> None:
         async def backend(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-            # The connection is lost after the read, so the request may have been executed.
+            # The connection closes after the read, so the backend may have executed the request.
             self.record((await read_message(reader))[0].splitlines()[0])
 
         await self.begin(backend, "keyed", group="zone", **{"repeat-window": 300_000})
@@ -153,12 +153,12 @@
             response = await self.send_request("u1")
         self.assertEqual((response[0].split()[1], connection_count, len(self.lines)), ("504", 2, 1))
 
-    async def test_repeated_callback_is_not_taken_for_end_of_second_attempt(self) -> None:
+    async def test_repeated_callback_is_not_treated_as_end_of_second_attempt(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
             self.record("sent")
             writer.write(ACCEPTED)
-            for _ in range(2):  # as if the response to the first callback had been lost
+            for _ in range(2):  # simulates a backend that did not receive the response to its first callback
                 await self.send_callback(id="u1", **{"from": "a"}, state="returned")
 
         await self.begin(backend, "unsafe")
--- a/tests/simulation/traffic/test_comparison.py
+++ b/tests/simulation/traffic/test_comparison.py
@@ -64,7 +64,7 @@
         self.assertEqual(tables[0].count(b"\n"), 1 + len(comparison.POLICIES))
 
     def test_verdict_ranks_global_knowledge_above_random_and_random_equal_to_itself(self) -> None:
-        shares = {
+        on_time_shares = {
             name: [
                 comparison.simulate_day(name, SMALL_SCENARIO, comparison.DEFAULT_CONFIG, seed).on_time_share
                 for seed in range(1, 7)
@@ -72,7 +72,7 @@
             for name in ("random", "sees-all")
         }
         for policy, baseline in (("sees-all", "random"), ("random", "sees-all"), ("random", "random")):
-            _, low, high = comparison.confidence_interval(shares[policy], shares[baseline])
+            _, low, high = comparison.confidence_interval(on_time_shares[policy], on_time_shares[baseline])
             self.record(f"{policy} against {baseline}: {comparison.verdict(low, high)}")
         interval = comparison.confidence_interval([0.5, 0.7, 0.6, 0.4], [0.6, 0.6, 0.5, 0.5])
         self.record(f"where pairs differ both ways: {comparison.verdict(*interval[1:])}")
@@ -86,7 +86,7 @@
             seconds=5,
             arrival_rate=0.6 * 15 * 4 / 0.35 / 10,
         )
-        mean_shares = {
+        mean_on_time_shares = {
             name: sum(
                 comparison.simulate_day(name, scenario, comparison.DEFAULT_CONFIG, seed).on_time_share
                 for seed in (1, 2, 3)
@@ -95,9 +95,9 @@
             for name in ("crankfold", "round-robin", "least-own")
         }
         self.assertGreater(
-            mean_shares["crankfold"],
-            max(mean_shares["round-robin"], mean_shares["least-own"]) - 0.005,
-            mean_shares,
+            mean_on_time_shares["crankfold"],
+            max(mean_on_time_shares["round-robin"], mean_on_time_shares["least-own"]) - 0.005,
+            mean_on_time_shares,
         )
 
     def test_invalid_options_are_reported_in_one_line_with_status_2(self) -> None:
--- a/tests/terms/test_clocks.py
+++ b/tests/terms/test_clocks.py
@@ -10,7 +10,7 @@
 
 HOUR_MS = 3_600_000
 WARM_UP_SECONDS = 30
-# Up to this age, the share of the load that slow start allows a backend does not overload a cold one.
+# Up to this age, the load fraction that slow start permits does not overload a cold backend.
 MAX_ASSUMED_AGE_TICKS = 30_000
 REQUEST_COUNT = 60
 
@@ -83,7 +83,7 @@
         await asyncio.sleep(number * 0.03)
         await self.send_request(f"u{number}")
 
-    async def age_of_backend_listed_later(
+    async def assumed_age_of_later_backend(
         self, *, dispatcher_clock_ahead_ms: int = 0, backend_clock_ahead_ms: int = 0
     ) -> int:
         await self.prepare(dispatcher_ahead_ms=dispatcher_clock_ahead_ms)
@@ -93,27 +93,29 @@
 
     async def test_backend_listed_later_is_new_when_dispatcher_clock_is_an_hour_ahead(self) -> None:
         self.assertLess(
-            await self.age_of_backend_listed_later(dispatcher_clock_ahead_ms=HOUR_MS), MAX_ASSUMED_AGE_TICKS
+            await self.assumed_age_of_later_backend(dispatcher_clock_ahead_ms=HOUR_MS), MAX_ASSUMED_AGE_TICKS
         )
 
     async def test_backend_listed_later_is_new_when_dispatcher_clock_is_seconds_ahead(self) -> None:
         self.assertLess(
-            await self.age_of_backend_listed_later(dispatcher_clock_ahead_ms=8_000), MAX_ASSUMED_AGE_TICKS
+            await self.assumed_age_of_later_backend(dispatcher_clock_ahead_ms=8_000), MAX_ASSUMED_AGE_TICKS
         )
 
     async def test_backend_listed_later_is_new_when_its_clock_is_an_hour_behind(self) -> None:
         self.assertLess(
-            await self.age_of_backend_listed_later(backend_clock_ahead_ms=-HOUR_MS), MAX_ASSUMED_AGE_TICKS
+            await self.assumed_age_of_later_backend(backend_clock_ahead_ms=-HOUR_MS), MAX_ASSUMED_AGE_TICKS
         )
 
     async def test_slow_start_is_not_extended_when_dispatcher_clock_is_an_hour_behind(self) -> None:
-        self.assertGreaterEqual(await self.age_of_backend_listed_later(dispatcher_clock_ahead_ms=-HOUR_MS), 0)
+        self.assertGreaterEqual(
+            await self.assumed_age_of_later_backend(dispatcher_clock_ahead_ms=-HOUR_MS), 0
+        )
 
     async def test_slow_start_is_not_extended_when_backend_clock_is_an_hour_ahead(self) -> None:
-        self.assertGreaterEqual(await self.age_of_backend_listed_later(backend_clock_ahead_ms=HOUR_MS), 0)
+        self.assertGreaterEqual(await self.assumed_age_of_later_backend(backend_clock_ahead_ms=HOUR_MS), 0)
 
-    async def test_start_times_are_kept_when_clocks_are_right(self) -> None:
-        """A backend started long ago is warm in the first list; listing it again keeps its start."""
+    async def test_start_times_are_preserved_when_clocks_are_right(self) -> None:
+        """A long-running backend is warm in the first snapshot; a later snapshot preserves its start time."""
         await self.prepare(dispatcher_ahead_ms=0)
         self.list_second_backend(self.true_time_ms() - 5 * HOUR_MS)
         self.endpoints_changed.clear()
--- a/tests/terms/test_storage_faults.py
+++ b/tests/terms/test_storage_faults.py
@@ -169,7 +169,7 @@
 
 
 class EventLogTest(unittest.TestCase):
-    def test_event_log_drops_unwritable_line_and_writes_next_one_whole(self) -> None:
+    def test_event_log_drops_unwritable_line_and_writes_complete_next_line(self) -> None:
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "events"
         log = EventLog(str(path))
         member = Mock(last_applied=1, **{"documents.version_numbers.return_value": {}})
