--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -125,11 +125,11 @@
 
     def test_former_group_name_works_behaves_like_maintenance(self) -> None:
         self.run_maintenance_commands("works")
-        lines_of_works, self.lines = self.lines, []
+        works_output, self.lines = self.lines, []
         self.responses.clear()
         self.run_maintenance_commands("maintenance")
-        self.assertGreater(len(lines_of_works), 30)
-        self.assertEqual([re.sub(r"\bmaintenance\b", "works", line) for line in self.lines], lines_of_works)
+        self.assertGreater(len(works_output), 30)
+        self.assertEqual([re.sub(r"\bmaintenance\b", "works", line) for line in self.lines], works_output)
         self.lines = []  # they were compared above; no trace records them
 
     def test_help_lists_maintenance_instead_of_works(self) -> None:
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -72,7 +72,7 @@
                 pass
         return received
 
-    # Guards against a closed member that connects again while another process may already use its name.
+    # Guards against a closed member that reconnects while another process may already use its name.
     async def test_send_after_close_opens_no_connection(self) -> None:
         receiver = await self.open_transport()
         closed = make_transport("n1", RecordingHandler(), {"n0": (HOST, self.port)})
--- a/tests/consensus/test_members.py
+++ b/tests/consensus/test_members.py
@@ -138,7 +138,7 @@
         self.exchange_messages(voter, second)
         self.assertFalse(second.has_lease(self.now))
         self.assertEqual(second.rejection_reason, "the name f is in use by another process")
-        # A follower that leaves releases its name at once.
+        # A departing follower releases its name immediately.
         follower.leave(self.now)
         voter.receive(self.now, "f", Leave("f", 9))
         self.exchange_messages(voter, second)
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -45,7 +45,7 @@
         self.apply("a", "work")
         self.apply("a", "free")
         self.apply("a", "work")
-        self.apply("a", "work")  # a leader that was suspended starts the work again
+        self.apply("a", "work")  # a leader resumed after a suspension restarts the work
         self.apply("a", "free", last=self.index)  # its executor restarted, and the command may be repeated
         self.apply("a", "work")
         self.apply("a", "ended", number=14)  # late outcome of the first run
--- a/tests/network/test_connection_pool_races.py
+++ b/tests/network/test_connection_pool_races.py
@@ -54,7 +54,7 @@
             await self.until(lambda: len(self.results) == 1)
             await asyncio.sleep(1.2 * REUSE_COOLDOWN)
             (connection,) = self.pool.idle_connections
-            # The bytes reach the kernel at once, and are not read in this iteration of the event loop.
+            # The kernel buffers the bytes immediately; this iteration of the event loop does not read them.
             self.backend_writers[-1].write(unsolicited)
             second_exchange = self.send_request()
             await self.until(lambda: len(self.results) == 2)
--- a/tests/routing/fixtures.py
+++ b/tests/routing/fixtures.py
@@ -57,7 +57,7 @@
         return [backend for sent_id, backend in self.sent_attempts if sent_id == request_id]
 
     def route_request(self, request_id: int, **arrival: object) -> int:
-        """Receives a request, which has to be sent at once; returns its backend."""
+        """Receives a request that must be dispatched immediately; returns its backend."""
         self.receive_request(request_id, **arrival)  # type: ignore[arg-type]
         return self.backends_of(request_id)[-1]
 
--- a/tests/routing/test_many_instances.py
+++ b/tests/routing/test_many_instances.py
@@ -91,7 +91,7 @@
                 instance.router.probe_ended(instance.now, index, True, (0.0, 4.0))
 
     def run_traffic(self, seconds: int, interval: int) -> None:
-        """Sends each instance a request every `interval` ticks; attempts start at once."""
+        """Sends each instance a request every `interval` ticks; attempts start immediately."""
         running: list[tuple[int, InstanceFixture, int, int]] = []  # end tick, instance, request id, backend
         for round_number in range(seconds * 10_000 // interval):
             now = 100_000 + round_number * interval
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: which requests may be sent again, and where; removing a guard changes the trace of its test."""
+"""Retries: which requests are retried, and where; removing a guard changes the trace of its test."""
 
 from crankfold.routing.interface import DeduplicationScope, Endpoint, EndpointState, Idempotency, Outcome
 from tests.fixtures import TICKS_PER_MS, RouterTestCase
--- a/tests/routing/test_rules_limit.py
+++ b/tests/routing/test_rules_limit.py
@@ -8,7 +8,7 @@
 
 class ConcurrencyLimitTest(RouterFixture):
     def receive_requests(self, first_id: int, count: int) -> list[int]:
-        """Receives `count` requests from `first_id` on; returns the ids of those that are sent at once."""
+        """Receives `count` requests with ids from `first_id`; returns the ids dispatched without queueing."""
         count_before = len(self.sent_attempts)
         for request_id in range(first_id, first_id + count):
             self.receive_request(request_id, timeout=60_000, work=0)
@@ -39,7 +39,7 @@
 
 class ListedWeightLimitTest(RouterFixture):
     def attempts_after_lists(self, *intervals_ms: int) -> int:
-        """Returns how many attempts are sent at once after lists of long queues at these intervals."""
+        """Returns how many attempts are sent immediately after lists of long queues at these intervals."""
         self.start_router(
             ready_endpoint(0, weight=4.0),
             ready_endpoint(1, weight=4.0),
--- a/tests/routing/test_rules_selection.py
+++ b/tests/routing/test_rules_selection.py
@@ -33,7 +33,7 @@
             self.end_latest_attempt(request_id)
         return backends
 
-    def test_overutilized_backend_gets_requests_without_key_where_whole_fleet_is_used(self) -> None:
+    def test_overutilized_backend_gets_keyless_requests_if_all_backends_are_candidates(self) -> None:
         self.start_router_with_busy_backend()
         self.assertEqual(self.backends_of_eight_requests(key=0), {0, 1})
 
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -54,7 +54,7 @@
         self.lines = [line for line in self.lines if "probe" not in line]
         self.assert_matches_trace("stale")
 
-    def test_subset_is_stable_and_whole_fleet_used_only_if_no_member_is_available(self) -> None:
+    def test_subset_is_stable_and_other_backends_are_used_only_if_no_member_is_available(self) -> None:
         self.open(backend_count=0, free_slots=0, instance_count=60)
         self.router.state.averages.total_work = 10_000.0  # ticks: long running times
         self.change_endpoints(
@@ -76,7 +76,7 @@
         self.assert_matches_trace("circle")
 
     def test_unusual_endpoint_lists_raise_no_error(self) -> None:
-        # No endpoint in the own zone: one backend, none, hundreds, and all replaced at once.
+        # No endpoint in the local zone: one backend, none, hundreds, and all replaced by one snapshot.
         self.open(backend_count=0, zone=9, instance_count=300)
         for request_id, indices in enumerate((range(1), range(0), range(400), range(400, 420))):
             self.change_endpoints(
--- a/tests/service/handover/test_replacement.py
+++ b/tests/service/handover/test_replacement.py
@@ -204,7 +204,7 @@
         await self.finish("held1")
         self.assertEqual((await responses[0])[1], b"held1")
         self.assertEqual(await self.call(predecessor_admin_port, "ready", "GET"), "200 ready")
-        output = await self.start_process(SERVE, self.folder)  # the predecessor can be replaced again
+        output = await self.start_process(SERVE, self.folder)  # another successor can replace the predecessor
         predecessor.terminate()
         await predecessor.wait()
         self.assertEqual((await self.send_request("last"))[1], b"done")
--- a/tests/service/handover/test_stored_lines.py
+++ b/tests/service/handover/test_stored_lines.py
@@ -103,6 +103,6 @@
         self.assertEqual(orjson.loads(data), MANUAL_DRAINS)
         file = folder / drains_file(self.listen)
         file.unlink()
-        # `a` is drained already; the call makes the dispatcher write the file again.
+        # `a` is drained already; the call makes the dispatcher rewrite the file.
         self.assertEqual(await self.call(self.admin_port, "runners/a/offline"), "200 offline")
         self.assertEqual(file.read_bytes(), data)
--- a/tests/service/test_day_in_service.py
+++ b/tests/service/test_day_in_service.py
@@ -170,8 +170,8 @@
                 async with asyncio.timeout(4):
                     head, body = await read_message(reader)
             except (ConnectionError, asyncio.IncompleteReadError) as error:
-                # A reused connection may be closed before the request arrives; clients then send the request
-                # again, here under a new id.
+                # A reused connection may be closed before the request arrives; clients then retry it,
+                # here under a new id.
                 if reused:
                     await send(request_id + "-again", request_class)
                 else:
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -29,7 +29,7 @@
             "from crankfold.cli.main import main; main(['serve'])"
         )
         output = await self.start_process(["-O", "-c", program])
-        for request_id in ("u1", "u2"):  # answered at once, not at the deadline of 60 s
+        for request_id in ("u1", "u2"):  # responses arrive immediately, not at the deadline of 60 s
             self.assertEqual((await self.send_request(request_id, wait=60))[0].split()[1], "504")
         self.process.terminate()
         log = await output
@@ -129,7 +129,7 @@
         self.assertIn("settings.tick differs and waits for a restart", log)
         self.assertIn("the old one stays in force", log)
 
-    async def test_connections_are_accepted_and_kept_after_sigterm_until_final_drain_period(self) -> None:
+    async def test_connections_are_accepted_and_persist_after_sigterm_until_final_drain_period(self) -> None:
         async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 await read_message(reader)
--- a/tests/service/test_races.py
+++ b/tests/service/test_races.py
@@ -168,9 +168,9 @@
         self.assertEqual(self.lines.count("sent"), 1)
 
     async def status_if_connection_is_lost(self, callback_first: bool) -> str:
-        """Sends a non-idempotent request whose connection is lost; returns the status of its response.
+        """Sends a non-idempotent request whose backend connection is aborted; returns the response status.
 
-        The backend reports the completion before the connection is lost or after the response.
+        The backend reports the completion before it aborts the connection, or after the request failed.
         """
         connection_lost = asyncio.Event()
 
--- a/tests/simulation/traffic/test_faults.py
+++ b/tests/simulation/traffic/test_faults.py
@@ -83,8 +83,8 @@
         self.assertNotEqual(affected_indices(fault, 1, 40), affected_indices(fault, 2, 40))
         self.assertEqual((len(affected_indices(fault, 1, 40)), len(affected_indices(fault, 1, 1))), (10, 1))
 
-    # Guards against overload of a backend in slow start by several dispatchers: each keeps to its own share,
-    # but none knows of the long requests that the others send to the backend.
+    # Guards against overload of a backend in slow start by several dispatchers: each limits itself to its
+    # fraction of the load, but has no information on the long requests that the others send to the backend.
     def test_release_under_burst_overloads_no_warming_backend(self) -> None:
         mean_service_ticks = 3500
         dispatchers, backends, load = 21, 12, 0.6
