--- a/tests/network/test_log_handler.py
+++ b/tests/network/test_log_handler.py
@@ -84,7 +84,7 @@
         program = (
             "import logging; from crankfold.network.log_handler import configure_logging\n"
             "configure_logging()\n"
-            "for _ in range(3): logging.getLogger('crankfold.test').warning('nobody reads it')\n"
+            "for _ in range(3): logging.getLogger('crankfold.test').warning('no reader')\n"
             "print('went on')"
         )
         with Path("/dev/full").open("wb") as full:
@@ -97,7 +97,7 @@
         closed_stream = io.StringIO()
         closed_stream.close()
         with contextlib.redirect_stderr(closed_stream):
-            self.logger.info("nobody reads it")
+            self.logger.info("no reader")
 
     def test_arguments_that_do_not_fit_their_message_raise_no_exception(self) -> None:
         self.logger.info("port %d", "none")
--- a/tests/routing/test_discovery_polling.py
+++ b/tests/routing/test_discovery_polling.py
@@ -20,7 +20,7 @@
             self.router.discovery_failed(self.now)
         delays = [fires_at - self.now for fires_at, token in self.timers if token == POLL_TIMER]
         self.assertEqual(len(delays), 10)
-        # The rest of the notice interval covers connection setup and the response.
+        # The poll delay must leave time within change_notice_within for connection setup and the response.
         self.assertLess(max(delays), 60_000 - CONNECT_TIMEOUT * 20_000)
 
     def test_default_timeouts_allow_for_lost_first_packet_and_early_close_by_backend(self) -> None:
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -16,8 +16,8 @@
 MEAN_RUN_SECONDS = 0.02
 MAX_CALLBACK_ATTEMPTS = 10
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-# Weights of the ways in which a backend handles an attempt. "hang" holds the connection until the dispatcher
-# closes it.
+# Weights of the ways in which a backend handles an attempt. "hang" sends no response and leaves the
+# connection open until the dispatcher closes it.
 TREATMENTS = {
     "run": 70,
     "run, 202 late": 6,
--- a/tests/soak/dispatcher.py
+++ b/tests/soak/dispatcher.py
@@ -51,7 +51,7 @@
         self.ready = False  # from its first successful health check until it is stopped
         self.config_lock = (
             asyncio.Lock()
-        )  # held while the configuration file changes and while a process starts
+        )  # serializes changes to the configuration file and starts of the process
 
     async def start(self, observations: Observations, *, early_signal: bool = False) -> None:
         """Starts the process and waits until its health check succeeds."""
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -61,7 +61,7 @@
 
 @dataclass
 class StalledClient:
-    """A client that sent a part of a request and kept the connection open."""
+    """A client that sent an incomplete request and did not close the connection."""
 
     begun_at: float
     ended_at: float = 0.0
@@ -78,7 +78,7 @@
         default_factory=dict
     )  # by dispatcher and backend
     start_announced_at: dict[str, float] = field(default_factory=dict)  # by backend
-    exits: list[str] = field(default_factory=list)  # processes that failed to start or to end as asked
+    exits: list[str] = field(default_factory=list)  # failed starts, unexpected exits, timeouts
     slowest_start: float = 0.0
     starts: list[tuple[str, float, float]] = field(default_factory=list)  # dispatcher, begun at, ready at
     crowded: bool = False  # the dispatcher may close new connections without reading them
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -24,7 +24,7 @@
 
 
 def send_to_draining_backends() -> None:
-    """Treats every backend as ready, whatever state discovery lists."""
+    """Treats every backend as ready, regardless of the state that discovery reports."""
     original = BackendRegistry._update_effective_endpoint
 
     def always_ready(self: BackendRegistry, backend: int) -> Any:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -325,7 +325,7 @@
 
 
 def report(seed: int) -> tuple[str, bool]:
-    """Plays a seed and returns its report line and whether all clauses held."""
+    """Plays a seed and returns its report line and whether all clauses were satisfied."""
     broken, observations = play(seed)
     plan = RunPlan.draw(seed)
     counts = f"{len(observations.requests)} requests, {len(observations.attempts)} attempts"
--- a/tests/terms/test_clocks.py
+++ b/tests/terms/test_clocks.py
@@ -10,7 +10,7 @@
 
 HOUR_MS = 3_600_000
 WARM_UP_SECONDS = 30
-# Up to this age, the load fraction that slow start permits does not overload a cold backend.
+# Up to this age, the load fraction that slow start permits does not overload a newly started backend.
 MAX_ASSUMED_AGE_TICKS = 30_000
 REQUEST_COUNT = 60
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -186,7 +186,7 @@
         }
 
     def has_counter(self, counter: str) -> bool:
-        """Returns whether the program has the whole name, or a text ending in "-" that starts it."""
+        """Returns whether a string of the program equals the name or is a prefix of it that ends in "-"."""
         name = counter.rstrip(".N")
         prefixes = [text for text in self.texts if text.endswith("-") and len(text) > 3]
         return name in self.texts or any(name.startswith(text) for text in prefixes)
